--- a/crates/bench/benches/fleet.rs
+++ b/crates/bench/benches/fleet.rs
@@ -120,7 +120,7 @@
         path: "/offer/1".into(),
         wait_ms: Some(15_000),
         credential: vanetally_ports::Credential::Missing,
-        has_tokens: true,
+        has_token_count: true,
         model: Some(ModelRef { model: model(number as usize % models), adapter: None }),
         prompt_tokens: 1_460,
         output_tokens: 174,
--- a/crates/dispatch/src/reserving.rs
+++ b/crates/dispatch/src/reserving.rs
@@ -149,7 +149,7 @@
         let holders = request.shortage.map_or(1, |shortage| shortage.holders);
         let shortage = Shortage { lack: Lack::Limit, holders };
         let (service, subject) = (request.service.clone(), request.head.model.clone());
-        self.refuse_at_once(id, shortage, RefusalCause::Limited, retry_ms.into(), actions);
+        self.refuse_at_once(id, shortage, RefusalCause::RateLimited, retry_ms.into(), actions);
         if let Some(subject) = subject {
             self.tell_shortage(now, &service, subject, Lack::Limit, CROWDED_MS, actions);
         }
--- a/crates/dispatch/src/roster.rs
+++ b/crates/dispatch/src/roster.rs
@@ -84,7 +84,7 @@
         }
         entry.revision = revision;
         let read = read.and_then(|told| entry.check(told));
-        let Announcement { life, mut state } = match read {
+        let Announcement { incarnation: life, mut state } = match read {
             Ok(told) => told,
             Err(error) => return entry.unreadable(error),
         };
@@ -119,7 +119,7 @@
         revision: Revision,
         read: Result<Announcement, AnnouncementError>,
     ) -> Vec<News> {
-        let Announcement { life, mut state } = match read {
+        let Announcement { incarnation: life, mut state } = match read {
             Ok(told) => told,
             Err(error) => return self.stranger(id, error),
         };
@@ -192,8 +192,8 @@
 
     /// An announcement that leaves out the start that the one before it told comes from another writer.
     fn check(&self, told: Announcement) -> Result<Announcement, AnnouncementError> {
-        if self.life.born.is_some() && told.life.born.is_none() {
-            return Err(AnnouncementError::Unborn);
+        if self.life.born.is_some() && told.incarnation.born.is_none() {
+            return Err(AnnouncementError::StartMissing);
         }
         Ok(told)
     }
--- a/crates/dispatch/src/sending.rs
+++ b/crates/dispatch/src/sending.rs
@@ -115,7 +115,7 @@
                 Some((RefusalCause::NoUpstream, RETRY_MS))
             }
             Lack::Rest => {
-                self.rested_in_ms(now, request).map(|left_ms| (RefusalCause::Resting, left_ms))
+                self.rested_in_ms(now, request).map(|left_ms| (RefusalCause::Cooldown, left_ms))
             }
             _ => None,
         }
--- a/crates/dispatch/tests/copies.rs
+++ b/crates/dispatch/tests/copies.rs
@@ -44,7 +44,7 @@
     born: Option<u64>,
     draining: bool,
 ) -> Vec<(Option<u64>, bool)> {
-    let read = Ok(Announcement { life: life(born), state: state(draining) });
+    let read = Ok(Announcement { incarnation: life(born), state: state(draining) });
     let news = roster.announced(now, &id(), revision, read);
     let seen = news.into_iter().filter_map(|news| match news {
         News::Seen { life, state, .. } => Some((life.born, state.draining)),
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -96,7 +96,7 @@
     let (id, actions) = host.arrive(request("a", "check", None));
     let actions = answer(&mut host, &actions, Answer::Busy { retry_ms: 4_200 });
     let refused = refusal(&actions, id).expect("refused");
-    assert_eq!((refused.cause, refused.retry_after_ms), (RefusalCause::Limited, Some(4_200)));
+    assert_eq!((refused.cause, refused.retry_after_ms), (RefusalCause::RateLimited, Some(4_200)));
     let lack = actions.iter().find_map(|action| match action {
         Action::Refuse { standing, .. } => standing.shortage.map(|shortage| shortage.lack),
         _ => None,
--- a/crates/dispatch/tests/resting.rs
+++ b/crates/dispatch/tests/resting.rs
@@ -47,7 +47,7 @@
     host.now = host.now + 1_000;
     let (id, actions) = host.arrive(request("a", "check", None));
     let refusal = refusal(&actions, id).expect("an answer at once");
-    assert_eq!((refusal.cause, refusal.verdict), (RefusalCause::Resting, Verdict::NotRun));
+    assert_eq!((refusal.cause, refusal.verdict), (RefusalCause::Cooldown, Verdict::NotRun));
     let retry_ms = refusal.retry_after_ms.expect("a time to come back");
     assert!((2_000..=2_375).contains(&retry_ms), "{retry_ms}");
 }
@@ -77,7 +77,7 @@
     ask_rest(&mut host, "i-1", 3_000);
     host.end(first, AttemptEnd::Full);
     let actions = host.pass(40);
-    assert_eq!(refusal(&actions, first).map(|r| r.cause), Some(RefusalCause::Resting));
+    assert_eq!(refusal(&actions, first).map(|r| r.cause), Some(RefusalCause::Cooldown));
     let (id, actions) = host.arrive(request("b", "check", None));
     assert!(refusal(&actions, id).is_some() && sent(&actions, id).is_empty());
 }
--- a/crates/dispatch/tests/roster.rs
+++ b/crates/dispatch/tests/roster.rs
@@ -30,7 +30,7 @@
 }
 
 fn told(born: impl Into<Option<u64>>) -> Result<Announcement, AnnouncementError> {
-    Ok(Announcement { life: Incarnation::new("i-1", born.into()), state: state() })
+    Ok(Announcement { incarnation: Incarnation::new("i-1", born.into()), state: state() })
 }
 
 fn spoiled() -> Result<Announcement, AnnouncementError> {
@@ -122,7 +122,7 @@
 #[test]
 fn start_left_out() {
     let news = roster().announced(Tick(100), &id(), Revision::without_era(11), told(None));
-    let error = AnnouncementError::Unborn;
+    let error = AnnouncementError::StartMissing;
     assert_eq!(news, [News::Unreadable { life: Some(life(1_000)), error }]);
 }
 
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -102,7 +102,7 @@
         path: format!("/{route}/x").into(),
         wait_ms: Some(10_000),
         credential: Credential::Missing,
-        has_tokens: true,
+        has_token_count: true,
         model: model.map(|name| ModelRef { model: name.into(), adapter: None }),
         prompt_tokens: 100,
         output_tokens: 50,
--- a/crates/fanout/src/mirror.rs
+++ b/crates/fanout/src/mirror.rs
@@ -86,7 +86,7 @@
         let gone = self.gone.iter().filter(|(revision, _)| *revision > have);
         let gone = gone.filter(|(_, key)| !self.items.contains_key(key));
         let gone =
-            gone.map(|(revision, key)| Change::Gone { key: key.clone(), revision: *revision });
+            gone.map(|(revision, key)| Change::Deleted { key: key.clone(), revision: *revision });
         let put = self.items.values().filter(|item| item.revision > have);
         Some(gone.chain(put.cloned().map(Change::Put)).collect())
     }
@@ -114,7 +114,7 @@
         };
         let listed: BTreeSet<&Name> = items.iter().map(|item| &item.key).collect();
         let gone = self.items.keys().filter(|key| !listed.contains(key));
-        let gone = gone.map(|key| Change::Gone { key: key.clone(), revision: at });
+        let gone = gone.map(|key| Change::Deleted { key: key.clone(), revision: at });
         gone.chain(items.iter().filter(is_newer).cloned().map(Change::Put)).collect()
     }
 
@@ -139,7 +139,7 @@
                 Change::Put(item) => {
                     self.items.insert(item.key.clone(), item.clone());
                 }
-                Change::Gone { key, revision } => {
+                Change::Deleted { key, revision } => {
                     if self.items.remove(key).is_some() {
                         self.note_gone(*revision, key.clone());
                     }
--- a/crates/fanout/tests/mirror.rs
+++ b/crates/fanout/tests/mirror.rs
@@ -8,7 +8,7 @@
 }
 
 fn gone(key: &str, revision: u64) -> Change {
-    Change::Gone { key: key.into(), revision: Revision::without_era(revision) }
+    Change::Deleted { key: key.into(), revision: Revision::without_era(revision) }
 }
 
 fn keys(mirror: &Mirror) -> Vec<String> {
--- a/crates/fanout/tests/mirror_model.rs
+++ b/crates/fanout/tests/mirror_model.rs
@@ -55,7 +55,7 @@
     for change in changes(history, era, 0, at) {
         match change {
             Change::Put(item) => drop(keys.insert(item.key.clone(), item)),
-            Change::Gone { key, .. } => drop(keys.remove(&key)),
+            Change::Deleted { key, .. } => drop(keys.remove(&key)),
         }
     }
     keys
@@ -67,7 +67,7 @@
         let (key, revision) = (format!("k{key}").into(), revision(era, number + 1));
         match stays {
             true => Change::Put(Item { key, value: b"v".to_vec().into(), revision }),
-            false => Change::Gone { key, revision },
+            false => Change::Deleted { key, revision },
         }
     };
     let is_own = |number: &usize| history[*number].0 < KEYS;
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -162,7 +162,7 @@
     let outcome = match call::call(&hub.control, address, request, ORDER).await {
         Ok(reply) => {
             hub.note_reply(&order.runner, &reply.head);
-            hub.ports.engine.judge_order(reply.status())
+            hub.ports.engine.classify_order(reply.status())
         }
         Err(call::Error::NotSent(_)) => OrderOutcome::NotSent,
         Err(call::Error::Unanswered(_) | call::Error::Hung) => OrderOutcome::Unknown,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -320,8 +320,8 @@
                     self.hub.peer_seen(host, entry);
                 }
             }
-            Change::Gone { key, .. } if &*key == HOLDER_KEY => self.hub.holder_seen(None),
-            Change::Gone { key, .. } => {
+            Change::Deleted { key, .. } if &*key == HOLDER_KEY => self.hub.holder_seen(None),
+            Change::Deleted { key, .. } => {
                 if let Some(host) = key.strip_prefix(HOSTS) {
                     self.hub.peer_gone(&host.into());
                 }
--- a/crates/gateway/src/quotas.rs
+++ b/crates/gateway/src/quotas.rs
@@ -84,7 +84,7 @@
         organisation: Name,
         head: &CallerRequest,
     ) -> Result<Option<Charge>, Refusal> {
-        let tokens = head.has_tokens.then_some(head.prompt_tokens + head.output_tokens);
+        let tokens = head.has_token_count.then_some(head.prompt_tokens + head.output_tokens);
         let Some(cost) = self.quotas.borrow().asker.cost(&organisation, tokens) else {
             return Ok(None);
         };
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -163,7 +163,7 @@
                 self.hub.configuration_seen(&item.value, "store");
             }
             // A configuration that is gone is no newer one.
-            Change::Put(_) | Change::Gone { .. } => {}
+            Change::Put(_) | Change::Deleted { .. } => {}
         }
     }
 
--- a/crates/gateway/src/sending.rs
+++ b/crates/gateway/src/sending.rs
@@ -73,7 +73,7 @@
         Err(end) => return Asked::Ended(end),
     };
     let (head, body) = response.into_parts();
-    let kind = hub.ports.engine.judge(&head, name, &attempt.upstream);
+    let kind = hub.ports.engine.classify_answer(&head, name, &attempt.upstream);
     hub.note_answer(&attempt.upstream, sent, kind, &head);
     let response = Response::from_parts(head, body);
     match kind {
@@ -171,7 +171,7 @@
     }
     *request.headers_mut() = end_to_end(&outgoing.parts.headers);
     request.headers_mut().remove(CONTENT_LENGTH);
-    for name in hub.ports.engine.own_headers() {
+    for name in hub.ports.engine.reserved_headers() {
         request.headers_mut().remove(name);
     }
     let head = AttemptHead {
--- a/crates/gateway/src/sources.rs
+++ b/crates/gateway/src/sources.rs
@@ -320,7 +320,7 @@
 
 /// Reads the list of hosts, however old, to find one to hear from.
 async fn survey(hub: Rc<Hub>) {
-    let Ok(snapshot) = hub.store.range(peers::HOSTS, Freshness::MayBeOld).await else {
+    let Ok(snapshot) = hub.store.range(peers::HOSTS, Freshness::MayBeStale).await else {
         return;
     };
     if *hub.source.borrow() == Source::Nobody {
--- a/crates/gateway/src/statements.rs
+++ b/crates/gateway/src/statements.rs
@@ -17,10 +17,10 @@
         kind: AnswerKind,
         head: &Parts,
     ) {
-        if !kind.is_own() {
+        if !kind.is_authentic() {
             return;
         }
-        let statement = self.ports.engine.statement(head);
+        let statement = self.ports.engine.read_statement(head);
         // One that turns a request away need not say all that it would: it may name a limit, and ends none.
         let ends = matches!(kind, AnswerKind::Success | AnswerKind::Failure);
         let rate = self.readable(upstream, "limit", statement.limit);
@@ -34,7 +34,7 @@
     pub(crate) fn note_reply(self: &Rc<Self>, upstream: &Incarnation, head: &Parts) {
         // Another life answers so.
         if head.status != StatusCode::MISDIRECTED_REQUEST {
-            self.note_statement(upstream, &self.ports.engine.statement(head));
+            self.note_statement(upstream, &self.ports.engine.read_statement(head));
         }
     }
 
@@ -42,7 +42,7 @@
         if self.readable(upstream, "leaving", statement.leaving).is_some() {
             self.leaving(None, vec![upstream.clone()]);
         }
-        let rest_ms = self.readable(upstream, "rest", statement.rest_ms);
+        let rest_ms = self.readable(upstream, "rest", statement.cooldown_ms);
         if let Some(for_ms) = rest_ms.filter(|for_ms| *for_ms > 0) {
             log::info!("event=rest_asked upstream={upstream} for_ms={for_ms}");
             telemetry::rest_asked();
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -275,14 +275,14 @@
                 return Err(Error::Refused(reply.status()));
             }
             let page = self.protocol.read_range(reply.era, reply.body())?;
-            if last.is_some() && page.at.era != snapshot.at.era {
+            if last.is_some() && page.revision.era != snapshot.at.era {
                 // It came back from a copy between two pages.
                 snapshot.items.clear();
                 continue;
             }
             // Pages are no snapshot: the watch goes on from the first, and sees changes twice.
             if last.is_none() {
-                snapshot.at = page.at;
+                snapshot.at = page.revision;
             }
             let is_last = !page.more || page.items.is_empty();
             snapshot.items.extend(page.items);
@@ -314,7 +314,7 @@
             }
             let name = match freshness {
                 Freshness::Newest => "range",
-                Freshness::MayBeOld => "survey",
+                Freshness::MayBeStale => "survey",
             };
             return self.take(name, sent, reply);
         }
@@ -359,7 +359,7 @@
         if reply.era != lease.era {
             return Err(Error::OtherEra { lease: lease.era, era: reply.era });
         }
-        Ok(self.protocol.judge_lease(reply.status()))
+        Ok(self.protocol.classify_lease(reply.status()))
     }
 
     /// Ends a lease, with its keys. One of an earlier era runs out by itself: its number may be that of another host's.
@@ -367,7 +367,7 @@
         if lease.era < self.eras.newest() {
             return Ok(StoreAnswer::NoLease);
         }
-        let reply = self.call("end", self.protocol.end(lease), CALL).await?;
-        Ok(self.protocol.judge_lease(reply.status()))
+        let reply = self.call("end", self.protocol.revoke(lease), CALL).await?;
+        Ok(self.protocol.classify_lease(reply.status()))
     }
 }
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -151,7 +151,7 @@
     fn changed(&self, change: Change) {
         match change {
             Change::Put(item) => self.seen(&item),
-            Change::Gone { key, .. } => {
+            Change::Deleted { key, .. } => {
                 if let Some(id) = self.id(&key) {
                     self.gone(&id);
                 }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -191,7 +191,7 @@
         let answer = store.watch(&scope.prefix, after, reader.watch_ms(scope)).await;
         scope.set_watching(false);
         match answer {
-            Ok(WatchAnswer::Changes { changes, at }) => {
+            Ok(WatchAnswer::Changes { changes, revision: at }) => {
                 let (is_change, is_bulk) = (!changes.is_empty(), bytes(&changes) > BULK_BYTES);
                 let at = after.max(at);
                 if reader.changed(scope, after, at, changes, asked).is_err() {
@@ -208,7 +208,7 @@
                     sleep(GATHER).await;
                 }
             }
-            Ok(WatchAnswer::HistoryGone) => {
+            Ok(WatchAnswer::Compacted) => {
                 log::info!("event=watch_history_gone after={after}");
                 return End::Gap;
             }
@@ -221,7 +221,7 @@
 fn bytes(changes: &[Change]) -> usize {
     let values = changes.iter().map(|change| match change {
         Change::Put(item) => item.value.len(),
-        Change::Gone { .. } => 0,
+        Change::Deleted { .. } => 0,
     });
     values.sum()
 }
--- a/crates/gateway/src/wire.rs
+++ b/crates/gateway/src/wire.rs
@@ -82,7 +82,7 @@
         match self {
             Self::Put(item) => Change::Put(item.read(era)),
             Self::Gone { key, revision } => {
-                Change::Gone { key, revision: Revision::new(era, revision) }
+                Change::Deleted { key, revision: Revision::new(era, revision) }
             }
         }
     }
@@ -92,7 +92,7 @@
     fn from(change: Change) -> Self {
         match change {
             Change::Put(item) => Self::Put(item.into()),
-            Change::Gone { key, revision } => Self::Gone { key, revision: revision.number },
+            Change::Deleted { key, revision } => Self::Gone { key, revision: revision.number },
         }
     }
 }
--- a/crates/member/src/members.rs
+++ b/crates/member/src/members.rs
@@ -186,6 +186,6 @@
 
     /// Whether the process is proved to have ended by a later one on the same host.
     pub fn has_ended(&self, host: &HostId) -> bool {
-        self.current(&host.name).is_some_and(|now| host.ended_by(&now))
+        self.current(&host.name).is_some_and(|now| host.is_superseded_by(&now))
     }
 }
--- a/crates/placement/src/machine.rs
+++ b/crates/placement/src/machine.rs
@@ -367,7 +367,7 @@
                 self.accepted(now, order, takes_ms, actions);
             }
             // Whether such an answer counts as an order taken is for the next report to tell.
-            OrderOutcome::Already => {
+            OrderOutcome::AlreadyDone => {
                 ledger.order_taken(now, order, 0);
                 ledger.doubt();
                 let is_present = order.operation == Operation::Load;
--- a/crates/ports/src/caller.rs
+++ b/crates/ports/src/caller.rs
@@ -45,7 +45,7 @@
     /// What it shows of who sends it.
     pub credential: Credential,
     /// Whether it states its tokens.
-    pub has_tokens: bool,
+    pub has_token_count: bool,
     /// The model that it asks for.
     pub model: Option<ModelRef>,
     /// Tokens of its prompt.
@@ -84,9 +84,9 @@
     /// It would not be answered in time.
     Overloaded,
     /// Those that could take it are in need, and take no more for now.
-    Limited,
+    RateLimited,
     /// Those that could take it have asked for rest.
-    Resting,
+    Cooldown,
     /// Its time is over.
     TimedOut,
     /// The upstream failed.
@@ -110,8 +110,8 @@
             Self::TooLong => "too_long",
             Self::NoUpstream => "no_upstream",
             Self::Overloaded => "overloaded",
-            Self::Limited => "limited",
-            Self::Resting => "resting",
+            Self::RateLimited => "limited",
+            Self::Cooldown => "resting",
             Self::TimedOut => "timed_out",
             Self::UpstreamFailed => "upstream_failed",
             Self::Stopping => "stopping",
--- a/crates/ports/src/engine.rs
+++ b/crates/ports/src/engine.rs
@@ -55,7 +55,7 @@
     /// It is being carried out.
     Accepted,
     /// The runner holds it already.
-    Already,
+    AlreadyDone,
     /// Another order is under way, or the count differs.
     Conflict,
     /// A higher fencing token was seen.
@@ -75,7 +75,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
-            Self::Already => "already",
+            Self::AlreadyDone => "already",
             Self::Conflict => "conflict",
             Self::Fenced => "fenced",
             Self::WrongRunner => "wrong_runner",
@@ -141,7 +141,7 @@
 
 impl AnswerKind {
     /// Whether the upstream that was asked speaks, and can be believed.
-    pub fn is_own(self) -> bool {
+    pub fn is_authentic(self) -> bool {
         !matches!(self, Self::Replaced | Self::Foreign | Self::Unsigned)
     }
 }
@@ -165,22 +165,27 @@
     /// That it leaves: it wants nothing new.
     pub leaving: Stated<()>,
     /// Where it turns the request away: how long it wants nothing from the host that sent it, in milliseconds.
-    pub rest_ms: Stated<u64>,
+    pub cooldown_ms: Stated<u64>,
 }
 
 /// What engines and services speak.
 pub trait EngineProtocol {
     /// The headers by which the product itself speaks to engines: a caller's are not passed on.
-    fn own_headers(&self) -> &[http::HeaderName];
+    fn reserved_headers(&self) -> &[http::HeaderName];
 
     /// Sets what an attempt states beside the caller's own headers.
     fn prepare(&self, headers: &mut http::HeaderMap, attempt: &AttemptHead);
 
     /// Judges the head of the answer to the request `id`, sent to the incarnation `instance`.
-    fn judge(&self, head: &http::response::Parts, id: &Name, instance: &Incarnation) -> AnswerKind;
+    fn classify_answer(
+        &self,
+        head: &http::response::Parts,
+        id: &Name,
+        instance: &Incarnation,
+    ) -> AnswerKind;
 
     /// Reads what the upstream says of itself.
-    fn statement(&self, head: &http::response::Parts) -> Statement;
+    fn read_statement(&self, head: &http::response::Parts) -> Statement;
 
     /// The call that asks the incarnation `runner` for its report.
     fn report_request(&self, runner: &Incarnation) -> http::Request<Bytes>;
@@ -195,5 +200,5 @@
     fn order_request(&self, order: &Order) -> http::Request<Bytes>;
 
     /// Judges the answer to an order.
-    fn judge_order(&self, status: http::StatusCode) -> OrderOutcome;
+    fn classify_order(&self, status: http::StatusCode) -> OrderOutcome;
 }
--- a/crates/ports/src/organisation.rs
+++ b/crates/ports/src/organisation.rs
@@ -76,10 +76,10 @@
 pub enum QuotaUnit {
     /// Requests.
     Requests,
-    /// Tokens in and out; a request that states none counts as `plain`.
+    /// Tokens in and out; a request that states none counts as `default_tokens`.
     Tokens {
         /// Tokens of a request that states none.
-        plain: u32,
+        default_tokens: u32,
     },
 }
 
@@ -88,7 +88,7 @@
     pub fn cost(&self, tokens: Option<u32>) -> u32 {
         match self.unit {
             QuotaUnit::Requests => 1,
-            QuotaUnit::Tokens { plain } => tokens.unwrap_or(plain),
+            QuotaUnit::Tokens { default_tokens } => tokens.unwrap_or(default_tokens),
         }
     }
 }
--- a/crates/ports/src/store.rs
+++ b/crates/ports/src/store.rs
@@ -39,7 +39,7 @@
     /// All that was written before it.
     Newest,
     /// It may be seconds old, and costs less.
-    MayBeOld,
+    MayBeStale,
 }
 
 /// Some keys of a prefix.
@@ -50,7 +50,7 @@
     /// Whether more follow after the last.
     pub more: bool,
     /// The store's revision when it answered.
-    pub at: Revision,
+    pub revision: Revision,
 }
 
 /// One change of a watched prefix.
@@ -59,7 +59,7 @@
     /// A key was written.
     Put(Item),
     /// A key went.
-    Gone {
+    Deleted {
         /// The key.
         key: Name,
         /// When it went.
@@ -72,7 +72,7 @@
     pub fn key(&self) -> &Name {
         match self {
             Self::Put(item) => &item.key,
-            Self::Gone { key, .. } => key,
+            Self::Deleted { key, .. } => key,
         }
     }
 
@@ -80,7 +80,7 @@
     pub fn revision(&self) -> Revision {
         match self {
             Self::Put(item) => item.revision,
-            Self::Gone { revision, .. } => *revision,
+            Self::Deleted { revision, .. } => *revision,
         }
     }
 }
@@ -93,10 +93,10 @@
         /// What changed.
         changes: Vec<Change>,
         /// Where the next watch goes on.
-        at: Revision,
+        revision: Revision,
     },
     /// The changes since then are forgotten: read anew.
-    HistoryGone,
+    Compacted,
 }
 
 /// A key that must not have changed.
@@ -214,8 +214,8 @@
     fn renew(&self, lease: LeaseId) -> http::Request<Bytes>;
 
     /// Judges the answer to a renewal or an end of a lease.
-    fn judge_lease(&self, status: http::StatusCode) -> StoreAnswer<()>;
+    fn classify_lease(&self, status: http::StatusCode) -> StoreAnswer<()>;
 
     /// The call that ends a lease, with its keys.
-    fn end(&self, lease: LeaseId) -> http::Request<Bytes>;
+    fn revoke(&self, lease: LeaseId) -> http::Request<Bytes>;
 }
--- a/crates/ports/src/upstream.rs
+++ b/crates/ports/src/upstream.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Announcement {
     /// The life that speaks.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// What it says.
     pub state: UpstreamState,
 }
@@ -58,7 +58,7 @@
     State(String),
     /// The start is not told, though it was told before under the same id.
     #[error("start not told")]
-    Unborn,
+    StartMissing,
 }
 
 impl AnnouncementError {
@@ -68,7 +68,7 @@
             Self::Malformed(_) => "malformed",
             Self::Field(_) => "field",
             Self::State(_) => "state",
-            Self::Unborn => "unborn",
+            Self::StartMissing => "unborn",
         }
     }
 }
--- a/crates/quota/tests/alone.rs
+++ b/crates/quota/tests/alone.rs
@@ -14,7 +14,7 @@
 const COST: u32 = 1_500;
 
 fn quotas() -> HashMap<Name, Quota> {
-    let unit = QuotaUnit::Tokens { plain: 200 };
+    let unit = QuotaUnit::Tokens { default_tokens: 200 };
     HashMap::from([("o".into(), Quota { unit, rate: RATE, burst: RATE })])
 }
 
@@ -84,7 +84,7 @@
 fn calm_and_small() {
     let mut hosts = hosts(HOSTS);
     for asker in &mut hosts {
-        let unit = QuotaUnit::Tokens { plain: 200 };
+        let unit = QuotaUnit::Tokens { default_tokens: 200 };
         let quota = Quota { unit, rate: 36_000.0, burst: 36_000.0 };
         asker.configure(START, &HashMap::from([("o".into(), quota)]));
         asker.answered(START, &"o".into(), COST, Answer::Granted { is_calm: true });
--- a/crates/quota/tests/grants.rs
+++ b/crates/quota/tests/grants.rs
@@ -8,7 +8,7 @@
 
 const START: Tick = Tick(1_000_000);
 const RATE: f64 = 10_000.0;
-const UNIT: QuotaUnit = QuotaUnit::Tokens { plain: 200 };
+const UNIT: QuotaUnit = QuotaUnit::Tokens { default_tokens: 200 };
 
 fn quota(rate: f64) -> HashMap<Name, Quota> {
     HashMap::from([("o".into(), Quota { unit: UNIT, rate, burst: rate })])
--- a/crates/types/src/host.rs
+++ b/crates/types/src/host.rs
@@ -19,7 +19,7 @@
     }
 
     /// Whether `other` is a later run on the same host, which proves that this one has ended.
-    pub fn ended_by(&self, other: &HostId) -> bool {
+    pub fn is_superseded_by(&self, other: &HostId) -> bool {
         self.name == other.name && self.incarnation < other.incarnation
     }
 }
--- a/crates/types/src/selector.rs
+++ b/crates/types/src/selector.rs
@@ -28,10 +28,10 @@
 pub enum Error {
     /// A requirement has no key, or a key or value with a character outside `A-Za-z0-9-_./@`.
     #[error("`{0}` is no label key or value: use letters, digits and -_./@")]
-    Word(String),
+    InvalidName(String),
     /// `in` or `notin` without a list in parentheses.
     #[error("`{0}`: expected a list of values in parentheses")]
-    List(String),
+    MissingList(String),
 }
 
 impl Selector {
@@ -75,7 +75,7 @@
     }
 
     fn parse_list(text: &str, key: &str, rest: &str) -> Result<Self, Error> {
-        let bad = || Error::List(text.to_owned());
+        let bad = || Error::MissingList(text.to_owned());
         let (op, list) = rest.split_once('(').ok_or_else(bad)?;
         let list = list.strip_suffix(')').ok_or_else(bad)?;
         let values = list.split(',').map(word).collect::<Result<_, _>>()?;
@@ -91,7 +91,7 @@
     let text = text.trim();
     let good = |c: char| c.is_ascii_alphanumeric() || "-_./@".contains(c);
     if text.is_empty() || !text.chars().all(good) {
-        return Err(Error::Word(text.to_owned()));
+        return Err(Error::InvalidName(text.to_owned()));
     }
     Ok(text.into())
 }
