--- a/tests/deadly.rs
+++ b/tests/deadly.rs
@@ -20,7 +20,7 @@
     thread,
     time::{Duration, Instant},
 };
-use vanetally_platform_standin::{Client, Downtime, Vacancy};
+use vanetally_platform_standin::{Client, Downtime, DowntimeMode};
 
 const DEADLY: &[u8] = b"deadly draft";
 /// Each so many requests one is deadly.
@@ -41,12 +41,12 @@
 }
 
 impl Site {
-    fn start(vacancy: Vacancy) -> Self {
+    fn start(mode: DowntimeMode) -> Self {
         let mut deployment = Deployment::start();
         (1..ENGINES).for_each(|_| deployment.add_engine());
-        let downtime = Downtime { length: AWAY, vacancy };
+        let downtime = Downtime { length: AWAY, mode };
         for engine in &deployment.engines {
-            engine.set_deadly(DEADLY, downtime, &deployment.store);
+            engine.set_crash_body(DEADLY, downtime, &deployment.store);
         }
         let hosts = deployment.hosts(HOSTS);
         Self { deployment, hosts }
@@ -66,7 +66,7 @@
     /// When runners ended, in order.
     fn ends(&self) -> Vec<Instant> {
         let mut ends: Vec<Instant> =
-            self.deployment.engines.iter().flat_map(|engine| engine.ends()).collect();
+            self.deployment.engines.iter().flat_map(|engine| engine.crashes()).collect();
         ends.sort();
         ends
     }
@@ -96,7 +96,7 @@
 /// The share of other requests that were served.
 fn served(seen: &[Seen]) -> f64 {
     let others: Vec<&Seen> = seen.iter().filter(|one| !is_deadly(one.number)).collect();
-    let served = others.iter().filter(|one| one.answer.status == 200 && one.answer.is_whole);
+    let served = others.iter().filter(|one| one.answer.status == 200 && one.answer.is_complete);
     served.count() as f64 / others.len() as f64
 }
 
@@ -107,7 +107,7 @@
 /// `event=content_held content=e2c651d4b1fb57d9 ended=2 for_ms=60000 answered_here=false from=store`
 #[test]
 fn hosts_lost() {
-    let mut site = Site::start(Vacancy::Refused);
+    let mut site = Site::start(DowntimeMode::Refused);
     let fronts = fronts(&site.hosts);
     under_load(&fronts, offer, 8, Duration::from_millis(50), || {
         for _ in 0..3 {
@@ -123,22 +123,22 @@
 #[test]
 fn quarantine_lost_by_store() {
     const AGAIN: Duration = Duration::from_secs(4);
-    let site = Site::start(Vacancy::Refused);
+    let site = Site::start(DowntimeMode::Refused);
     let store = &site.deployment.store;
-    let copy = store.copy();
+    let copy = store.snapshot();
     let fronts = fronts(&site.hosts);
     let kept = || !store.keys("vanetally/contents/").is_empty();
     under_load(&fronts, offer, 8, Duration::from_millis(50), || wait_for("it is kept", kept));
     thread::sleep(Duration::from_secs(1));
-    store.return_from(&copy, LOST);
+    store.restore(&copy, LOST);
     assert!(!kept());
     let back = Instant::now();
     wait_for("it is kept again", kept);
     assert!(back.elapsed() < AGAIN, "after {:?}", back.elapsed());
 }
 
-fn vacant_address(vacancy: Vacancy) {
-    let site = Site::start(vacancy);
+fn vacant_address(mode: DowntimeMode) {
+    let site = Site::start(mode);
     let fronts = fronts(&site.hosts);
     let seen = under_load(&fronts, offer, 8, Duration::from_millis(50), || {
         thread::sleep(Duration::from_secs(15));
@@ -151,11 +151,11 @@
 /// A front goes on taking connections for a runner that has gone, and closes them.
 #[test]
 fn fronted_address() {
-    vacant_address(Vacancy::Closed);
+    vacant_address(DowntimeMode::Closed);
 }
 
 /// The address of a runner that has gone takes connections and says nothing.
 #[test]
 fn dark_address() {
-    vacant_address(Vacancy::Dark);
+    vacant_address(DowntimeMode::Unresponsive);
 }
--- a/tests/gateway/returns.rs
+++ b/tests/gateway/returns.rs
@@ -2,7 +2,7 @@
 
 use super::{Deployment, Host};
 use std::{thread::sleep, time::Duration};
-use vanetally_platform_standin::{Copy, Return, StoreMode};
+use vanetally_platform_standin::{Restore, Snapshot, StoreMode};
 
 /// How long the store is away.
 pub const AWAY: Duration = Duration::from_millis(400);
@@ -14,11 +14,13 @@
 const WRITES: usize = 40;
 
 /// Its leases hold on, and what was lost is written again at once.
-pub const KEPT: Return = Return { keeps_leases: true, again: Duration::ZERO, answers_late: false };
+pub const KEPT: Restore =
+    Restore { keeps_leases: true, rewrite_delay: Duration::ZERO, delays_watches: false };
 /// Its leases are gone.
-pub const LOST: Return = Return { keeps_leases: false, ..KEPT };
+pub const LOST: Restore = Restore { keeps_leases: false, ..KEPT };
 /// What was lost is written again later, and watches are answered as of before.
-pub const LATE: Return = Return { again: Duration::from_millis(700), answers_late: true, ..LOST };
+pub const LATE: Restore =
+    Restore { rewrite_delay: Duration::from_millis(700), delays_watches: true, ..LOST };
 
 /// The name of a host.
 pub fn name(number: usize) -> String {
@@ -34,10 +36,10 @@
 }
 
 /// The store goes away and comes back from `copy`.
-pub fn come_back(deployment: &Deployment, copy: &Copy, how: Return) {
+pub fn come_back(deployment: &Deployment, copy: &Snapshot, how: Restore) {
     deployment.store.set_mode(StoreMode::Busy);
     sleep(AWAY);
-    deployment.store.return_from(copy, how);
+    deployment.store.restore(copy, how);
     deployment.store.set_mode(StoreMode::Serving);
 }
 
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -77,8 +77,8 @@
     }
     assert_eq!(engine.requests().len(), before, "the fourth host heard of it from others");
     deployment.store.set_mode(StoreMode::Serving);
-    engine.start_again();
-    engine.hold_models();
+    engine.restart();
+    engine.load_initial_models();
     let (key, value) = engine.entry();
     deployment.store.put(&key, &value);
     wait_for("its next life is used", || {
--- a/tests/owned_headers.rs
+++ b/tests/owned_headers.rs
@@ -49,7 +49,7 @@
 #[test]
 fn resumed() {
     let deployment = Deployment::start();
-    deployment.engines[0].set_behaviour(Behaviour::BreakFirst { after: 3, events: 5 });
+    deployment.engines[0].set_behaviour(Behaviour::BreakOnce { after: 3, events: 5 });
     let host = deployment.host("front-1");
     let client = Client::new("POST", "/draft/1", "b1").with("X-Model", "m1");
     assert_eq!(forging(client).send(host.front).status, 200);
--- a/tests/platform_path.rs
+++ b/tests/platform_path.rs
@@ -24,7 +24,7 @@
     deployment.engines[0].set_behaviour(STREAM);
     let host = deployment.host("front-1");
     let answer = offer("a1").with("X-Token-Count", "100,20").send(host.front);
-    assert_eq!((answer.status, answer.is_whole), (200, true));
+    assert_eq!((answer.status, answer.is_complete), (200, true));
     assert_eq!(answer.header("x-server-seal"), Some("seal-1"));
     assert_eq!(answer.header("x-attempt-id"), Some("a1"));
     assert_eq!(answer.body.matches("data: piece").count(), 5);
@@ -45,7 +45,7 @@
     let deployment = Deployment::start();
     let host = deployment.host("front-1");
     let answer = check("b1").send(host.front);
-    assert_eq!((answer.status, answer.is_whole, answer.body.as_str()), (200, true, "whole"));
+    assert_eq!((answer.status, answer.is_complete, answer.body.as_str()), (200, true, "whole"));
     assert_eq!(deployment.desks[0].requests()[0].path, "/check/1?unit=7");
 }
 
@@ -70,7 +70,7 @@
 #[test]
 fn caller_leaves_early() {
     let deployment = Deployment::start();
-    deployment.engines[0].set_behaviour(Behaviour::Mute);
+    deployment.engines[0].set_behaviour(Behaviour::Unresponsive);
     let host = deployment.host("front-1");
     offer("d2").send_and_leave(host.front, Duration::from_millis(300));
     wait_for("the run is cancelled", || deployment.engines[0].cancelled() == 1);
@@ -78,7 +78,7 @@
 
 /// Answers that must not reach the caller as a success.
 #[rstest]
-#[case(Behaviour::Crossed)]
+#[case(Behaviour::WrongRequestId)]
 #[case(Behaviour::Unsealed)]
 fn bad_answer(#[case] behaviour: Behaviour) {
     let deployment = Deployment::start();
@@ -99,18 +99,18 @@
     deployment.engines[0].set_behaviour(behaviour);
     let host = deployment.host("front-1");
     let answer = offer("f1").send(host.front);
-    assert!(answer.status != 200 || !answer.is_whole, "{answer:?}");
+    assert!(answer.status != 200 || !answer.is_complete, "{answer:?}");
     assert_eq!(deployment.engines[0].requests().len(), 1, "run once at most");
 }
 
 #[test]
 fn stream_resumed() {
     let deployment = Deployment::start();
-    deployment.engines[0].set_behaviour(Behaviour::BreakFirst { after: 3, events: 5 });
+    deployment.engines[0].set_behaviour(Behaviour::BreakOnce { after: 3, events: 5 });
     let host = deployment.host("front-1");
     let client = Client::new("POST", "/draft/1", "g1").with("X-Model", "m1");
     let answer = client.send(host.front);
-    assert_eq!((answer.status, answer.is_whole), (200, true), "{answer:?}");
+    assert_eq!((answer.status, answer.is_complete), (200, true), "{answer:?}");
     let ids: Vec<&str> = answer.body.lines().filter_map(|line| line.strip_prefix("id: ")).collect();
     assert_eq!(ids, ["1", "2", "3", "4", "5"]);
     let runs = deployment.engines[0].requests();
@@ -121,7 +121,7 @@
 #[test]
 fn surplus_answer() {
     let deployment = Deployment::start();
-    deployment.desks[0].set_behaviour(Behaviour::Surplus);
+    deployment.desks[0].set_behaviour(Behaviour::ExtraAnswer);
     let host = deployment.host("front-1");
     for number in 0..5 {
         let id = format!("h{number}");
@@ -200,7 +200,7 @@
 fn history_forgotten() {
     let deployment = Deployment::start();
     let host = deployment.host("front-1");
-    deployment.store.set_mode(StoreMode::DeafWatches);
+    deployment.store.set_mode(StoreMode::StalledWatches);
     deployment.configure(2, &["later"]);
     deployment.store.forget_history();
     deployment.store.set_mode(StoreMode::Serving);
@@ -233,7 +233,7 @@
     host.signal("TERM");
     wait_for("the host is not ready", || host.readiness() != 200);
     let answer = caller.join().unwrap();
-    assert_eq!((answer.status, answer.is_whole), (200, true));
+    assert_eq!((answer.status, answer.is_complete), (200, true));
     assert_eq!(host.wait(), Some(0));
     assert_eq!(deployment.store.get("vanetally/hosts/front-1"), None, "it took its key along");
 }
@@ -281,7 +281,7 @@
     let deployment = Deployment::start();
     let host = deployment.host("front-1");
     wait_for("somebody holds the orders", || deployment.store.get("vanetally/orders").is_some());
-    deployment.engines[0].see_token(1_000_000);
+    deployment.engines[0].set_highest_token(1_000_000);
     let client = Client::new("POST", "/offer/1", "t1").with("X-Model", "m1/a1");
     client.send_and_leave(host.front, Duration::from_millis(4_500));
     wait_for("the order was refused", || !deployment.engines[0].orders().is_empty());
--- a/tests/reborn.rs
+++ b/tests/reborn.rs
@@ -50,7 +50,7 @@
         "an order was taken"
     );
     let before = loads(engine);
-    engine.start_again();
+    engine.restart();
     announce(&deployment, engine);
     let announced = Instant::now();
     // What is asked for is missed, and then ordered.
@@ -79,7 +79,7 @@
     let engine = &deployment.engines[0];
     assert_eq!(offer("a1").send(host.front).status, 200);
     assert_eq!(loads(engine), 0, "neither life has taken an order");
-    engine.start_again();
+    engine.restart();
     announce(&deployment, engine);
     wait_for_served("a2", host.front);
     assert_eq!(loads(engine), 1, "the weights were ordered anew");
@@ -91,12 +91,12 @@
     let deployment = Deployment::start();
     let host = deployment.host("front-1");
     let engine = deployment.engines[0].clone();
-    engine.set_behaviour(Behaviour::Mute);
+    engine.set_behaviour(Behaviour::Unresponsive);
     let front = host.front;
     let asked = Instant::now();
     let asking = spawn(move || (offer("a1").send(front).status, asked.elapsed()));
     wait_for("it runs", || engine.runs().contains_key("a1"));
-    engine.start_again();
+    engine.restart();
     announce(&deployment, &engine);
     let (status, took) = asking.join().expect("no panic");
     assert!(took < Duration::from_secs(2), "answered after {took:?}");
--- a/tests/resting.rs
+++ b/tests/resting.rs
@@ -66,7 +66,7 @@
     let mut asked = Instant::now();
     let seen = under_load(&fronts(&hosts), offer, 8, Duration::from_millis(20), || {
         thread::sleep(Duration::from_secs(1));
-        engine.set_rest(Some("3"));
+        engine.set_cooldown(Some("3"));
         asked = Instant::now();
         thread::sleep(Duration::from_secs(5));
     });
@@ -91,10 +91,10 @@
     let (mut asked, mut over) = (Instant::now(), Instant::now());
     let seen = under_load(&fronts(&hosts), check, 6, Duration::from_millis(20), || {
         thread::sleep(Duration::from_secs(1));
-        desk.set_rest(Some("3"));
+        desk.set_cooldown(Some("3"));
         asked = Instant::now();
         thread::sleep(Duration::from_millis(4_500));
-        desk.set_rest(None);
+        desk.set_cooldown(None);
         over = asked + 2 * REST;
         thread::sleep(over - Instant::now() + 2 * AGAIN);
     });
@@ -122,9 +122,9 @@
     let host = deployment.host("front-0");
     let desk = &deployment.desks[0];
     for spoiled in ["nan", "-3", "", "soon", "1e3", "Wed, 21 Oct 2026 07:28:00 GMT"] {
-        desk.set_rest(Some(spoiled));
+        desk.set_cooldown(Some(spoiled));
         assert_ne!(check(0).send(host.front).status, 200, "{spoiled:?}");
-        desk.set_rest(None);
+        desk.set_cooldown(None);
         let freed = Instant::now();
         wait_for("it is used again", || check(1).send(host.front).status == 200);
         assert!(freed.elapsed() < AGAIN, "{spoiled:?}: {:?}", freed.elapsed());
--- a/tests/returned_fleet.rs
+++ b/tests/returned_fleet.rs
@@ -19,7 +19,7 @@
 fn fleet_keeps_its_reader() {
     const HOSTS: usize = 14;
     let deployment = Deployment::start();
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     let hosts = deployment.hosts(HOSTS);
     let readers = || {
         let last = |(_, log): (String, String)| {
@@ -77,7 +77,7 @@
     let size = std::env::var("RETURN_HOSTS").ok().and_then(|size| size.parse().ok());
     let size: usize = size.unwrap_or(SIZE);
     let deployment = Deployment::start();
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     let hosts = deployment.hosts(size);
     let store = &deployment.store;
     let missing = || {
@@ -88,11 +88,11 @@
     wait_for("one holds the orders", || store.get("vanetally/orders").is_some());
     sleep(HEARD);
     come_back(&deployment, &copy, LOST);
-    let (back, calls, writes) = (Instant::now(), store.calls(), store.writing_calls());
+    let (back, calls, writes) = (Instant::now(), store.calls(), store.write_calls());
     deployment.configure(5, &["added"]);
     let changed_ms = now_ms();
     sleep(Duration::from_secs(1).saturating_sub(back.elapsed()));
-    let (calls, writes) = (store.calls() - calls, store.writing_calls() - writes);
+    let (calls, writes) = (store.calls() - calls, store.write_calls() - writes);
     wait_for("all keys are there", || !missing());
     let keys = back.elapsed();
     wait_for("one holds the orders", || store.get("vanetally/orders").is_some());
@@ -121,8 +121,8 @@
         return;
     };
     let deployment = Deployment::start();
-    deployment.store.tell_era();
-    let copy = deployment.store.copy();
+    deployment.store.enable_era();
+    let copy = deployment.store.snapshot();
     let store = deployment.store.address();
     let spawn = |number: usize| match number % 2 {
         0 => deployment.spawn_build(&program, &name(number), &fresh_ip(), store),
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -127,7 +127,7 @@
             client.send_and_leave(address, Duration::from_millis(rng.random_range(0..20)));
             None
         } else if rng.random_bool(KEPT) {
-            Some(client.send_kept(&mut sessions[host], address))
+            Some(client.send_on(&mut sessions[host], address))
         } else {
             Some(client.send(address))
         };
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -10,29 +10,34 @@
 /// How a sound engine answers.
 pub const SOUND_ENGINE: Behaviour = Behaviour::Stream { events: EVENTS, pause_ms: 2 };
 /// How a sound service answers.
-pub const SOUND_DESK: Behaviour = Behaviour::Whole;
+pub const SOUND_DESK: Behaviour = Behaviour::Complete;
 
 const ENGINE_FAULTS: [Behaviour; 7] = [
     Behaviour::Stream { events: EVENTS, pause_ms: 60 },
     Behaviour::BreakAfter(3),
-    Behaviour::BreakFirst { after: 2, events: EVENTS },
-    Behaviour::Crossed,
+    Behaviour::BreakOnce { after: 2, events: EVENTS },
+    Behaviour::WrongRequestId,
     Behaviour::Unsealed,
     Behaviour::Full,
-    Behaviour::Mute,
+    Behaviour::Unresponsive,
 ];
 const DESK_FAULTS: [Behaviour; 6] = [
     Behaviour::Failing,
-    Behaviour::Surplus,
+    Behaviour::ExtraAnswer,
     Behaviour::UnframedReset,
-    Behaviour::Crossed,
+    Behaviour::WrongRequestId,
     Behaviour::Full,
-    Behaviour::Mute,
+    Behaviour::Unresponsive,
 ];
 const STORE_FAULTS: [StoreMode; 4] =
-    [StoreMode::Busy, StoreMode::Silent, StoreMode::DeafWatches, StoreMode::LosingAnswers];
-const LINK_FAULTS: [ProxyMode; 5] =
-    [ProxyMode::Delay(40), ProxyMode::Reset, ProxyMode::Silent, ProxyMode::OneWay, ProxyMode::Lost];
+    [StoreMode::Busy, StoreMode::Silent, StoreMode::StalledWatches, StoreMode::DroppedAnswers];
+const LINK_FAULTS: [ProxyMode; 5] = [
+    ProxyMode::Delay(40),
+    ProxyMode::Reset,
+    ProxyMode::Silent,
+    ProxyMode::OneWay,
+    ProxyMode::Dropping,
+];
 
 /// Share of the strikes after which something happens to an entry.
 const ENTRY_SHARE: f64 = 0.2;
@@ -103,10 +108,10 @@
     }
     let number = site.any_present(rng);
     match rng.random_range(0..3) {
-        0 => site.start_again(number),
+        0 => site.restart(number),
         1 => {
             // It is announced only later, with its next heartbeat.
-            site.runner(number).start_again();
+            site.runner(number).restart();
         }
         _ => site.spoil(number, any(rng, &SPOILED)),
     }
@@ -116,7 +121,7 @@
 pub fn cut_store(rng: &mut StdRng, site: &Site) {
     for slot in &site.slots {
         if rng.random_bool(0.7) {
-            slot.store_link.set_mode(any(rng, &[ProxyMode::Lost, ProxyMode::Silent]));
+            slot.store_link.set_mode(any(rng, &[ProxyMode::Dropping, ProxyMode::Silent]));
         }
     }
     thread::sleep(Duration::from_millis(rng.random_range(1_000..4_000)));
--- a/tests/soak/promises.rs
+++ b/tests/soak/promises.rs
@@ -93,7 +93,7 @@
     broken.extend(never_back(seen));
     broken.extend(one_holder(&runners));
     broken.extend(runners.iter().filter_map(|runner| {
-        let held = runner.most_adapters();
+        let held = runner.max_adapters();
         (held > PLACES).then_some(Broken::TooManyAdapters { held })
     }));
     broken
@@ -138,7 +138,7 @@
 
 fn events_whole(seen: &Seen) -> Option<Broken> {
     let is_stream = matches!(seen.kind, Kind::Offer | Kind::Draft);
-    let is_whole = |answer: &&ClientAnswer| answer.status == 200 && answer.is_whole;
+    let is_whole = |answer: &&ClientAnswer| answer.status == 200 && answer.is_complete;
     let answer = seen.answer.as_ref().filter(is_whole).filter(|_| is_stream)?;
     let ids = answer.body.lines().filter_map(|line| line.strip_prefix("id: "));
     let events: Vec<String> = ids.map(str::to_owned).collect();
--- a/tests/soak/returns.rs
+++ b/tests/soak/returns.rs
@@ -3,7 +3,7 @@
 use crate::site::{Site, other_build};
 use rand::{RngExt, rngs::StdRng};
 use std::{thread, time::Duration};
-use vanetally_platform_standin::{Return, StoreMode};
+use vanetally_platform_standin::{Restore, StoreMode};
 
 /// Share of the strikes after which a copy is made, or the store comes back from the last one.
 const SHARE: f64 = 0.2;
@@ -22,17 +22,17 @@
     }
     let copy = site.copy.clone().filter(|_| !rng.random_bool(COPIES));
     match copy {
-        None => site.copy = Some(site.deployment.store.copy()),
+        None => site.copy = Some(site.deployment.store.snapshot()),
         Some(copy) => {
             let store = &site.deployment.store;
             store.set_mode(if rng.random_bool(0.5) { StoreMode::Busy } else { StoreMode::Silent });
             thread::sleep(Duration::from_millis(rng.random_range(0..AWAY_MS)));
-            let how = Return {
+            let how = Restore {
                 keeps_leases: rng.random_bool(0.5),
-                again: Duration::from_millis(rng.random_range(0..AGAIN_MS)),
-                answers_late: rng.random_bool(0.5),
+                rewrite_delay: Duration::from_millis(rng.random_range(0..AGAIN_MS)),
+                delays_watches: rng.random_bool(0.5),
             };
-            store.return_from(&copy, how);
+            store.restore(&copy, how);
             store.set_mode(StoreMode::Serving);
         }
     }
--- a/tests/soak/site.rs
+++ b/tests/soak/site.rs
@@ -19,7 +19,7 @@
     thread,
     time::{Duration, Instant},
 };
-use vanetally_platform_standin::{Client, Copy, Proxy, Runner, RunnerOptions};
+use vanetally_platform_standin::{Client, Proxy, Runner, RunnerOptions, Snapshot};
 
 /// Faults of one play.
 const FAULTS: usize = 30;
@@ -122,7 +122,7 @@
     /// The runner that has left, if one has.
     left: Option<usize>,
     /// From which the store may come back.
-    pub copy: Option<Copy>,
+    pub copy: Option<Snapshot>,
     /// Runners that said that they leave, and the store's era then.
     drained: HashMap<usize, u64>,
 }
@@ -158,7 +158,7 @@
         let fronts = slots.iter().filter_map(|slot| Some(slot.host.as_ref()?.front)).collect();
         let shared = Arc::new(Shared::new(fronts, has_keys));
         if other_build().is_some() {
-            deployment.store.tell_era();
+            deployment.store.enable_era();
         }
         let (left, copy, drained) = (None, None, HashMap::new());
         let mut site = Self { deployment, slots, runner_links, shared, left, copy, drained };
@@ -178,7 +178,7 @@
             self.drained.insert(number, era);
         } else if self.drained.remove(&number).is_some_and(|drained| drained < era) {
             // What it said holds for its life, whatever the store has forgotten.
-            self.runner(number).start_again();
+            self.runner(number).restart();
         }
         let (key, mut value) = self.runner(number).entry_at(self.runner_links[number].address());
         value["state"] = state.into();
@@ -186,8 +186,8 @@
     }
 
     /// A runner starts again under its id, and says so.
-    pub fn start_again(&mut self, number: usize) {
-        self.runner(number).start_again();
+    pub fn restart(&mut self, number: usize) {
+        self.runner(number).restart();
         self.announce(number, "ready");
     }
 
--- a/tests/soak/words.rs
+++ b/tests/soak/words.rs
@@ -17,7 +17,7 @@
     thread::{self, JoinHandle},
     time::{Duration, Instant},
 };
-use vanetally_platform_standin::{Client, Downtime, Runner, Vacancy};
+use vanetally_platform_standin::{Client, Downtime, DowntimeMode, Runner};
 
 /// A host sends nothing to a runner later than this after it has passed on that it leaves, and what is on its way then.
 const DRAIN: Duration = Duration::from_millis(2_000 + 200);
@@ -61,14 +61,14 @@
         let mut struck = strike(rng, site, SAID);
         leaver.set_leaving(None);
         // What it said holds for this life.
-        leaver.start_again();
-        leaver.hold_models();
+        leaver.restart();
+        leaver.load_initial_models();
         faults::heal(site);
         let desk = site.deployment.desks[0].clone();
         let rest = RESTS[rng.random_range(0..RESTS.len())];
-        desk.set_rest(Some(rest));
+        desk.set_cooldown(Some(rest));
         struck.extend(strike(rng, site, SAID));
-        desk.set_rest(None);
+        desk.set_cooldown(None);
         faults::heal(site);
         let deadly = Deadly::start(rng, site);
         struck.extend(strike(rng, site, DEADLY));
@@ -80,7 +80,7 @@
 
     /// Runners that ended under the deadly content.
     pub fn ends(&self) -> usize {
-        self.runners.iter().map(|runner| runner.ends().len()).sum()
+        self.runners.iter().map(|runner| runner.crashes().len()).sum()
     }
 
     /// The promises that were broken.
@@ -113,7 +113,7 @@
         let is_leaver =
             |runner: &&Runner| runner.runs().keys().any(|id| said.contains(&id.as_str()));
         let leaver = self.runners.iter().find(is_leaver)?;
-        let starts = leaver.starts();
+        let starts = leaver.restarts();
         let is_late = |(request, at): &(vanetally_platform_standin::Message, Instant)| {
             let sender = request.header("x-attempt-id").and_then(|id| senders.get(id));
             let told = sender.and_then(|sender| Some((sender.0, *told.get(sender)?)));
@@ -144,12 +144,12 @@
             let count = own.count();
             (!self.was_struck(sender.0, *asked, end)).then_some(count)
         };
-        let most = runner.turned_away().iter().filter_map(in_rest).max()?;
+        let most = runner.rejected().iter().filter_map(in_rest).max()?;
         (most > MOST_IN_REST).then_some(Broken::RestNotKept { requests: most })
     }
 
     fn ended(&self) -> Option<Broken> {
-        let mut ends: Vec<Instant> = self.runners.iter().flat_map(Runner::ends).collect();
+        let mut ends: Vec<Instant> = self.runners.iter().flat_map(Runner::crashes).collect();
         ends.sort();
         let known = *ends.get(2)? + CONTACT;
         let arrived = |id: &str| {
@@ -194,12 +194,12 @@
 
 impl Deadly {
     fn start(rng: &mut StdRng, site: &Site) -> Self {
-        let vacancies = [Vacancy::Refused, Vacancy::Closed, Vacancy::Dark];
-        let vacancy = vacancies[rng.random_range(0..vacancies.len())];
-        let downtime = Downtime { length: Duration::from_millis(700), vacancy };
+        let modes = [DowntimeMode::Refused, DowntimeMode::Closed, DowntimeMode::Unresponsive];
+        let mode = modes[rng.random_range(0..modes.len())];
+        let downtime = Downtime { length: Duration::from_millis(700), mode };
         for (number, engine) in site.deployment.engines.iter().enumerate() {
             let address = site.runner_links[number].address();
-            engine.set_deadly_at(DEADLY_BODY, downtime, &site.deployment.store, address);
+            engine.set_crash_body_at(DEADLY_BODY, downtime, &site.deployment.store, address);
         }
         let (shared, is_over) = (site.shared.clone(), Arc::new(AtomicBool::new(false)));
         let own = is_over.clone();
--- a/tests/store_copy.rs
+++ b/tests/store_copy.rs
@@ -14,7 +14,7 @@
     thread::sleep,
     time::{Duration, Instant},
 };
-use vanetally_platform_standin::{Client, Return, StoreMode};
+use vanetally_platform_standin::{Client, Restore, StoreMode};
 
 /// A change that was acknowledged is in force on all hosts within this time.
 const IN_FORCE: Duration = Duration::from_millis(2_000);
@@ -42,15 +42,15 @@
 }
 
 /// Hosts that have heard of more than the copy holds, and the store's return from it.
-fn returned(hosts: usize, how: Return) -> (Deployment, Vec<Host>) {
+fn returned(hosts: usize, how: Restore) -> (Deployment, Vec<Host>) {
     returned_to(Deployment::start(), hosts, how)
 }
 
-fn returned_to(deployment: Deployment, hosts: usize, how: Return) -> (Deployment, Vec<Host>) {
+fn returned_to(deployment: Deployment, hosts: usize, how: Restore) -> (Deployment, Vec<Host>) {
     let hosts = deployment.hosts(hosts);
     wait_for("one holds the orders", || holders(&hosts) == 1);
     sleep(HEARD);
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     write_much(&deployment);
     sleep(HEARD);
     come_back(&deployment, &copy, how);
@@ -71,10 +71,10 @@
 #[case::leases_kept(KEPT)]
 #[case::leases_lost(LOST)]
 #[case::answers_late(LATE)]
-fn change_after_return(#[case] how: Return, #[values(true, false)] tells_before: bool) {
+fn change_after_return(#[case] how: Restore, #[values(true, false)] tells_before: bool) {
     let deployment = Deployment::start();
     if tells_before {
-        deployment.store.tell_era();
+        deployment.store.enable_era();
     }
     let (deployment, hosts) = returned_to(deployment, 4, how);
     sleep(HEARD);
@@ -89,7 +89,7 @@
 fn change_after_second_return(#[case] count: usize) {
     let (deployment, hosts) = returned(count, LOST);
     sleep(HEARD);
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     write_much(&deployment);
     sleep(HEARD);
     come_back(&deployment, &copy, KEPT);
@@ -119,7 +119,7 @@
 #[rstest]
 #[case::leases_kept(KEPT)]
 #[case::leases_lost(LOST)]
-fn orders_after_return(#[case] how: Return) {
+fn orders_after_return(#[case] how: Restore) {
     let (deployment, hosts) = returned(4, how);
     let back = Instant::now();
     wait_for("one holds the orders", || holders(&hosts) == 1);
@@ -144,10 +144,10 @@
 #[rstest]
 #[case::leases_kept(KEPT)]
 #[case::leases_lost(LOST)]
-fn token_lower_after_return(#[case] how: Return) {
+fn token_lower_after_return(#[case] how: Restore) {
     let deployment = Deployment::start();
-    deployment.store.tell_era();
-    let copy = deployment.store.copy();
+    deployment.store.enable_era();
+    let copy = deployment.store.snapshot();
     write_much(&deployment);
     let hosts = deployment.hosts(4);
     wait_for("one holds the orders", || holders(&hosts) == 1);
@@ -164,14 +164,14 @@
 fn copy_takes_nothing_back() {
     let deployment = Deployment::start();
     let hosts = deployment.hosts(4);
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     configure(&deployment, &hosts, 5, "added");
     let (key, mut value) = deployment.desks[0].entry();
     value["state"] = "draining".into();
     deployment.store.put(&key, &value);
     sleep(HEARD);
     // What was lost is written again only much later.
-    come_back(&deployment, &copy, Return { again: Duration::from_secs(5), ..KEPT });
+    come_back(&deployment, &copy, Restore { rewrite_delay: Duration::from_secs(5), ..KEPT });
     sleep(HEARD);
     let before = deployment.desks[0].requests().len();
     for host in &hosts {
@@ -186,10 +186,10 @@
     let deployment = Deployment::start();
     let hosts = deployment.hosts(4);
     sleep(HEARD);
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     deployment.store.remove("servers/i-desk-0");
     sleep(HEARD);
-    come_back(&deployment, &copy, Return { again: Duration::from_secs(5), ..KEPT });
+    come_back(&deployment, &copy, Restore { rewrite_delay: Duration::from_secs(5), ..KEPT });
     sleep(HEARD);
     let before = deployment.desks[0].requests().len();
     for host in &hosts {
@@ -206,10 +206,10 @@
     deployment.store.remove(&key);
     let hosts = deployment.hosts(4);
     sleep(HEARD);
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     deployment.store.put(&key, &value);
     wait_for("it is used", || hosts.iter().all(|host| get(host, "/check/1") == 200));
-    come_back(&deployment, &copy, Return { again: Duration::from_millis(1_200), ..KEPT });
+    come_back(&deployment, &copy, Restore { rewrite_delay: Duration::from_millis(1_200), ..KEPT });
     let back = Instant::now();
     while back.elapsed() < IN_FORCE {
         for (number, host) in hosts.iter().enumerate() {
@@ -223,7 +223,7 @@
 #[test]
 fn keys_written_again() {
     let deployment = Deployment::start();
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     let hosts = deployment.hosts(4);
     wait_for("one holds the orders", || holders(&hosts) == 1);
     sleep(HEARD);
@@ -250,10 +250,10 @@
     };
     let all = |key: &str, expected: u16| hosts.iter().all(|host| status(host, key) == expected);
     wait_for("both are good", || all("first", 200) && all("second", 200));
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     deployment.configure_organisations(3, &[organisation(&["second"])]);
     wait_for("one is taken away", || all("first", 401));
-    come_back(&deployment, &copy, Return { again: Duration::from_secs(5), ..KEPT });
+    come_back(&deployment, &copy, Restore { rewrite_delay: Duration::from_secs(5), ..KEPT });
     let back = Instant::now();
     while back.elapsed() < HEARD {
         assert!(all("first", 401) && all("second", 200), "after {:?}", back.elapsed());
@@ -268,7 +268,7 @@
     deployment.configure_large(2, ROUTES);
     let hosts = deployment.hosts(4);
     wait_for("it is in force", || hosts.iter().all(|host| get(host, "/more599/1") == 200));
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     write_much(&deployment);
     sleep(HEARD);
     come_back(&deployment, &copy, LOST);
@@ -283,7 +283,7 @@
 #[test]
 fn all_replaced_at_return() {
     let deployment = Deployment::start();
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     let mut hosts = deployment.hosts(4);
     wait_for("one holds the orders", || holders(&hosts) == 1);
     assert_eq!(ask_adapter(&hosts[0], "a1"), 200);
@@ -307,12 +307,12 @@
     let deployment = Deployment::start();
     let hosts = deployment.hosts(4);
     sleep(HEARD);
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     write_much(&deployment);
     sleep(HEARD);
     deployment.store.set_mode(StoreMode::Silent);
     sleep(away);
-    deployment.store.return_from(&copy, KEPT);
+    deployment.store.restore(&copy, KEPT);
     deployment.store.set_mode(StoreMode::Serving);
     let took = configure(&deployment, &hosts, 5, "added");
     assert!(took < IN_FORCE, "in force after {took:?}");
