--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -31,13 +31,8 @@
 ];
 const STORE_FAULTS: [StoreMode; 4] =
     [StoreMode::Busy, StoreMode::Silent, StoreMode::StalledWatches, StoreMode::DroppedAnswers];
-const LINK_FAULTS: [ProxyMode; 5] = [
-    ProxyMode::Delay(40),
-    ProxyMode::Reset,
-    ProxyMode::Silent,
-    ProxyMode::OneWay,
-    ProxyMode::Dropping,
-];
+const LINK_FAULTS: [ProxyMode; 5] =
+    [ProxyMode::Delay(40), ProxyMode::Reset, ProxyMode::Silent, ProxyMode::OneWay, ProxyMode::Drop];
 
 /// Share of the strikes after which something happens to an entry.
 const ENTRY_SHARE: f64 = 0.2;
@@ -121,7 +116,7 @@
 pub fn cut_store(rng: &mut StdRng, site: &Site) {
     for slot in &site.slots {
         if rng.random_bool(0.7) {
-            slot.store_link.set_mode(any(rng, &[ProxyMode::Dropping, ProxyMode::Silent]));
+            slot.store_link.set_mode(any(rng, &[ProxyMode::Drop, ProxyMode::Silent]));
         }
     }
     thread::sleep(Duration::from_millis(rng.random_range(1_000..4_000)));
--- a/tests/store_return.rs
+++ b/tests/store_return.rs
@@ -122,7 +122,7 @@
         // Metrics are read off once a second: the watch after that change has waited for long.
         deployment.store.put("servers/i-desk-0", &deployment.desks[0].entry().1);
         sleep(BEGUN);
-        link.set_mode(ProxyMode::Dropping);
+        link.set_mode(ProxyMode::Drop);
         deployment.configure(2 * number + 1, &["added", "more"]);
         sleep(LOSING);
         link.set_mode(ProxyMode::Pass);
