--- a/crates/types/src/host.rs
+++ b/crates/types/src/host.rs
@@ -1,24 +1,24 @@
-//! The identity of a running process.
+//! Identity of a running host process.
 
 use crate::Name;
 use serde::{Deserialize, Serialize};
 
-/// One run of the daemon on a host: a restart is a new incarnation.
+/// Identifies one incarnation of the daemon on a host; every restart creates a new one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct HostId {
-    /// The host's name in the platform's list.
+    /// Name of the host in the platform's list of hosts.
     pub name: Name,
-    /// Grows with each start of the process on this host.
+    /// Increases with each start of the process on this host.
     pub incarnation: u64,
 }
 
 impl HostId {
-    /// The run `incarnation` of the host `name`.
+    /// Creates the id of the incarnation `incarnation` of the host `name`.
     pub fn new(name: impl Into<Name>, incarnation: u64) -> Self {
         Self { name: name.into(), incarnation }
     }
 
-    /// Whether `other` is a later run on the same host, which proves that this one has ended.
+    /// Whether `other` is a later incarnation of the same host, which proves that this one has ended.
     pub fn is_superseded_by(&self, other: &HostId) -> bool {
         self.name == other.name && self.incarnation < other.incarnation
     }
--- a/crates/types/src/incarnation.rs
+++ b/crates/types/src/incarnation.rs
@@ -1,40 +1,40 @@
-//! One life of an upstream.
+//! Identity of one incarnation of an upstream.
 
 use crate::Name;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 use std::fmt;
 
-/// One life of an upstream: its id and the moment of its start.
+/// One incarnation of an upstream: its id and its start time.
 ///
-/// An upstream may start again under the id that it had. It then holds nothing and knows nothing of before, so
-/// all that is believed of one is kept under both. Which of two lives is the later one does not follow from
-/// `born`, a clock's reading, but from the order in which they were told.
+/// An upstream may restart under the same id. It then has lost all earlier state, so everything known about an
+/// upstream is stored per id and start time. `born` is a clock reading and does not order two incarnations;
+/// the order in which they were announced does.
 ///
-/// On links it is written as text, `ID@BORN`, or `ID` alone if the start is not known. A host of a version
-/// without starts reads the former as an id that it does not know, and passes over it.
+/// On links it is serialized as text: `ID@BORN`, or `ID` alone if the start time is unknown. A host whose version
+/// does not support start times reads `ID@BORN` as an unknown id and ignores it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Incarnation {
-    /// The id, which several lives may share.
+    /// Id of the upstream, shared by all its incarnations.
     pub id: Name,
-    /// Unix milliseconds of the start, by the upstream's clock; none where it does not say.
+    /// Start time in Unix milliseconds by the upstream's clock; `None` if it was not announced.
     pub born: Option<u64>,
 }
 
-/// Parts the id from the start.
-const MARK: char = '@';
-/// Stands for a start that is not known, after an id that holds a mark itself.
-const UNKNOWN: &str = "-";
+/// Separates the id from the start time.
+const SEPARATOR: char = '@';
+/// Written in place of an unknown start time if the id itself contains a separator.
+const UNKNOWN_START: &str = "-";
 
 impl Incarnation {
-    /// The life of `id` that began at `born`.
+    /// Creates the incarnation of `id` that started at `born`.
     pub fn new(id: impl Into<Name>, born: Option<u64>) -> Self {
         Self { id: id.into(), born }
     }
 
-    /// Reads the text form.
+    /// Parses the text form; text without a valid start time is an id.
     fn from_text(text: &str) -> Self {
-        match text.rsplit_once(MARK) {
-            Some((id, UNKNOWN)) => Self::new(id, None),
+        match text.rsplit_once(SEPARATOR) {
+            Some((id, UNKNOWN_START)) => Self::new(id, None),
             Some((id, born)) => match born.parse() {
                 Ok(born) => Self::new(id, Some(born)),
                 Err(_) => Self::new(text, None),
@@ -47,29 +47,31 @@
 impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.born {
-            Some(born) => write!(f, "{}{MARK}{born}", self.id),
-            None if self.id.contains(MARK) => write!(f, "{}{MARK}{UNKNOWN}", self.id),
+            Some(born) => write!(f, "{}{SEPARATOR}{born}", self.id),
+            None if self.id.contains(SEPARATOR) => {
+                write!(f, "{}{SEPARATOR}{UNKNOWN_START}", self.id)
+            }
             None => f.write_str(&self.id),
         }
     }
 }
 
 impl From<&str> for Incarnation {
-    /// A life of which the start is not known.
+    /// Creates an incarnation whose start time is unknown.
     fn from(id: &str) -> Self {
         Self::new(id, None)
     }
 }
 
 impl From<Name> for Incarnation {
-    /// A life of which the start is not known.
+    /// Creates an incarnation whose start time is unknown.
     fn from(id: Name) -> Self {
         Self::new(id, None)
     }
 }
 
 impl From<String> for Incarnation {
-    /// A life of which the start is not known.
+    /// Creates an incarnation whose start time is unknown.
     fn from(id: String) -> Self {
         Self::new(id, None)
     }
@@ -83,8 +85,8 @@
 
 impl<'de> Deserialize<'de> for Incarnation {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Text;
-        impl de::Visitor<'_> for Text {
+        struct TextVisitor;
+        impl de::Visitor<'_> for TextVisitor {
             type Value = Incarnation;
 
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -95,6 +97,6 @@
                 Ok(Incarnation::from_text(text))
             }
         }
-        deserializer.deserialize_str(Text)
+        deserializer.deserialize_str(TextVisitor)
     }
 }
--- a/crates/types/src/label.rs
+++ b/crates/types/src/label.rs
@@ -1,16 +1,16 @@
-//! Labels: the key and value pairs that operators give to what they declare.
+//! Labels: key-value pairs that operators attach to the objects they declare.
 
 use crate::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Key and value pairs, ordered by key.
+/// Key-value pairs, ordered by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Labels(BTreeMap<Name, Name>);
 
 impl Labels {
-    /// The value of `key`, if the label is set.
+    /// Returns the value of `key`, if the label is set.
     pub fn get(&self, key: &str) -> Option<&Name> {
         self.0.get(key)
     }
@@ -20,13 +20,13 @@
         self.0.insert(key.into(), value.into());
     }
 
-    /// These labels with those of `other` added; `other` wins where both set a key.
+    /// Returns these labels merged with `other`, whose values take precedence.
     pub fn merged(&self, other: &Labels) -> Labels {
-        let mut all = self.clone();
+        let mut merged = self.clone();
         for (key, value) in &other.0 {
-            all.0.insert(key.clone(), value.clone());
+            merged.0.insert(key.clone(), value.clone());
         }
-        all
+        merged
     }
 }
 
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,5 +1,5 @@
-//! The vocabulary that every other crate speaks: names, labels and selectors, time, hosts, the
-//! verdict of a request and rendezvous hashing. No I/O, no clock.
+//! Types shared by all crates: names, labels and selectors, time, host and upstream identities, the
+//! verdict of a request and rendezvous hashing. Does no I/O and reads no clock.
 #![deny(missing_docs, unsafe_code)]
 
 mod hash;
@@ -9,7 +9,7 @@
 mod tick;
 mod verdict;
 
-/// Reading selectors from text.
+/// Label selectors and their text form.
 pub mod selector;
 
 pub use hash::{hash64, hash128, rendezvous, rendezvous_rank};
--- a/crates/types/src/selector.rs
+++ b/crates/types/src/selector.rs
@@ -1,6 +1,6 @@
 //! Selectors: boolean conditions on labels, written as text.
 //!
-//! Requirements are joined by commas and all must hold:
+//! A selector is a comma-separated list of requirements that must all be met:
 //! `team=desk`, `team!=desk`, `tier in (gold, silver)`, `tier notin (bronze)`, `archive` (is set),
 //! `!archive` (is not set). The empty selector matches everything.
 
@@ -23,31 +23,31 @@
     Unset(Name),
 }
 
-/// Why a text is no selector.
+/// Why a text is not a valid selector.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// A requirement has no key, or a key or value with a character outside `A-Za-z0-9-_./@`.
+    /// A key or value is empty or contains a character outside `A-Za-z0-9-_./@`.
     #[error("`{0}` is no label key or value: use letters, digits and -_./@")]
     InvalidName(String),
-    /// `in` or `notin` without a list in parentheses.
+    /// A requirement with spaces is not `KEY in (...)` or `KEY notin (...)`.
     #[error("`{0}`: expected a list of values in parentheses")]
-    MissingList(String),
+    InvalidList(String),
 }
 
 impl Selector {
-    /// Whether `labels` meet every requirement.
+    /// Whether `labels` meet all requirements.
     pub fn matches(&self, labels: &Labels) -> bool {
-        self.terms.iter().all(|term| term.holds(labels))
+        self.terms.iter().all(|term| term.matches(labels))
     }
 
-    /// The selector as it was written.
+    /// Returns the selector as it was written.
     pub fn as_str(&self) -> &str {
         &self.text
     }
 }
 
 impl Term {
-    fn holds(&self, labels: &Labels) -> bool {
+    fn matches(&self, labels: &Labels) -> bool {
         match self {
             Term::In(key, values) => labels.get(key).is_some_and(|v| values.contains(v)),
             Term::NotIn(key, values) => !labels.get(key).is_some_and(|v| values.contains(v)),
@@ -59,55 +59,56 @@
     fn parse(text: &str) -> Result<Self, Error> {
         let text = text.trim();
         if let Some((key, value)) = text.split_once("!=") {
-            return Ok(Term::NotIn(word(key)?, vec![word(value)?]));
+            return Ok(Term::NotIn(parse_name(key)?, vec![parse_name(value)?]));
         }
         if let Some((key, value)) = text.split_once('=') {
             let value = value.strip_prefix('=').unwrap_or(value);
-            return Ok(Term::In(word(key)?, vec![word(value)?]));
+            return Ok(Term::In(parse_name(key)?, vec![parse_name(value)?]));
         }
         if let Some((key, rest)) = text.split_once(char::is_whitespace) {
             return Self::parse_list(text, key, rest.trim());
         }
         match text.strip_prefix('!') {
-            Some(key) => Ok(Term::Unset(word(key)?)),
-            None => Ok(Term::Set(word(text)?)),
+            Some(key) => Ok(Term::Unset(parse_name(key)?)),
+            None => Ok(Term::Set(parse_name(text)?)),
         }
     }
 
     fn parse_list(text: &str, key: &str, rest: &str) -> Result<Self, Error> {
-        let bad = || Error::MissingList(text.to_owned());
-        let (op, list) = rest.split_once('(').ok_or_else(bad)?;
-        let list = list.strip_suffix(')').ok_or_else(bad)?;
-        let values = list.split(',').map(word).collect::<Result<_, _>>()?;
+        let error = || Error::InvalidList(text.to_owned());
+        let (op, list) = rest.split_once('(').ok_or_else(error)?;
+        let list = list.strip_suffix(')').ok_or_else(error)?;
+        let values = list.split(',').map(parse_name).collect::<Result<_, _>>()?;
         match op.trim() {
-            "in" => Ok(Term::In(word(key)?, values)),
-            "notin" => Ok(Term::NotIn(word(key)?, values)),
-            _ => Err(bad()),
+            "in" => Ok(Term::In(parse_name(key)?, values)),
+            "notin" => Ok(Term::NotIn(parse_name(key)?, values)),
+            _ => Err(error()),
         }
     }
 }
 
-fn word(text: &str) -> Result<Name, Error> {
+/// Parses a label key or value.
+fn parse_name(text: &str) -> Result<Name, Error> {
     let text = text.trim();
-    let good = |c: char| c.is_ascii_alphanumeric() || "-_./@".contains(c);
-    if text.is_empty() || !text.chars().all(good) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_./@".contains(c);
+    if text.is_empty() || !text.chars().all(is_allowed) {
         return Err(Error::InvalidName(text.to_owned()));
     }
     Ok(text.into())
 }
 
-/// Splits at commas that stand outside parentheses.
+/// Splits `text` at commas outside parentheses.
 fn split_terms(text: &str) -> Vec<&str> {
     let mut terms = Vec::new();
     let mut depth = 0_i32;
     let mut start = 0;
-    for (at, c) in text.char_indices() {
+    for (index, c) in text.char_indices() {
         match c {
             '(' => depth += 1,
             ')' => depth -= 1,
             ',' if depth == 0 => {
-                terms.push(&text[start..at]);
-                start = at + 1;
+                terms.push(&text[start..index]);
+                start = index + 1;
             }
             _ => {}
         }
@@ -135,14 +136,14 @@
 }
 
 impl Serialize for Selector {
-    fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-        s.serialize_str(&self.text)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.serialize_str(&self.text)
     }
 }
 
 impl<'de> Deserialize<'de> for Selector {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        let text = String::deserialize(d)?;
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = String::deserialize(deserializer)?;
         text.parse().map_err(serde::de::Error::custom)
     }
 }
--- a/crates/types/src/tick.rs
+++ b/crates/types/src/tick.rs
@@ -1,9 +1,9 @@
-//! Time as the state machines see it: passed in, never read.
+//! Time as passed into the state machines, which never read a clock.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 
-/// Milliseconds since an origin that the driver chooses; monotonic within one process.
+/// Milliseconds since an origin chosen by the caller; monotonic within one process.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -11,10 +11,10 @@
 pub struct Tick(pub u64);
 
 impl Tick {
-    /// The end of time.
+    /// The latest tick.
     pub const MAX: Tick = Tick(u64::MAX);
 
-    /// Milliseconds from `earlier` to this tick; zero if `earlier` lies ahead.
+    /// Returns the milliseconds from `earlier` to this tick, or zero if `earlier` is later.
     pub fn since(self, earlier: Tick) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
--- a/crates/types/src/verdict.rs
+++ b/crates/types/src/verdict.rs
@@ -1,21 +1,21 @@
-//! What is known about whether a request ran.
+//! Whether a request ran at an upstream.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a request may have run at an upstream. The order is from least to most run.
+/// Whether a request ran at an upstream, ordered by how certain it is that it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// The request certainly did not run.
+    /// The request did not run.
     NotRun,
-    /// It can't be known whether the request ran.
+    /// It is unknown whether the request ran.
     MayHaveRun,
     /// The request ran.
     Ran,
 }
 
 impl Verdict {
-    /// The spelling used in headers, logs and error objects.
+    /// Returns the name used in headers, logs and error objects.
     pub fn as_str(self) -> &'static str {
         match self {
             Verdict::NotRun => "not-run",
@@ -24,11 +24,11 @@
         }
     }
 
-    /// Reads the spelling of [`Verdict::as_str`].
+    /// Parses a name returned by [`Verdict::as_str`].
     pub fn from_name(text: &str) -> Option<Self> {
         [Verdict::NotRun, Verdict::MayHaveRun, Verdict::Ran]
             .into_iter()
-            .find(|v| v.as_str() == text)
+            .find(|verdict| verdict.as_str() == text)
     }
 }
 
--- a/crates/types/tests/incarnation.rs
+++ b/crates/types/tests/incarnation.rs
@@ -1,4 +1,4 @@
-//! The text form of one life of an upstream, as it goes over links.
+//! The text form of an incarnation, as sent over links.
 
 use rstest::rstest;
 use vanetally_types::Incarnation;
@@ -10,17 +10,18 @@
 #[case("i@1", Some(5), "i@1@5")]
 #[case("", None, "")]
 #[case("", Some(0), "@0")]
-fn there_and_back(#[case] id: &str, #[case] born: Option<u64>, #[case] text: &str) {
-    let life = Incarnation::new(id, born);
-    assert_eq!(life.to_string(), text);
-    let json = serde_json::to_string(&life).unwrap();
+fn text_round_trip(#[case] id: &str, #[case] born: Option<u64>, #[case] text: &str) {
+    let incarnation = Incarnation::new(id, born);
+    assert_eq!(incarnation.to_string(), text);
+    let json = serde_json::to_string(&incarnation).unwrap();
     assert_eq!(json, format!("\"{text}\""));
-    assert_eq!(serde_json::from_str::<Incarnation>(&json).unwrap(), life);
+    assert_eq!(serde_json::from_str::<Incarnation>(&json).unwrap(), incarnation);
 }
 
-/// A host of a version without starts names the id alone: that is no life of which the start is known.
+/// A host whose version does not support start times sends the id alone, which must not equal an incarnation with a
+/// known start time.
 #[test]
-fn earlier_version() {
-    let told: Incarnation = serde_json::from_str("\"i-1\"").unwrap();
-    assert_ne!(told, Incarnation::new("i-1", Some(7)));
+fn earlier_version_sends_id_only() {
+    let received: Incarnation = serde_json::from_str("\"i-1\"").unwrap();
+    assert_ne!(received, Incarnation::new("i-1", Some(7)));
 }
--- a/crates/types/tests/selectors.rs
+++ b/crates/types/tests/selectors.rs
@@ -1,4 +1,4 @@
-//! What selectors match and what they refuse.
+//! Parsing and matching of selectors.
 
 use rstest::rstest;
 use vanetally_types::{Labels, Selector};
@@ -18,9 +18,9 @@
 #[case("!absent", true)]
 #[case("team=desk,tier in (gold,silver),!absent", true)]
 #[case("team=desk, absent", false)]
-fn matching(#[case] text: &str, #[case] expected: bool) {
+fn matches_labels(#[case] text: &str, #[case] expected: bool) {
     let labels = Labels::from([("team", "desk"), ("tier", "gold")]);
-    let selector: Selector = text.parse().expect("a selector");
+    let selector: Selector = text.parse().expect("valid selector");
     assert_eq!(selector.matches(&labels), expected);
 }
 
@@ -32,6 +32,6 @@
 #[case("tier within (gold)")]
 #[case("a,,b")]
 #[case("!")]
-fn refused(#[case] text: &str) {
+fn rejects_malformed(#[case] text: &str) {
     assert!(text.parse::<Selector>().is_err());
 }
