--- a/crates/bench/benches/decisions.rs
+++ b/crates/bench/benches/decisions.rs
@@ -5,7 +5,7 @@
 use vanetally_claim::{Ask, Event as SlotEvent, Guards, Id, Slot, Ticket};
 use vanetally_core::{Core, Event, Frame, Options};
 use vanetally_member::Listed;
-use vanetally_pacing::{Moment, Pacer, Pacers, Prefix, Prompt};
+use vanetally_pacing::{Pacer, Pacers, Prefix, Prompt, SendSlot};
 use vanetally_plan::{Entry, Input, Runner, Site};
 use vanetally_route::{End, Event as Route, Phase, Request, Router, Seen, Upstream};
 use vanetally_types::{HostId, Name, Tick};
@@ -237,7 +237,7 @@
     };
     println!("bytes frame=prompt value={}", size(&prompt(4_000)));
     let mut bytes = Vec::new();
-    let moment = Moment { delay_ms: 40, unread: 1_110, ahead_ms: 60, is_trial: false };
+    let moment = SendSlot { delay_ms: 40, unread: 1_110, ahead_ms: 60, is_trial: false };
     let written = ciborium::into_writer(&moment, &mut bytes).map_or(0, |()| bytes.len());
     println!("bytes frame=moment value={written}");
 }
--- a/crates/bench/benches/fleet.rs
+++ b/crates/bench/benches/fleet.rs
@@ -221,7 +221,7 @@
             b.iter_batched(
                 next,
                 |digest| {
-                    totals.take_sum(NOW, "front-2".into(), digest.loads.clone());
+                    totals.record_sum(NOW, "front-2".into(), digest.loads.clone());
                     let event = Event::PeerDigest { host: "front-2".into(), digest };
                     black_box(dispatch.handle(NOW, event))
                 },
@@ -290,7 +290,7 @@
                 gap_ms: 400,
             };
             let now = Tick(NOW.0 + number as u64);
-            black_box(pacer.told(now, &prompt.upstream, false));
+            black_box(pacer.record_outcome(now, &prompt.upstream, false));
             pacer.reserve(now, &prompt)
         });
     });
--- a/crates/check/src/revocation.rs
+++ b/crates/check/src/revocation.rs
@@ -5,7 +5,7 @@
 
 use crate::{Steps, World};
 use std::collections::BTreeSet;
-use vanetally_fanout::{FreshWord, Freshness};
+use vanetally_fanout::{Freshness, SourceStatus};
 use vanetally_types::Tick;
 
 /// Guards of the hosts; each can be switched off.
@@ -44,9 +44,9 @@
     /// The follower's question for the reader's clock.
     Question { asked: Tick },
     /// The reader's clock.
-    Clock { asked: Tick, word: FreshWord },
+    Clock { asked: Tick, word: SourceStatus },
     /// The reader told how it stands.
-    Word { word: FreshWord },
+    Word { word: SourceStatus },
     /// The reader sent its configuration.
     Patch { version: u64 },
 }
@@ -117,8 +117,8 @@
         self.now + AHEAD
     }
 
-    fn word(&self) -> FreshWord {
-        FreshWord {
+    fn word(&self) -> SourceStatus {
+        SourceStatus {
             host: "reader".into(),
             life: 1,
             stated: self.now,
@@ -129,7 +129,7 @@
 
     /// Whether the follower may use the key now.
     fn may_use(&self) -> bool {
-        let confirmed = self.follower.freshness.confirmed();
+        let confirmed = self.follower.freshness.confirmed_at();
         let is_fresh = confirmed.is_some_and(|at| self.follower_now().since(at) <= USED);
         self.follower.version == WITH_KEY && is_fresh
     }
@@ -149,7 +149,7 @@
                 let counted = if guards.from_sending { asked } else { self.now };
                 // An answer that is older than what is in force tells nothing new.
                 if version == self.reader.version {
-                    self.reader.freshness.read(counted);
+                    self.reader.freshness.record_read(counted);
                 }
             }
             Flight::Question { asked } => {
@@ -158,17 +158,17 @@
             }
             Flight::Clock { asked, word } => {
                 let version = self.compared_version();
-                self.follower.freshness.answered(asked, &word, version);
+                self.follower.freshness.record_clock(asked, &word, version);
             }
             Flight::Word { word } if guards.from_writing => {
                 let version = self.compared_version();
-                self.follower.freshness.told(&word, version);
+                self.follower.freshness.record_status(&word, version);
             }
             Flight::Word { word } => {
                 let is_same = self.compared_version() >= word.version;
                 if let Some(age_ms) = word.age_ms.filter(|_| is_same) {
                     let arrived = self.follower_now();
-                    self.follower.freshness.read(arrived - age_ms);
+                    self.follower.freshness.record_read(arrived - age_ms);
                 }
             }
             Flight::Patch { version } => {
--- a/crates/dispatch/src/ending.rs
+++ b/crates/dispatch/src/ending.rs
@@ -6,7 +6,7 @@
     sending::WANT_AGAIN_MS,
 };
 use vanetally_ports::{Refusal, RefusalCause, RequestKind};
-use vanetally_quarantine::{Content, Sign};
+use vanetally_quarantine::{ContentHash, CrashSign};
 use vanetally_types::{Incarnation, Tick, Verdict};
 
 /// An upstream that was full is left alone for this long, in milliseconds.
@@ -127,15 +127,15 @@
     ) {
         let content = request.content;
         match end {
-            AttemptEnd::Served => self.held.answered(now, content),
-            AttemptEnd::Broken if !self.held.was_just_answered(now, content) => {
+            AttemptEnd::Served => self.held.record_answer(now, content),
+            AttemptEnd::Broken if !self.held.was_answered_recently(now, content) => {
                 let upstream = sending.upstream.clone();
                 let Some(known) = self.upstreams.get(&upstream) else {
                     return;
                 };
                 let is_common = self.is_common(request);
                 if !is_common {
-                    self.held.doubt(now, content, DOUBT_MS);
+                    self.held.suspend(now, content, DOUBT_MS);
                 }
                 actions.push(Action::LookAt {
                     upstream,
@@ -160,15 +160,15 @@
         &mut self,
         now: Tick,
         upstream: &Incarnation,
-        contents: &[Content],
-        sign: Option<Sign>,
+        contents: &[ContentHash],
+        sign: Option<CrashSign>,
     ) {
         if sign.is_none() {
-            return contents.iter().for_each(|content| self.held.trust(*content));
+            return contents.iter().for_each(|content| self.held.resume(*content));
         }
-        let doubted = contents.iter().filter(|content| self.held.is_doubted(now, **content));
+        let doubted = contents.iter().filter(|content| self.held.is_suspended(now, **content));
         for content in doubted.copied().collect::<Vec<_>>() {
-            self.held.doubt(now, content, VERDICT_MS);
+            self.held.suspend(now, content, VERDICT_MS);
         }
         if let Some(upstream) = self.upstreams.get_mut(upstream) {
             upstream.health.doubt(now);
--- a/crates/dispatch/src/event.rs
+++ b/crates/dispatch/src/event.rs
@@ -3,9 +3,9 @@
 use crate::{BudgetOptions, Digest, Lack, Standing};
 use std::{net::SocketAddr, rc::Rc};
 use vanetally_limit::{Answer as Permit, News, Question};
-use vanetally_pacing::{Prompt, Slot};
+use vanetally_pacing::{Prompt, SlotReply};
 use vanetally_ports::{CallerRequest, Configuration, ModelRef, Origin, Refusal, UpstreamState};
-use vanetally_quarantine::{Content, Quarantine, Sign, Suspicion};
+use vanetally_quarantine::{ContentHash, CrashReport, CrashSign, Quarantine};
 use vanetally_types::{Incarnation, Name, Tick};
 
 /// A request in this process.
@@ -88,9 +88,9 @@
         /// The upstream's incarnation.
         upstream: Incarnation,
         /// The contents of these attempts.
-        contents: Vec<Content>,
+        contents: Vec<ContentHash>,
         /// The sign of its end; none if it lives.
-        sign: Option<Sign>,
+        sign: Option<CrashSign>,
     },
     /// An upstream announced itself, or changed what it announces.
     UpstreamSeen {
@@ -144,7 +144,7 @@
         /// Its head.
         request: CallerRequest,
         /// Its content.
-        content: Content,
+        content: ContentHash,
     },
     /// The engine's pacer answered.
     Reserved {
@@ -153,7 +153,7 @@
         /// The reservation that was asked for.
         turn: u32,
         /// What it said.
-        slot: Slot,
+        slot: SlotReply,
     },
     /// Who grants said when the request may go to an upstream in need.
     Permitted {
@@ -341,12 +341,12 @@
         /// Whether it is an engine, which reports when asked.
         is_engine: bool,
         /// The content.
-        content: Content,
+        content: ContentHash,
         /// Whether many callers send this content.
         is_common: bool,
     },
     /// An upstream has certainly ended under a content: those that keep the evidence have to know.
-    Suspect(Suspicion),
+    Suspect(CrashReport),
     /// Note how well the first piece was predicted.
     Predicted {
         /// The request.
--- a/crates/dispatch/src/machine.rs
+++ b/crates/dispatch/src/machine.rs
@@ -22,7 +22,7 @@
 use vanetally_ports::{
     CallerRequest, Configuration, ModelRef, Refusal, RefusalCause, Route, UpstreamState,
 };
-use vanetally_quarantine::{Content, Held, Sign, Suspicion};
+use vanetally_quarantine::{BlockedContents, ContentHash, CrashReport, CrashSign};
 use vanetally_types::{Incarnation, Name, Tick, Verdict, hash64};
 
 /// All decisions about requests of one host.
@@ -37,7 +37,7 @@
     pub(crate) keys: KeyIndex,
     /// When the configuration in force was the newest, by the store's word.
     pub(crate) confirmed: Option<Tick>,
-    pub(crate) held: Held,
+    pub(crate) held: BlockedContents,
     pub(crate) upstreams: BTreeMap<Incarnation, Upstream>,
     /// Rests of upstreams whose announcements are gone: the same life may announce itself again.
     rests: BTreeMap<Incarnation, Rest>,
@@ -110,7 +110,7 @@
             routes: RouteIndex::default(),
             keys: KeyIndex::default(),
             confirmed: None,
-            held: Held::default(),
+            held: BlockedContents::default(),
             upstreams: BTreeMap::new(),
             rests: BTreeMap::new(),
             directory: Directory::default(),
@@ -133,7 +133,7 @@
             Event::Configured(configuration) => self.configure(configuration),
             Event::Confirmed(at) => self.confirmed = self.confirmed.max(Some(at)),
             Event::Quarantined(quarantine) => {
-                self.held.hold(now, quarantine);
+                self.held.apply(now, quarantine);
             }
             Event::LookedAt { upstream, contents, sign } => {
                 self.looked_at(now, &upstream, &contents, sign);
@@ -232,7 +232,7 @@
     }
 
     /// The contents that are kept back.
-    pub fn held(&self) -> &Held {
+    pub fn held(&self) -> &BlockedContents {
         &self.held
     }
 
@@ -343,10 +343,10 @@
         };
         for (id, request) in self.requests.iter().filter(|(_, request)| is_there(request)) {
             actions.push(Action::Abandon { id: *id, number: request.sendings });
-            actions.push(Action::Suspect(Suspicion {
+            actions.push(Action::Suspect(CrashReport {
                 content: request.content,
                 upstream: upstream.clone(),
-                sign: Sign::Ended,
+                sign: CrashSign::Ended,
                 is_common: self.is_common(request),
             }));
         }
@@ -374,7 +374,7 @@
         now: Tick,
         id: RequestId,
         head: CallerRequest,
-        content: Content,
+        content: ContentHash,
         actions: &mut Vec<Action>,
     ) {
         let standing = Standing::default();
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use vanetally_pacing::Prefix;
 use vanetally_ports::{CallerRequest, Route};
-use vanetally_quarantine::Content;
+use vanetally_quarantine::ContentHash;
 use vanetally_types::{Incarnation, Name, Tick, Verdict};
 
 /// Where a request is.
@@ -61,7 +61,7 @@
     pub head: CallerRequest,
     pub route: Rc<Route>,
     pub access: Access,
-    pub content: Content,
+    pub content: ContentHash,
     /// The parts of its prompt that others may share.
     pub shared: Vec<Prefix>,
     pub service: Name,
--- a/crates/dispatch/src/reserving.rs
+++ b/crates/dispatch/src/reserving.rs
@@ -9,7 +9,7 @@
     sending::CROWDED_MS,
 };
 use vanetally_limit::{Answer as Permit, Question};
-use vanetally_pacing::{Moment, Prompt, Slot};
+use vanetally_pacing::{Prompt, SendSlot, SlotReply};
 use vanetally_ports::RefusalCause;
 use vanetally_types::Tick;
 
@@ -53,7 +53,7 @@
         now: Tick,
         id: RequestId,
         turn: u32,
-        slot: Slot,
+        slot: SlotReply,
         actions: &mut Vec<Action>,
     ) {
         let Some(choice) = self.take_reservation(id, turn) else {
@@ -65,14 +65,14 @@
         };
         let is_open = upstream.takes_now(now) && upstream.is_permitted(&choice);
         match slot {
-            Slot::Granted(Moment { delay_ms, unread, ahead_ms, is_trial }) if is_open => {
+            SlotReply::Granted(SendSlot { delay_ms, unread, ahead_ms, is_trial }) if is_open => {
                 let expected = Expected { unread, ahead_ms };
                 let choice = Choice { expected, is_trial, ..choice };
                 actions.extend(self.send(now, id, choice, delay_ms));
                 return;
             }
-            Slot::Granted(_) => {}
-            Slot::Busy { retry_ms } => upstream.paced_until = now + u64::from(retry_ms),
+            SlotReply::Granted(_) => {}
+            SlotReply::Busy { retry_ms } => upstream.paced_until = now + u64::from(retry_ms),
         }
         upstream.rest.ended(now, now, false);
         actions.extend(choice.unused_permit());
--- a/crates/dispatch/src/sending.rs
+++ b/crates/dispatch/src/sending.rs
@@ -68,7 +68,7 @@
             return actions.push(Action::Refuse { id, refusal, standing });
         }
         let subject = request.head.model.clone();
-        if now < request.not_before || self.held.is_doubted(now, request.content) {
+        if now < request.not_before || self.held.is_suspended(now, request.content) {
             return;
         }
         if let Some(shortage) = lacking.get(&subject).copied() {
@@ -305,7 +305,7 @@
         let Stage::Sent(sending) = &request.stage else {
             return false;
         };
-        if self.held.is_doubted(now, request.content) {
+        if self.held.is_suspended(now, request.content) {
             return false;
         }
         let Some(upstream) = self.upstreams.get(&sending.upstream) else {
--- a/crates/dispatch/tests/deadly.rs
+++ b/crates/dispatch/tests/deadly.rs
@@ -5,7 +5,7 @@
 use support::{Host, START, refusal, request, route, sent, upstream};
 use vanetally_dispatch::{Action, AttemptEnd, Event, RequestId};
 use vanetally_ports::{RefusalCause, RequestKind};
-use vanetally_quarantine::{Evidence, Quarantine, Sign, Suspicion};
+use vanetally_quarantine::{CrashEvidence, CrashReport, CrashSign, Quarantine};
 use vanetally_types::{Tick, Verdict};
 
 const CONTENT: u64 = 7;
@@ -36,7 +36,7 @@
 #[test]
 fn same_content_again() {
     let mut hosts = [host(), host()];
-    let mut evidence = Evidence::default();
+    let mut evidence = CrashEvidence::default();
     let mut ended = 0;
     for round in 0..25 {
         let now = START + round * 800;
@@ -62,7 +62,7 @@
         for host in &mut hosts {
             host.tell(Event::UpstreamGone { id: upstream.clone() });
         }
-        let suspicion = Suspicion { content, upstream, sign: Sign::Ended, is_common: false };
+        let suspicion = CrashReport { content, upstream, sign: CrashSign::Ended, is_common: false };
         if let Some(quarantine) = evidence.add(now, suspicion) {
             hosts.iter_mut().for_each(|host| drop(host.tell(Event::Quarantined(quarantine))));
         }
@@ -145,8 +145,11 @@
 fn silent_upstream() {
     let mut host = host();
     let upstream: vanetally_types::Incarnation = "i-1".into();
-    let looked =
-        Event::LookedAt { upstream: upstream.clone(), contents: vec![], sign: Some(Sign::Silent) };
+    let looked = Event::LookedAt {
+        upstream: upstream.clone(),
+        contents: vec![],
+        sign: Some(CrashSign::Silent),
+    };
     host.tell(looked);
     for number in 0..7 {
         let (id, actions) = arrive(&mut host, number, 1_000 + number);
@@ -162,7 +165,8 @@
     let (id, actions) = arrive(&mut host, 1, CONTENT);
     let upstream = sent(&actions, id).pop().expect("it goes").upstream;
     let actions = host.tell(Event::UpstreamEnded { id: upstream.clone() });
-    let suspicion = Suspicion { content: CONTENT, upstream, sign: Sign::Ended, is_common: false };
+    let suspicion =
+        CrashReport { content: CONTENT, upstream, sign: CrashSign::Ended, is_common: false };
     assert!(actions.contains(&Action::Suspect(suspicion)), "{actions:?}");
     let actions = host.tell(Event::AttemptEnded { id, end: AttemptEnd::Broken, answered: false });
     assert!(!actions.iter().any(|action| matches!(action, Action::LookAt { .. })), "it is known");
--- a/crates/dispatch/tests/lives.rs
+++ b/crates/dispatch/tests/lives.rs
@@ -5,7 +5,7 @@
 use support::{Host, refusal, request, route, sent, sent_to, upstream};
 use vanetally_dispatch::{Action, AttemptEnd, Digest, Event, LoadRow, Presence};
 use vanetally_ports::{ModelRef, RequestKind};
-use vanetally_quarantine::{Sign, Suspicion};
+use vanetally_quarantine::{CrashReport, CrashSign};
 use vanetally_types::{Incarnation, Verdict};
 
 fn life(born: u64) -> Incarnation {
@@ -37,7 +37,7 @@
     assert_eq!(sent_to(&actions, id), life(1));
     let actions = start_again(&mut host);
     let suspicion =
-        Suspicion { content: id.0, upstream: life(1), sign: Sign::Ended, is_common: false };
+        CrashReport { content: id.0, upstream: life(1), sign: CrashSign::Ended, is_common: false };
     assert_eq!(actions, [Action::Abandon { id, number: 1 }, Action::Suspect(suspicion)]);
     let actions = host.end(id, AttemptEnd::Broken);
     let refusal = refusal(&actions, id).expect("it may have run");
--- a/crates/dispatch/tests/pacing.rs
+++ b/crates/dispatch/tests/pacing.rs
@@ -4,7 +4,7 @@
 
 use support::{Host, refusal, request, route, sent, sent_to, upstream};
 use vanetally_dispatch::{Action, Event, RequestId};
-use vanetally_pacing::{Moment, Slot};
+use vanetally_pacing::{SendSlot, SlotReply};
 use vanetally_ports::{RefusalCause, RequestKind, UpstreamState};
 
 /// What asks for a moment: the number of the question and the engine.
@@ -47,7 +47,7 @@
 fn granted_goes_after_its_delay() {
     let mut host = host();
     let (id, turn) = open(&mut host);
-    let slot = Slot::Granted(Moment { delay_ms: 50, ..Moment::default() });
+    let slot = SlotReply::Granted(SendSlot { delay_ms: 50, ..SendSlot::default() });
     let actions = host.dispatch.handle(host.now, Event::Reserved { id, turn, slot });
     let attempts = sent(&actions, id);
     assert_eq!((attempts[0].delay_ms, attempts[0].deadline_ms), (50, 9_950));
@@ -58,7 +58,7 @@
     let mut host = host();
     let (id, turn) = open(&mut host);
     host.see("i-2", upstream("llm", 2, &["m1"]));
-    let busy = Slot::Busy { retry_ms: 100 };
+    let busy = SlotReply::Busy { retry_ms: 100 };
     let actions = host.dispatch.handle(host.now, Event::Reserved { id, turn, slot: busy });
     assert_eq!(asked(&actions, id), Some((turn + 1, "i-2".into())));
 }
@@ -67,7 +67,7 @@
 fn busy_engine_is_asked_again_in_time() {
     let mut host = host();
     let (id, turn) = open(&mut host);
-    let busy = Slot::Busy { retry_ms: 100 };
+    let busy = SlotReply::Busy { retry_ms: 100 };
     let actions = host.dispatch.handle(host.now, Event::Reserved { id, turn, slot: busy });
     assert_eq!(asked(&actions, id), None);
     assert!(sent(&host.pass(80), id).is_empty());
@@ -78,7 +78,7 @@
 fn old_answer_is_nothing() {
     let mut host = host();
     let (id, turn) = open(&mut host);
-    let slot = Slot::Granted(Moment::default());
+    let slot = SlotReply::Granted(SendSlot::default());
     let early = host.dispatch.handle(host.now, Event::Reserved { id, turn: turn + 1, slot });
     assert!(early.is_empty());
     host.dispatch.handle(host.now, Event::Reserved { id, turn, slot });
@@ -93,7 +93,7 @@
     let (id, turn) = open(&mut host);
     let draining = UpstreamState { draining: true, ..upstream("llm", 1, &["m1"]) };
     host.see("i-1", draining);
-    let slot = Slot::Granted(Moment::default());
+    let slot = SlotReply::Granted(SendSlot::default());
     let actions = host.dispatch.handle(host.now, Event::Reserved { id, turn, slot });
     assert!(sent(&actions, id).is_empty());
 }
@@ -105,7 +105,7 @@
     assert_eq!(host.dispatch.loads(host.now)[0].running, 1);
     host.tell(Event::CallerLeft { id });
     assert_eq!(host.dispatch.loads(host.now)[0].running, 0);
-    let slot = Slot::Granted(Moment::default());
+    let slot = SlotReply::Granted(SendSlot::default());
     assert!(host.dispatch.handle(host.now, Event::Reserved { id, turn, slot }).is_empty());
 }
 
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use vanetally_dispatch::{
     Action, Attempt, AttemptEnd, BudgetOptions, Dispatch, Event, Options, RequestId,
 };
-use vanetally_pacing::{Moment, Slot};
+use vanetally_pacing::{SendSlot, SlotReply};
 use vanetally_ports::{
     CallerLimits, CallerRequest, Configuration, Credential, EngineSpec, HeldModel, ModelRef,
     ModelSpec, Refusal, RequestKind, Route, Service, Target, UpstreamState,
@@ -135,8 +135,8 @@
         while let Some(event) = events.pop_front() {
             for action in self.dispatch.handle(self.now, event) {
                 if let Action::Reserve { id, turn, prompt } = action {
-                    let moment = Moment { unread: prompt.tokens, ..Moment::default() };
-                    let slot = Slot::Granted(moment);
+                    let moment = SendSlot { unread: prompt.tokens, ..SendSlot::default() };
+                    let slot = SlotReply::Granted(moment);
                     events.push_back(Event::Reserved { id, turn, slot });
                 } else {
                     actions.push(action);
--- a/crates/fanout/src/candidate.rs
+++ b/crates/fanout/src/candidate.rs
@@ -24,7 +24,7 @@
 }
 
 /// Up to this many hosts, each one reads the store and is an aggregator of its own.
-pub const FEW_HOSTS: usize = 12;
+pub const MAX_DIRECT_READERS: usize = 12;
 
 /// Whether hosts are a fleet, in which some read the store for the others.
 ///
@@ -38,9 +38,9 @@
 impl Fleet {
     /// So many hosts live.
     pub(crate) fn review(&mut self, hosts: usize) {
-        if hosts > FEW_HOSTS {
+        if hosts > MAX_DIRECT_READERS {
             self.is_fleet = true;
-        } else if hosts <= FEW_HOSTS / 2 {
+        } else if hosts <= MAX_DIRECT_READERS / 2 {
             self.is_fleet = false;
         }
     }
@@ -53,7 +53,7 @@
 /// failure domain.
 pub fn aggregators<'a>(candidates: impl IntoIterator<Item = &'a Candidate>) -> Vec<&'a Name> {
     let candidates: Vec<&Candidate> = candidates.into_iter().collect();
-    if candidates.len() <= FEW_HOSTS {
+    if candidates.len() <= MAX_DIRECT_READERS {
         return candidates.into_iter().map(|candidate| &candidate.host).collect();
     }
     firsts(candidates)
--- a/crates/fanout/src/contact.rs
+++ b/crates/fanout/src/contact.rs
@@ -26,7 +26,7 @@
 
 /// Answers of the store, and their absence.
 #[derive(Clone, Copy, Debug)]
-pub struct Contact {
+pub struct StoreContact {
     return_ms: u64,
     answered: Option<Tick>,
     /// The sending of the first call that was lost since the last answer, or may be.
@@ -61,7 +61,7 @@
 /// milliseconds.
 const TOLD_MS: u64 = 1_000;
 
-impl Contact {
+impl StoreContact {
     /// After trouble of the store ends, this host has to know within `contact_ms` which upstreams have
     /// left.
     pub fn new(contact_ms: u64) -> Self {
@@ -95,7 +95,7 @@
 
     /// The store answered a call sent at `sent`. Tells whether its way is open again, so that calls
     /// that hang since before that should be given up.
-    pub fn answered(&mut self, sent: Tick, now: Tick) -> bool {
+    pub fn record_answer(&mut self, sent: Tick, now: Tick) -> bool {
         let is_quick = now.since(sent) < DOUBT_MS;
         let is_return = is_quick && self.is_doubtful(now);
         if self.is_away(now) {
@@ -107,7 +107,7 @@
     }
 
     /// The store came back from a copy of itself, however short it was away.
-    pub fn came_back(&mut self, now: Tick) {
+    pub fn record_return(&mut self, now: Tick) {
         self.ended = Some(now);
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// A call sent at `sent` was refused or not answered.
-    pub fn failed(&mut self, sent: Tick) {
+    pub fn record_failure(&mut self, sent: Tick) {
         // What was answered since says more.
         if self.answered.is_none_or(|at| at <= sent) {
             self.unanswered = Some(self.unanswered.map_or(sent, |first| first.min(sent)));
@@ -125,7 +125,7 @@
     }
 
     /// The host that this one hears from told what it knows of the store.
-    pub fn told(&mut self, now: Tick, state: StoreState) {
+    pub fn record_peer_state(&mut self, now: Tick, state: StoreState) {
         match state {
             StoreState::Steady => {}
             StoreState::Away => self.told_away = Some(now + TOLD_MS),
@@ -146,23 +146,23 @@
     }
 
     /// Milliseconds since the first call that was lost, or may be; 0 if none was.
-    pub fn silent_ms(&self, now: Tick) -> u64 {
+    pub fn unanswered_ms(&self, now: Tick) -> u64 {
         self.unanswered.map_or(0, |since| now.since(since))
     }
 
     fn is_doubtful(&self, now: Tick) -> bool {
-        self.silent_ms(now) >= DOUBT_MS
+        self.unanswered_ms(now) >= DOUBT_MS
     }
 
     fn is_away(&self, now: Tick) -> bool {
-        let is_failing = self.silent_ms(now) >= FAILING_MS;
+        let is_failing = self.unanswered_ms(now) >= FAILING_MS;
         let is_silent = self.answered.is_some_and(|at| now.since(at) >= SILENT_MS);
         let is_told = self.told_away.is_some_and(|until| now < until);
         is_failing || is_silent || is_told
     }
 
     /// Whether keys may be missing of those that live: the store is away, or came back just now.
-    pub fn is_recent(&self, now: Tick) -> bool {
+    pub fn may_miss_keys(&self, now: Tick) -> bool {
         self.is_away(now) || self.since_return(now).is_some()
     }
 
@@ -173,7 +173,7 @@
 
     /// How long a key that is missing is waited for, in milliseconds: until all that live have had
     /// the time to write theirs.
-    pub fn wait_ms(&self, now: Tick) -> u64 {
+    pub fn missing_key_wait_ms(&self, now: Tick) -> u64 {
         match self.ended {
             Some(ended) if !self.is_away(now) => self.return_ms.saturating_sub(now.since(ended)),
             _ => self.return_ms,
--- a/crates/fanout/src/event.rs
+++ b/crates/fanout/src/event.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
     /// Nowhere yet: it looks for a host to hear from.
-    Nobody,
+    Searching,
     /// It watches the store.
     Store,
     /// Another host passes on what it knows.
@@ -21,7 +21,7 @@
     /// The hosts that live, this one included.
     Candidates(Vec<Candidate>),
     /// A host that others hear from told how it stands.
-    Told {
+    Status {
         /// The host.
         from: Name,
         /// Milliseconds since the store last confirmed what it passes on; none if it never did.
@@ -44,9 +44,9 @@
         age_ms: Option<u64>,
     },
     /// Something that the source passed on is missing.
-    Missed,
+    ChangesMissed,
     /// Milliseconds since the store last confirmed what this host reads there; none if it never did.
-    Confirmed(Option<u64>),
+    StoreConfirmed(Option<u64>),
     /// The store answered a probe, or did not.
     Probed(bool),
     /// The hosts that hear from this one.
@@ -65,7 +65,7 @@
     /// Tell a host that its messages are needed no more.
     Unsubscribe(Name),
     /// Read the list of hosts, however old.
-    Survey,
+    ListHosts,
     /// Read something small from the store, to see whether it answers.
     Probe,
     /// Tell all hosts how this one stands: it reads the store, while those before it in the order can't.
@@ -91,7 +91,7 @@
     /// The earlier one stops.
     Leaving,
     /// Nobody answered in time.
-    Nobody,
+    NoAnswer,
 }
 
 impl Reason {
@@ -102,7 +102,7 @@
             Self::Silent => "silent",
             Self::Stale => "stale",
             Self::Leaving => "leaving",
-            Self::Nobody => "nobody",
+            Self::NoAnswer => "nobody",
         }
     }
 }
--- a/crates/fanout/src/freshness.rs
+++ b/crates/fanout/src/freshness.rs
@@ -9,7 +9,7 @@
 use vanetally_types::{Name, Tick};
 
 /// One life of a host's process.
-pub type Life = u64;
+pub type HostIncarnation = u64;
 
 /// What one host knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SourceClock {
     host: Name,
-    life: Life,
+    life: HostIncarnation,
     asked: Tick,
     stated: Tick,
 }
@@ -38,11 +38,11 @@
 
 /// A word of a host that passes on what it knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Word {
+pub struct SourceStatus {
     /// The host.
     pub host: Name,
     /// The life of its process.
-    pub life: Life,
+    pub life: HostIncarnation,
     /// When it was written, by that host's clock.
     pub stated: Tick,
     /// Milliseconds since the host's configuration was certainly the newest; none if that is not known.
@@ -57,12 +57,12 @@
 
 impl Freshness {
     /// The store answered a question that was sent at `asked`, and what it told is in force.
-    pub fn read(&mut self, asked: Tick) {
+    pub fn record_read(&mut self, asked: Tick) {
         self.confirmed = self.confirmed.max(Some(asked));
     }
 
     /// When the configuration in force was certainly the newest.
-    pub fn confirmed(&self) -> Option<Tick> {
+    pub fn confirmed_at(&self) -> Option<Tick> {
         self.confirmed
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Whether to ask `source` for its clock now; takes it as asked.
-    pub fn should_ask(&mut self, now: Tick, source: &Name) -> bool {
+    pub fn should_ask_clock(&mut self, now: Tick, source: &Name) -> bool {
         let is_recent = |(host, at): &(Name, Tick)| host == source && now.since(*at) < ASK_MS;
         if self.asked.as_ref().is_some_and(is_recent) {
             return false;
@@ -82,7 +82,7 @@
     }
 
     /// A host answered with its clock, and a word, to the question that was sent at `asked`.
-    pub fn answered(&mut self, asked: Tick, word: &Word, own_version: u64) {
+    pub fn record_clock(&mut self, asked: Tick, word: &SourceStatus, own_version: u64) {
         let new =
             SourceClock { host: word.host.clone(), life: word.life, asked, stated: word.stated };
         let is_same = |old: &&SourceClock| old.host == new.host && old.life == new.life;
@@ -94,11 +94,11 @@
         if !is_worse {
             self.clock = Some(new);
         }
-        self.told(word, own_version);
+        self.record_status(word, own_version);
     }
 
     /// The source told how it stands.
-    pub fn told(&mut self, word: &Word, own_version: u64) {
+    pub fn record_status(&mut self, word: &SourceStatus, own_version: u64) {
         let clock = self.clock.as_ref();
         let clock = clock.filter(|clock| clock.host == word.host && clock.life == word.life);
         let (Some(clock), Some(age_ms)) = (clock, word.age_ms) else {
--- a/crates/fanout/src/mirror.rs
+++ b/crates/fanout/src/mirror.rs
@@ -27,12 +27,12 @@
 
 impl Mirror {
     /// The revision up to which all changes are known.
-    pub fn at(&self) -> Option<Revision> {
+    pub fn revision(&self) -> Option<Revision> {
         self.at
     }
 
     /// Whether something is missing of what was told up to `told`.
-    pub fn lacks(&self, told: Revision) -> bool {
+    pub fn is_behind(&self, told: Revision) -> bool {
         self.at.is_none_or(|at| at < told)
     }
 
@@ -53,7 +53,7 @@
             return false;
         }
         self.newest = at;
-        if self.follows(at) {
+        if self.is_same_era(at) {
             self.note_unlisted(at, items);
         } else {
             self.gone.clear();
@@ -66,13 +66,13 @@
     }
 
     /// Whether a reading at `at` goes on with what is known: both are of one era, so that what differs can be told.
-    pub fn follows(&self, at: Revision) -> bool {
+    pub fn is_same_era(&self, at: Revision) -> bool {
         self.at.is_some_and(|known| known.era == at.era)
     }
 
     /// Nothing beyond what is known changed up to `at`.
     pub fn advance(&mut self, at: Revision) {
-        if self.follows(at) {
+        if self.is_same_era(at) {
             self.at = self.at.max(Some(at));
         }
     }
@@ -80,7 +80,7 @@
     /// What changed after `have`, for a host that knows everything up to there; `None` if what went since
     /// then is not remembered, `have` is of another era, or nothing was read.
     pub fn changes_since(&self, have: Revision) -> Option<Vec<Change>> {
-        if !self.follows(have) || have < self.gone_since {
+        if !self.is_same_era(have) || have < self.gone_since {
             return None;
         }
         let gone = self.gone.iter().filter(|(revision, _)| *revision > have);
@@ -129,7 +129,7 @@
         changes: Vec<Change>,
     ) -> Result<Vec<Change>, Gap> {
         let known = self.at.ok_or(Gap)?;
-        if known < after || !self.follows(after) || !self.follows(at) {
+        if known < after || !self.is_same_era(after) || !self.is_same_era(at) {
             return Err(Gap);
         }
         let news: Vec<Change> = changes.into_iter().filter(|change| self.is_news(change)).collect();
--- a/crates/fanout/src/path.rs
+++ b/crates/fanout/src/path.rs
@@ -7,15 +7,15 @@
 
 /// Stands for a host: a name in four bytes, since each word of each host carries some. Two of 400 hosts share one in
 /// 1 of 50,000 deployments, and then pass each other over.
-pub type Mark = u32;
+pub type Hop = u32;
 
 /// The marks of the hosts on the way, the reader of the store first.
-pub type Path = Vec<Mark>;
+pub type Path = Vec<Hop>;
 
 /// Hosts on a way, at most: longer ones are not taken.
 pub(crate) const MOST_HOSTS: usize = 8;
 
 /// The mark of a host.
-pub fn mark(host: &Name) -> Mark {
-    hash64(host.as_bytes()) as Mark
+pub fn hop(host: &Name) -> Hop {
+    hash64(host.as_bytes()) as Hop
 }
--- a/crates/fanout/src/pull.rs
+++ b/crates/fanout/src/pull.rs
@@ -19,7 +19,7 @@
     /// The host `of` holds a newer version than this one; tells whether to ask for it now, and takes
     /// it as asked. What is under way is waited for, however many versions follow: the answer brings
     /// the newest one.
-    pub fn should_ask(&mut self, now: Tick, of: &Name) -> bool {
+    pub fn should_request(&mut self, now: Tick, of: &Name) -> bool {
         let is_under_way = self.asked.as_ref().is_some_and(|(host, at)| {
             let limit = if host == of { AGAIN_MS } else { OTHER_MS };
             now.since(*at) < limit
@@ -31,7 +31,7 @@
     }
 
     /// What was asked for came: the next version may be asked for at once.
-    pub fn came(&mut self) {
+    pub fn received(&mut self) {
         self.asked = None;
     }
 }
--- a/crates/fanout/src/follow.rs
+++ b/crates/fanout/src/source_selector.rs
@@ -10,15 +10,15 @@
 use crate::{
     Action, Candidate, Event, Reason, Source,
     candidate::{Fleet, Parent, firsts, parent, root},
-    heard::{Asked, Heard, Looks, STALE_MS, Search, State, is_old, is_unconfirmed},
-    path::{MOST_HOSTS, Path, mark},
+    path::{MOST_HOSTS, Path, hop},
+    source_state::{Asked, Heard, Looks, STALE_MS, Search, State, is_old, is_unconfirmed},
 };
 use std::collections::{BTreeMap, BTreeSet};
 use vanetally_types::{Name, Tick};
 
 /// The choice of one host.
 #[derive(Clone, Debug)]
-pub struct Follow {
+pub struct SourceSelector {
     pub(crate) me: Name,
     pub(crate) domain: Name,
     pub(crate) candidates: Vec<Candidate>,
@@ -60,7 +60,7 @@
 /// its sockets, and words come every tenth of a second.
 const RESPITE_MS: u64 = 300;
 
-impl Follow {
+impl SourceSelector {
     /// The host `me` of the failure domain `domain`, which starts at `now` and knows nothing; at a first start
     /// all others start as well.
     pub fn new(now: Tick, me: Name, domain: Name, is_first_start: bool) -> Self {
@@ -92,7 +92,7 @@
     /// Where this host reads now.
     pub fn source(&self) -> Source {
         match &self.state {
-            State::Starting(_) => Source::Nobody,
+            State::Starting(_) => Source::Searching,
             State::Store { .. } => Source::Store,
             State::Host(heard) => Source::Host(heard.host.clone()),
         }
@@ -169,7 +169,7 @@
             State::Store { .. } => Path::new(),
             State::Host(heard) => self.paths.get(&heard.host).cloned().unwrap_or_default(),
         };
-        path.push(mark(&self.me));
+        path.push(hop(&self.me));
         path
     }
 
@@ -182,12 +182,12 @@
         let Some(path) = self.paths.get(from).filter(|path| !path.is_empty()) else {
             return !self.subscribers.contains(from);
         };
-        let me = mark(&self.me);
+        let me = hop(&self.me);
         if path.contains(&me) || path.len() >= MOST_HOSTS {
             return false;
         }
         let reads = matches!(self.state, State::Store { .. }) && self.stale_ms(now).is_none();
-        let first = || root(self.usable(None)).map(mark);
+        let first = || root(self.usable(None)).map(hop);
         !reads || path[0] < me || first() == Some(path[0])
     }
 
@@ -201,15 +201,15 @@
                 self.candidates = candidates;
                 self.parents.clear();
             }
-            Event::Told { from, age_ms, is_leaving } => {
+            Event::Status { from, age_ms, is_leaving } => {
                 self.told(now, from, age_ms, is_leaving, &mut actions);
             }
             Event::Path { from, path } => {
                 self.paths.insert(from, path);
             }
             Event::Synced { from, age_ms } => self.synced(now, from, age_ms, &mut actions),
-            Event::Missed => self.missed(now, &mut actions),
-            Event::Confirmed(age_ms) => self.confirmed(now, age_ms, &mut actions),
+            Event::ChangesMissed => self.missed(now, &mut actions),
+            Event::StoreConfirmed(age_ms) => self.confirmed(now, age_ms, &mut actions),
             Event::Probed(is_answered) => self.probed(now, is_answered, &mut actions),
             Event::Subscribers(hosts) => self.subscribers = hosts,
             Event::Stalled => self.stalled(now),
--- a/crates/fanout/src/spacing.rs
+++ b/crates/fanout/src/spacing.rs
@@ -29,7 +29,7 @@
 
 /// Milliseconds between two words of an aggregator with `capacity` percent of a processor, 0 if that is not known,
 /// to `hosts` hosts, and between two of their reports to it.
-pub fn telling_ms(hosts: usize, capacity: u32) -> u64 {
+pub fn status_interval_ms(hosts: usize, capacity: u32) -> u64 {
     let share = if capacity == 0 { HALF } else { f64::from(capacity) };
     let turns = hosts as f64 / (HALF_FANOUT * share / HALF);
     let ms = LEAST_MS * turns.max(1.0);
@@ -51,7 +51,7 @@
     }
 
     /// So many bytes were sent, to all hosts together.
-    pub fn sent(&mut self, now: Tick, bytes: usize) {
+    pub fn record_sent(&mut self, now: Tick, bytes: usize) {
         let pause_ms = self.per_ms.map_or(0.0, |per_ms| bytes as f64 / per_ms);
         self.due = now + pause_ms as u64;
     }
--- a/crates/fanout/src/review.rs
+++ b/crates/fanout/src/timeouts.rs
@@ -1,10 +1,10 @@
 //! What time brings: sources that fall silent or stale are left, those that come first in the order are asked.
 
 use crate::{
-    Action, Follow, Reason,
+    Action, Reason, SourceSelector,
     candidate::{Parent, place},
-    follow::{OFFER_MS, SILENT_MS, SUSPECT_MS},
-    heard::{Asked, Heard, Looks, Search, State, is_unconfirmed},
+    source_selector::{OFFER_MS, SILENT_MS, SUSPECT_MS},
+    source_state::{Asked, Heard, Looks, Search, State, is_unconfirmed},
 };
 use vanetally_types::{Name, Tick};
 
@@ -41,7 +41,7 @@
 /// Between two probes of the store, in milliseconds.
 const PROBE_MS: u64 = 500;
 
-impl Follow {
+impl SourceSelector {
     pub(crate) fn tick(&mut self, now: Tick, actions: &mut Vec<Action>) {
         let suspects = self.suspects.len();
         self.suspects.retain(|_, until| now < *until);
@@ -68,11 +68,11 @@
             }
         }
         if now.since(search.since) > self.alone_ms() {
-            return self.read_store(now, Reason::Nobody, actions);
+            return self.read_store(now, Reason::NoAnswer, actions);
         }
         if search.surveyed.is_none_or(|at| now.since(at) >= SURVEY_MS) {
             self.state = State::Starting(Search { surveyed: Some(now), ..search });
-            actions.push(Action::Survey);
+            actions.push(Action::ListHosts);
         }
     }
 
@@ -191,7 +191,9 @@
             Parent::Host(host) if self.subscribers.contains(&host) => {
                 self.read_store(now, Reason::Silent, actions);
             }
-            _ if now.since(lost) > self.alone_ms() => self.read_store(now, Reason::Nobody, actions),
+            _ if now.since(lost) > self.alone_ms() => {
+                self.read_store(now, Reason::NoAnswer, actions)
+            }
             Parent::Host(host) => self.ask_next(now, host, actions),
         }
     }
--- a/crates/fanout/src/totals.rs
+++ b/crates/fanout/src/totals.rs
@@ -6,7 +6,7 @@
 
 /// Which of a host's reports a sum includes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reported {
+pub struct IncludedReport {
     /// The host.
     pub host: Name,
     /// The number of its report.
@@ -44,7 +44,7 @@
 
 impl Totals {
     /// Numbers a report of this host before it is sent.
-    pub fn number(&mut self, now: Tick, digest: &Digest) -> u64 {
+    pub fn number_report(&mut self, now: Tick, digest: &Digest) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
         self.sent.push_back(Report { number, loads: digest.loads.clone(), at: now });
@@ -55,7 +55,7 @@
     }
 
     /// A host reported to this one.
-    pub fn take_report(&mut self, now: Tick, host: Name, number: u64, digest: Digest) {
+    pub fn record_report(&mut self, now: Tick, host: Name, number: u64, digest: Digest) {
         self.add_demand(digest.demand);
         self.listeners.remove(&host);
         self.subscribers.insert(host, Report { number, loads: digest.loads, at: now });
@@ -70,7 +70,7 @@
     }
 
     /// An aggregator hears from this host.
-    pub fn listen(&mut self, now: Tick, host: Name) {
+    pub fn add_listener(&mut self, now: Tick, host: Name) {
         self.subscribers.remove(&host);
         self.listeners.insert(host, now);
     }
@@ -92,12 +92,12 @@
     }
 
     /// Another aggregator told its sum.
-    pub fn take_sum(&mut self, now: Tick, from: Name, loads: Vec<LoadRow>) {
+    pub fn record_sum(&mut self, now: Tick, from: Name, loads: Vec<LoadRow>) {
         self.elsewhere.insert(from, (loads, now));
     }
 
     /// The aggregators heard lately.
-    pub fn elsewhere(&self) -> impl Iterator<Item = &Name> {
+    pub fn peer_aggregators(&self) -> impl Iterator<Item = &Name> {
         self.elsewhere.keys()
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// The load of this host and its subscribers, and the demand since the last call.
-    pub fn take_own_sum(&mut self, own: &Digest) -> Digest {
+    pub fn take_local_sum(&mut self, own: &Digest) -> Digest {
         let reports = self.subscribers.values().map(|report| &report.loads);
         let loads = add_up(reports.chain([&own.loads]));
         Digest { loads, demand: std::mem::take(&mut self.demand) }
@@ -127,18 +127,18 @@
 
     /// The load of all hosts, given that of this one and its subscribers; and which reports it
     /// includes.
-    pub fn total(&self, own_sum: &Digest) -> (Vec<Reported>, Vec<LoadRow>) {
+    pub fn total(&self, own_sum: &Digest) -> (Vec<IncludedReport>, Vec<LoadRow>) {
         let elsewhere = self.elsewhere.values().map(|(loads, _)| loads);
         let loads = add_up(elsewhere.chain([&own_sum.loads]));
         let reported = self
             .subscribers
             .iter()
-            .map(|(host, report)| Reported { host: host.clone(), number: report.number });
+            .map(|(host, report)| IncludedReport { host: host.clone(), number: report.number });
         (reported.collect(), loads)
     }
 
     /// The load of all other hosts, given a sum that includes this host's report `number`.
-    pub fn others(&mut self, number: u64, mut total: Vec<LoadRow>) -> Vec<LoadRow> {
+    pub fn without_own(&mut self, number: u64, mut total: Vec<LoadRow>) -> Vec<LoadRow> {
         while self.sent.front().is_some_and(|report| report.number < number) {
             self.sent.pop_front();
         }
--- a/crates/fanout/tests/aggregators.rs
+++ b/crates/fanout/tests/aggregators.rs
@@ -1,7 +1,7 @@
 //! Which hosts are aggregators.
 
 use rstest::rstest;
-use vanetally_fanout::{Candidate, FEW_HOSTS, aggregators};
+use vanetally_fanout::{Candidate, MAX_DIRECT_READERS, aggregators};
 
 fn candidates(domains: &[(&str, usize, u32)]) -> Vec<Candidate> {
     let rows = domains.iter().flat_map(|(domain, count, capacity)| {
@@ -16,8 +16,8 @@
 
 #[test]
 fn few_all() {
-    let hosts = candidates(&[("a", FEW_HOSTS / 2, 12), ("b", FEW_HOSTS / 2, 50)]);
-    assert_eq!(aggregators(&hosts).len(), FEW_HOSTS);
+    let hosts = candidates(&[("a", MAX_DIRECT_READERS / 2, 12), ("b", MAX_DIRECT_READERS / 2, 50)]);
+    assert_eq!(aggregators(&hosts).len(), MAX_DIRECT_READERS);
 }
 
 #[rstest]
--- a/crates/fanout/tests/fleet/mod.rs
+++ b/crates/fanout/tests/fleet/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, missing_docs)]
 
 use std::collections::{BTreeMap, BTreeSet};
-use vanetally_fanout::{Action, Candidate, Event, Follow, Path, Source};
+use vanetally_fanout::{Action, Candidate, Event, Path, Source, SourceSelector};
 use vanetally_types::{Name, Tick};
 
 pub const DOMAINS: usize = 5;
@@ -18,7 +18,7 @@
 
 /// One host: its choice of a source, and when the store last confirmed what it knows.
 pub struct Host {
-    pub follow: Follow,
+    pub follow: SourceSelector,
     pub confirmed: Option<u64>,
     /// Hosts that asked to hear from this one, and when.
     pub subscribers: BTreeMap<Name, u64>,
@@ -70,7 +70,7 @@
         for number in 0..DOMAINS * HOSTS {
             let (host, domain): (Name, Name) =
                 (format!("h{number}").into(), format!("z{}", number % DOMAINS).into());
-            let follow = Follow::new(Tick(START), host.clone(), domain.clone(), false);
+            let follow = SourceSelector::new(Tick(START), host.clone(), domain.clone(), false);
             fleet.listed.insert(host.clone());
             fleet.domains.insert(host.clone(), domain);
             let one = Host {
@@ -112,7 +112,7 @@
         match action {
             Action::Subscribe(to) => self.mail.push(send(to, Message::Subscribe)),
             Action::Unsubscribe(to) => self.mail.push(send(to, Message::Unsubscribe)),
-            Action::Survey if self.can_read(host) => {
+            Action::ListHosts if self.can_read(host) => {
                 let listed = Event::Candidates(self.candidates());
                 self.answers.push((self.now + WAY_MS, host.clone(), listed));
             }
@@ -131,7 +131,7 @@
                 self.mail.extend(words);
             }
             Action::Switch { to: Source::Store, .. } => self.readings += 1,
-            Action::Survey | Action::Switch { .. } => {}
+            Action::ListHosts | Action::Switch { .. } => {}
         }
     }
 
@@ -163,7 +163,7 @@
                 self.tell(to, Event::Path { from: from.clone(), path });
                 self.hear(from, to, age_ms);
                 let from = from.clone();
-                self.tell(to, Event::Told { from, age_ms, is_leaving: false });
+                self.tell(to, Event::Status { from, age_ms, is_leaving: false });
             }
             Message::Sync { age_ms, path } => {
                 self.tell(to, Event::Path { from: from.clone(), path });
@@ -250,7 +250,7 @@
                     self.confirm(host, Some(self.now));
                 }
                 let age_ms = self.age_ms(host);
-                self.tell(host, Event::Confirmed(age_ms));
+                self.tell(host, Event::StoreConfirmed(age_ms));
             }
             self.tell(host, Event::Tick);
             if (self.now / TICK_MS).is_multiple_of(WORD_MS / TICK_MS) && self.hosts[host].is_up {
--- a/crates/fanout/tests/fleet_trouble.rs
+++ b/crates/fanout/tests/fleet_trouble.rs
@@ -76,7 +76,7 @@
 #[test]
 fn links_broken() {
     let mut fleet = Fleet::settled();
-    fleet.tell_all(|| Event::Missed);
+    fleet.tell_all(|| Event::ChangesMissed);
     fleet.play(2_000);
     assert_eq!(fleet.readings, 0);
 }
--- a/crates/fanout/tests/messages.rs
+++ b/crates/fanout/tests/messages.rs
@@ -4,7 +4,7 @@
 use vanetally_dispatch::{Digest, LimitRow, LoadRow};
 use vanetally_fanout::{Packed, Patch, Versions};
 use vanetally_link::peer::{decode, encode};
-use vanetally_pacing::{Prompt, Slot};
+use vanetally_pacing::{Prompt, SlotReply};
 use vanetally_types::Incarnation;
 
 fn digest() -> Digest {
@@ -24,7 +24,7 @@
 fn read_all(bytes: &[u8]) {
     let _ = decode::<Digest>(bytes);
     let _ = decode::<Prompt>(bytes);
-    let _ = decode::<Slot>(bytes);
+    let _ = decode::<SlotReply>(bytes);
     if let Some(packed) = decode::<Packed>(bytes) {
         let _ = packed.try_unpack();
     }
--- a/crates/fanout/tests/mirror.rs
+++ b/crates/fanout/tests/mirror.rs
@@ -30,7 +30,7 @@
         .unwrap();
     assert_eq!(news, changes);
     assert_eq!(keys(&mirror), ["b"]);
-    assert_eq!(mirror.at(), Some(Revision::without_era(8)));
+    assert_eq!(mirror.revision(), Some(Revision::without_era(8)));
 }
 
 #[test]
@@ -97,7 +97,7 @@
             .is_ok()
     );
     mirror.try_replace(Revision::without_era(705), &[item("servers/a", 700)]);
-    assert_eq!(mirror.at(), Some(Revision::without_era(716)), "what is known stays known");
+    assert_eq!(mirror.revision(), Some(Revision::without_era(716)), "what is known stays known");
     let change = Change::Put(item("servers/a", 718));
     let news =
         mirror.try_apply(Revision::without_era(716), Revision::without_era(718), vec![change]);
@@ -122,8 +122,8 @@
 #[test]
 fn lost_message() {
     let mut follower = read_at(5, &[]);
-    assert!(!follower.lacks(Revision::without_era(5)));
-    assert!(follower.lacks(Revision::without_era(7)));
+    assert!(!follower.is_behind(Revision::without_era(5)));
+    assert!(follower.is_behind(Revision::without_era(7)));
     follower
         .try_apply(
             Revision::without_era(5),
@@ -131,8 +131,8 @@
             vec![Change::Put(item("a", 7))],
         )
         .unwrap();
-    assert!(!follower.lacks(Revision::without_era(7)));
-    assert!(Mirror::default().lacks(Revision::without_era(0)), "nothing was read");
+    assert!(!follower.is_behind(Revision::without_era(7)));
+    assert!(Mirror::default().is_behind(Revision::without_era(0)), "nothing was read");
 }
 
 /// A host that was away a while is told what changed meanwhile, and not everything.
@@ -181,10 +181,10 @@
 fn advanced() {
     let mut follower = read_at(5, &[item("a", 3)]);
     follower.advance(Revision::without_era(20));
-    assert_eq!(follower.at(), Some(Revision::without_era(20)));
+    assert_eq!(follower.revision(), Some(Revision::without_era(20)));
     let mut unread = Mirror::default();
     unread.advance(Revision::without_era(20));
-    assert_eq!(unread.at(), None, "nothing was read");
+    assert_eq!(unread.revision(), None, "nothing was read");
 }
 
 fn in_era(era: u64, number: u64) -> Revision {
@@ -201,7 +201,7 @@
     let mut mirror = Mirror::default();
     assert!(mirror.try_replace(in_era(1, 500), &[item_in(1, "a", 490), item_in(1, "b", 500)]));
     assert!(mirror.try_replace(in_era(2, 480), &[item_in(2, "a", 470)]));
-    assert_eq!((keys(&mirror), mirror.at()), (vec!["a".into()], Some(in_era(2, 480))));
+    assert_eq!((keys(&mirror), mirror.revision()), (vec!["a".into()], Some(in_era(2, 480))));
     let change = Change::Put(item_in(2, "c", 481));
     let news = mirror.try_apply(in_era(2, 480), in_era(2, 481), vec![change.clone()]);
     assert_eq!(news, Ok(vec![change]));
@@ -216,8 +216,8 @@
     let changes = vec![Change::Put(item_in(1, "b", 901))];
     assert_eq!(mirror.try_apply(in_era(1, 900), in_era(1, 901), changes), Err(Gap));
     mirror.advance(in_era(1, 950));
-    assert!(!mirror.lacks(in_era(1, 950)), "it is behind");
-    assert_eq!((keys(&mirror), mirror.at()), (vec!["a".into()], Some(in_era(2, 10))));
+    assert!(!mirror.is_behind(in_era(1, 950)), "it is behind");
+    assert_eq!((keys(&mirror), mirror.revision()), (vec!["a".into()], Some(in_era(2, 10))));
 }
 
 /// The watch goes on from a revision that the store has again, but as another change.
@@ -228,7 +228,7 @@
     let changes = vec![Change::Put(item_in(2, "a", 502))];
     assert_eq!(mirror.try_apply(in_era(1, 500), in_era(2, 502), changes.clone()), Err(Gap));
     assert_eq!(mirror.try_apply(in_era(2, 500), in_era(2, 502), changes), Err(Gap));
-    assert!(mirror.lacks(in_era(2, 1)), "all of the next era is missing");
+    assert!(mirror.is_behind(in_era(2, 1)), "all of the next era is missing");
 }
 
 /// What differs between eras can't be told: who knows another one needs everything.
--- a/crates/fanout/tests/mirror_model.rs
+++ b/crates/fanout/tests/mirror_model.rs
@@ -132,7 +132,7 @@
                     // A gap changes nothing.
                     let _ = mirror.try_apply(revision(era, after), revision(era, at), changes);
                 }
-                Heard::Watch { era, at } if mirror.at().is_some() => {
+                Heard::Watch { era, at } if mirror.revision().is_some() => {
                     let from = known.number as usize;
                     let at = at.max(from);
                     let changes = changes(&histories[era], era, from, at);
@@ -149,7 +149,7 @@
                 Heard::Word { era, at } => mirror.advance(revision(era, at)),
                 Heard::Difference { era, at } => {
                     let other = read(&histories[era], era, at);
-                    if let (Some(have), Some(at)) = (mirror.at(), other.at())
+                    if let (Some(have), Some(at)) = (mirror.revision(), other.revision())
                         && let Some(changes) = other.changes_since(have)
                     {
                         prop_assert!(mirror.try_apply(have, at, changes).is_ok());
@@ -157,7 +157,7 @@
                 }
                 Heard::Watch { .. } => {}
             }
-            let Some(at) = mirror.at() else {
+            let Some(at) = mirror.revision() else {
                 continue;
             };
             prop_assert!(at >= known, "{at:?} after {known:?}");
--- a/crates/fanout/tests/recorded.rs
+++ b/crates/fanout/tests/recorded.rs
@@ -7,7 +7,7 @@
 use vanetally_dispatch::{DemandRow, Digest, LimitRow, LoadRow};
 use vanetally_limit::{Answer, Question};
 use vanetally_link::peer::{decode, encode};
-use vanetally_pacing::{Moment, Prefix, Prompt, Slot};
+use vanetally_pacing::{Prefix, Prompt, SendSlot, SlotReply};
 use vanetally_types::Incarnation;
 
 /// A digest before rows told limits.
@@ -86,11 +86,11 @@
     };
     reads(PROMPT, &prompt);
     writes(&prompt, PROMPT);
-    let moment = Moment { delay_ms: 3, unread: 80, ahead_ms: 5, is_trial: true };
-    reads(GRANTED, &Slot::Granted(moment));
-    writes(&Slot::Granted(moment), GRANTED);
-    reads(BUSY, &Slot::Busy { retry_ms: 12 });
-    writes(&Slot::Busy { retry_ms: 12 }, BUSY);
+    let moment = SendSlot { delay_ms: 3, unread: 80, ahead_ms: 5, is_trial: true };
+    reads(GRANTED, &SlotReply::Granted(moment));
+    writes(&SlotReply::Granted(moment), GRANTED);
+    reads(BUSY, &SlotReply::Busy { retry_ms: 12 });
+    writes(&SlotReply::Busy { retry_ms: 12 }, BUSY);
 }
 
 #[test]
--- a/crates/fanout/tests/follow.rs
+++ b/crates/fanout/tests/source_selector.rs
@@ -1,11 +1,13 @@
 //! From whom a host hears what lies in the store.
 
 use std::collections::BTreeSet;
-use vanetally_fanout::{Action, Candidate, Event, FEW_HOSTS, Follow, Path, Reason, Source};
+use vanetally_fanout::{
+    Action, Candidate, Event, MAX_DIRECT_READERS, Path, Reason, Source, SourceSelector,
+};
 use vanetally_types::{Name, Tick};
 
 const DOMAINS: [&str; 2] = ["z1", "z2"];
-const HOSTS: usize = FEW_HOSTS + 8;
+const HOSTS: usize = MAX_DIRECT_READERS + 8;
 
 fn candidates() -> Vec<Candidate> {
     let one = |number: usize| Candidate {
@@ -54,19 +56,19 @@
     (host, domain)
 }
 
-fn host(me: &Name, domain: &str) -> Follow {
-    let mut follow = Follow::new(START, me.clone(), domain.into(), false);
+fn host(me: &Name, domain: &str) -> SourceSelector {
+    let mut follow = SourceSelector::new(START, me.clone(), domain.into(), false);
     follow.handle(START, Event::Candidates(candidates()));
     follow
 }
 
 /// A host of the first domain that comes last in its order.
-fn follower() -> Follow {
+fn follower() -> SourceSelector {
     host(order().last().unwrap(), "z1")
 }
 
 /// The same, and it hears from the first.
-fn subscribed() -> Follow {
+fn subscribed() -> SourceSelector {
     let mut follow = follower();
     let first = order()[0].clone();
     assert!(follow.handle(START, Event::Tick).contains(&Action::Subscribe(first.clone())));
@@ -84,31 +86,31 @@
 }
 
 fn told(from: &Name, age_ms: Option<u64>) -> Event {
-    Event::Told { from: from.clone(), age_ms, is_leaving: false }
+    Event::Status { from: from.clone(), age_ms, is_leaving: false }
 }
 
 fn leaving(from: &Name) -> Event {
-    Event::Told { from: from.clone(), age_ms: Some(0), is_leaving: true }
+    Event::Status { from: from.clone(), age_ms: Some(0), is_leaving: true }
 }
 
 const START: Tick = Tick(1_000_000);
 
 #[test]
 fn survey_first() {
-    let mut follow = Follow::new(START, "h1".into(), "z1".into(), false);
-    assert_eq!(follow.handle(START, Event::Tick), [Action::Survey]);
-    assert_eq!(follow.source(), Source::Nobody);
+    let mut follow = SourceSelector::new(START, "h1".into(), "z1".into(), false);
+    assert_eq!(follow.handle(START, Event::Tick), [Action::ListHosts]);
+    assert_eq!(follow.source(), Source::Searching);
     assert_eq!(follow.handle(START + 100, Event::Tick), []);
-    assert_eq!(follow.handle(START + 200, Event::Tick), [Action::Survey]);
+    assert_eq!(follow.handle(START + 200, Event::Tick), [Action::ListHosts]);
 }
 
 /// A host that finds nobody is not left without: it reads the store itself.
 #[test]
 fn nobody_reads_store() {
-    let mut follow = Follow::new(START, "h1".into(), "z1".into(), false);
+    let mut follow = SourceSelector::new(START, "h1".into(), "z1".into(), false);
     let switched = (0..100u64).map(|n| n * 20).find(|at| {
         let actions = follow.handle(START + *at, Event::Tick);
-        actions.contains(&switch(Source::Store, Reason::Nobody))
+        actions.contains(&switch(Source::Store, Reason::NoAnswer))
     });
     assert!(switched.is_some_and(|at| at <= 1_200), "{switched:?}");
 }
@@ -134,8 +136,8 @@
 
 #[test]
 fn few_read_store() {
-    let mut follow = Follow::new(START, "h1".into(), "z1".into(), false);
-    follow.handle(START, Event::Candidates(candidates()[..FEW_HOSTS].to_vec()));
+    let mut follow = SourceSelector::new(START, "h1".into(), "z1".into(), false);
+    follow.handle(START, Event::Candidates(candidates()[..MAX_DIRECT_READERS].to_vec()));
     assert_eq!(follow.handle(START, Event::Tick), [switch(Source::Store, Reason::Order)]);
 }
 
@@ -145,12 +147,12 @@
 fn fleet_stays() {
     let mut follow = subscribed();
     let mut left = candidates();
-    left.truncate(FEW_HOSTS - 2);
+    left.truncate(MAX_DIRECT_READERS - 2);
     assert!(left.iter().any(|candidate| candidate.host == order()[0]) || left.len() > 6);
     follow.handle(START + 10, Event::Candidates(left));
     let actions = follow.handle(START + 20, Event::Tick);
     assert!(!actions.iter().any(|action| matches!(action, Action::Switch { .. })), "{actions:?}");
-    follow.handle(START + 30, Event::Candidates(candidates()[..FEW_HOSTS / 2].to_vec()));
+    follow.handle(START + 30, Event::Candidates(candidates()[..MAX_DIRECT_READERS / 2].to_vec()));
     assert_eq!(follow.handle(START + 40, Event::Tick), [Action::Probe]);
 }
 
@@ -226,7 +228,7 @@
 fn unasked_ignored() {
     let mut follow = follower();
     assert_eq!(follow.handle(START, synced(&"h-other".into(), Some(0))), []);
-    assert_eq!(follow.source(), Source::Nobody);
+    assert_eq!(follow.source(), Source::Searching);
 }
 
 /// A silent source is left within 0.6 s for the next host, not for the store: what is known stays until that
@@ -319,9 +321,9 @@
     assert!(!follow.handle(START + 140, Event::Tick).contains(&Action::Probe), "once");
     let taken = follow.handle(START + 160, Event::Probed(true));
     assert_eq!(taken[1..], [switch(Source::Store, Reason::Stale)]);
-    assert_eq!(follow.handle(START + 170, Event::Confirmed(None)), []);
-    assert_eq!(follow.handle(START + 180, Event::Confirmed(Some(10))), [Action::Announce]);
-    assert_eq!(follow.handle(START + 200, Event::Confirmed(Some(10))), [], "once");
+    assert_eq!(follow.handle(START + 170, Event::StoreConfirmed(None)), []);
+    assert_eq!(follow.handle(START + 180, Event::StoreConfirmed(Some(10))), [Action::Announce]);
+    assert_eq!(follow.handle(START + 200, Event::StoreConfirmed(Some(10))), [], "once");
 }
 
 /// The source was stale and knew what is new again: when it is stale once more the host looks at once, not when its last
@@ -343,7 +345,7 @@
 fn no_circles() {
     let mut follow = subscribed();
     let order = order();
-    let way = |by: &[&Name]| by.iter().map(|host| vanetally_fanout::mark(host)).collect::<Path>();
+    let way = |by: &[&Name]| by.iter().map(|host| vanetally_fanout::hop(host)).collect::<Path>();
     follow.handle(START + 100, told(&order[0], Some(1_300)));
     let path = way(&[&order[2], follow.me(), &order[1]]);
     follow.handle(START + 110, Event::Path { from: order[1].clone(), path });
@@ -402,7 +404,7 @@
     let domain = if other_aggregator().1 == "z1".into() { "z2" } else { "z1" };
     let mut follow = host(&root(), domain);
     follow.handle(START, Event::Tick);
-    follow.handle(START + 10, Event::Confirmed(Some(0)));
+    follow.handle(START + 10, Event::StoreConfirmed(Some(0)));
     assert_eq!(follow.handle(START + 1_000, Event::Tick), []);
     let asked = follow.handle(START + 1_200, Event::Tick);
     assert!(matches!(&asked[..], [Action::Subscribe(_)]), "{asked:?}");
@@ -433,9 +435,9 @@
 fn missed_asks_difference() {
     let mut follow = subscribed();
     let first = &order()[0];
-    let actions = follow.handle(START + 100, Event::Missed);
+    let actions = follow.handle(START + 100, Event::ChangesMissed);
     assert_eq!(actions, [Action::Subscribe(first.clone())]);
-    assert_eq!(follow.handle(START + 120, Event::Missed), [], "it was asked");
+    assert_eq!(follow.handle(START + 120, Event::ChangesMissed), [], "it was asked");
     assert_eq!(follow.handle(START + 140, synced(first, Some(0))), []);
     assert_eq!(follow.source(), Source::Host(first.clone()));
 }
@@ -468,12 +470,12 @@
 /// list and read everything.
 #[test]
 fn first_start_settles() {
-    let mut follow = Follow::new(START, "h1".into(), "z1".into(), true);
-    let few = candidates()[..FEW_HOSTS].to_vec();
+    let mut follow = SourceSelector::new(START, "h1".into(), "z1".into(), true);
+    let few = candidates()[..MAX_DIRECT_READERS].to_vec();
     follow.handle(START + 10, Event::Candidates(few.clone()));
-    assert_eq!(follow.handle(START + 20, Event::Tick), [Action::Survey]);
-    assert_eq!(follow.handle(START + 240, Event::Tick), [Action::Survey]);
-    assert_eq!(follow.source(), Source::Nobody);
+    assert_eq!(follow.handle(START + 20, Event::Tick), [Action::ListHosts]);
+    assert_eq!(follow.handle(START + 240, Event::Tick), [Action::ListHosts]);
+    assert_eq!(follow.source(), Source::Searching);
     let mut all = follow.clone();
     all.handle(START + 250, Event::Candidates(candidates()));
     assert!(matches!(all.handle(START + 260, Event::Tick)[..], [Action::Subscribe(_), ..]));
--- a/crates/fanout/tests/spacing.rs
+++ b/crates/fanout/tests/spacing.rs
@@ -2,7 +2,7 @@
 //! times a second: 4.5 KB, 1.1 MB a second, nine tenths of its link. From the first large configuration on the
 //! hosts changed their source 65 times a second, in calm times too.
 
-use vanetally_fanout::{Spacing, telling_ms};
+use vanetally_fanout::{Spacing, status_interval_ms};
 use vanetally_types::Tick;
 
 /// Ten megabits a second.
@@ -18,7 +18,7 @@
     for turn in 0..100 {
         let now = Tick(turn * 100);
         if spacing.is_due(now) {
-            spacing.sent(now, SUM);
+            spacing.record_sent(now, SUM);
             sum += SUM;
         }
     }
@@ -44,21 +44,21 @@
 /// ten times a second: words came late, and their age made hosts look for another source.
 #[test]
 fn weak_processor_spared() {
-    assert_eq!(telling_ms(25, 12), 250);
-    assert_eq!(telling_ms(10, 12), 138);
-    assert_eq!(telling_ms(5, 12), 100);
+    assert_eq!(status_interval_ms(25, 12), 250);
+    assert_eq!(status_interval_ms(10, 12), 138);
+    assert_eq!(status_interval_ms(5, 12), 100);
 }
 
 #[test]
 fn strong_processor_unspaced() {
-    assert_eq!(telling_ms(25, 50), 100);
-    assert_eq!(telling_ms(58, 50), 193);
-    assert_eq!(telling_ms(58, 0), 193, "a share that is not stated");
+    assert_eq!(status_interval_ms(25, 50), 100);
+    assert_eq!(status_interval_ms(58, 50), 193);
+    assert_eq!(status_interval_ms(58, 0), 193, "a share that is not stated");
 }
 
 /// Where hosts are very many, a weak aggregator can do no better than a strong one.
 #[test]
 fn many_hosts() {
-    assert_eq!(telling_ms(120, 50), 400);
-    assert_eq!(telling_ms(120, 12), 400);
+    assert_eq!(status_interval_ms(120, 50), 400);
+    assert_eq!(status_interval_ms(120, 12), 400);
 }
--- a/crates/fanout/tests/totals.rs
+++ b/crates/fanout/tests/totals.rs
@@ -42,17 +42,17 @@
     let mut aggregator = Totals::default();
     let mut first = Totals::default();
     let own = digest(&[load("r1", 2)]);
-    let number = first.number(NOW, &own);
-    aggregator.take_report(NOW, "h1".into(), number, own);
-    aggregator.take_report(NOW, "h2".into(), 7, digest(&[load("r1", 3), load("r2", 1)]));
-    let sum = aggregator.take_own_sum(&digest(&[load("r2", 4)]));
+    let number = first.number_report(NOW, &own);
+    aggregator.record_report(NOW, "h1".into(), number, own);
+    aggregator.record_report(NOW, "h2".into(), 7, digest(&[load("r1", 3), load("r2", 1)]));
+    let sum = aggregator.take_local_sum(&digest(&[load("r2", 4)]));
     let (reported, total) = aggregator.total(&sum);
     assert_eq!(running(&total), [("r1".into(), 5), ("r2".into(), 5)]);
     let included = reported.iter().find(|one| &*one.host == "h1").unwrap();
     assert_eq!(included.number, number);
     // It has sent more since: what the sum includes is what counts.
-    first.number(NOW + 100, &digest(&[load("r1", 9)]));
-    let others = first.others(included.number, total);
+    first.number_report(NOW + 100, &digest(&[load("r1", 9)]));
+    let others = first.without_own(included.number, total);
     assert_eq!(running(&others), [("r1".into(), 3), ("r2".into(), 5)]);
 }
 
@@ -60,7 +60,7 @@
 #[test]
 fn forgotten_report() {
     let mut totals = Totals::default();
-    let others = totals.others(3, vec![load("r1", 2)]);
+    let others = totals.without_own(3, vec![load("r1", 2)]);
     assert_eq!(running(&others), [("r1".into(), 2)]);
 }
 
@@ -68,8 +68,8 @@
 #[test]
 fn elsewhere_not_echoed() {
     let mut aggregator = Totals::default();
-    aggregator.take_sum(NOW, "far".into(), vec![load("r1", 8)]);
-    let sum = aggregator.take_own_sum(&digest(&[load("r1", 1)]));
+    aggregator.record_sum(NOW, "far".into(), vec![load("r1", 8)]);
+    let sum = aggregator.take_local_sum(&digest(&[load("r1", 1)]));
     assert_eq!(running(&sum.loads), [("r1".into(), 1)]);
     assert_eq!(running(&aggregator.total(&sum).1), [("r1".into(), 9)]);
 }
@@ -78,18 +78,18 @@
 fn demand_passed_once() {
     let mut aggregator = Totals::default();
     let report = Digest { loads: Vec::new(), demand: vec![demand("m1", 2), demand("m2", 1)] };
-    aggregator.take_report(NOW, "h1".into(), 0, report);
+    aggregator.record_report(NOW, "h1".into(), 0, report);
     aggregator.add_demand(vec![demand("m1", 3)]);
-    let sum = aggregator.take_own_sum(&Digest::default());
+    let sum = aggregator.take_local_sum(&Digest::default());
     assert_eq!(sum.demand, [demand("m1", 5), demand("m2", 1)]);
-    assert_eq!(aggregator.take_own_sum(&Digest::default()).demand, []);
+    assert_eq!(aggregator.take_local_sum(&Digest::default()).demand, []);
 }
 
 #[test]
 fn silent_forgotten() {
     let mut aggregator = Totals::default();
     aggregator.subscribe(NOW, "h1".into());
-    aggregator.take_sum(NOW, "far".into(), vec![load("r1", 8)]);
+    aggregator.record_sum(NOW, "far".into(), vec![load("r1", 8)]);
     assert_eq!(aggregator.forget_silent(NOW + 1_000).len(), 0);
     let silent: Vec<String> =
         aggregator.forget_silent(NOW + 3_000).iter().map(ToString::to_string).collect();
@@ -102,13 +102,13 @@
 fn newest_limit() {
     let row = |rate, age_ms| LoadRow { limit: Some(LimitRow { rate, age_ms }), ..load("r1", 0) };
     let mut aggregator = Totals::default();
-    aggregator.take_report(NOW, "h1".into(), 1, digest(&[row(Some(1.5), 900)]));
-    aggregator.take_report(NOW, "h2".into(), 1, digest(&[row(None, 100)]));
-    let sum = aggregator.take_own_sum(&digest(&[row(Some(1.5), 400)]));
+    aggregator.record_report(NOW, "h1".into(), 1, digest(&[row(Some(1.5), 900)]));
+    aggregator.record_report(NOW, "h2".into(), 1, digest(&[row(None, 100)]));
+    let sum = aggregator.take_local_sum(&digest(&[row(Some(1.5), 400)]));
     let (_, total) = aggregator.total(&sum);
     let newest = LimitRow { rate: None, age_ms: 100 };
     assert_eq!(total[0].limit, Some(newest));
     let mut host = Totals::default();
-    let number = host.number(NOW, &digest(&[LoadRow { good: 3, ..load("r1", 0) }]));
-    assert_eq!(host.others(number, total)[0].limit, Some(newest), "its own part is taken off");
+    let number = host.number_report(NOW, &digest(&[LoadRow { good: 3, ..load("r1", 0) }]));
+    assert_eq!(host.without_own(number, total)[0].limit, Some(newest), "its own part is taken off");
 }
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -17,7 +17,7 @@
     /// Another host has `version`: if it is newer, it is asked for it.
     pub(crate) fn compare_version(&self, host: &Name, version: u64) {
         let have = self.version();
-        if have < version && self.pull.borrow_mut().should_ask(self.clock.now(), host) {
+        if have < version && self.pull.borrow_mut().should_request(self.clock.now(), host) {
             log::info!("event=configuration_asked of={host} version={version} have={have}");
             let have = self.versions.borrow().newest();
             self.send(host, &PeerMessage::AskConfiguration { have });
@@ -36,7 +36,7 @@
 
     /// Another host sent a newer configuration.
     pub(crate) fn take_configuration(self: &Rc<Self>, host: &Name, patch: &Patch) {
-        self.pull.borrow_mut().came();
+        self.pull.borrow_mut().received();
         let value = self.versions.borrow().try_apply(patch);
         match value {
             Ok(bytes) => self.configuration_seen(&bytes, host),
--- a/crates/gateway/src/confirmation.rs
+++ b/crates/gateway/src/confirmation.rs
@@ -7,7 +7,7 @@
 };
 use std::rc::Rc;
 use vanetally_dispatch as dispatch;
-use vanetally_fanout::{FreshWord, Source};
+use vanetally_fanout::{Source, SourceStatus};
 use vanetally_types::{Name, Tick};
 
 impl Hub {
@@ -21,7 +21,7 @@
             item.is_some_and(|item| self.versions.borrow().is_newest(&item.value))
         };
         if is_in_force {
-            self.freshness.borrow_mut().read(asked);
+            self.freshness.borrow_mut().record_read(asked);
             self.confirm();
         }
     }
@@ -32,7 +32,7 @@
             return;
         };
         let asked = self.clock.now();
-        if self.freshness.borrow_mut().should_ask(asked, &host) {
+        if self.freshness.borrow_mut().should_ask_clock(asked, &host) {
             self.send(&host, &PeerMessage::AskClock { asked });
         }
     }
@@ -48,14 +48,14 @@
             return;
         }
         let word = fresh_word(host, word);
-        self.freshness.borrow_mut().answered(asked, &word, self.version());
+        self.freshness.borrow_mut().record_clock(asked, &word, self.version());
         self.confirm();
     }
 
     /// The source told how certainly it has the newest configuration.
     pub(crate) fn take_configuration_word(self: &Rc<Self>, host: &Name, word: ConfigurationWord) {
         let word = fresh_word(host, word);
-        self.freshness.borrow_mut().told(&word, self.version());
+        self.freshness.borrow_mut().record_status(&word, self.version());
         self.confirm();
         self.ask_clock();
     }
@@ -72,15 +72,15 @@
     }
 
     fn confirm(self: &Rc<Self>) {
-        let confirmed = self.freshness.borrow().confirmed();
+        let confirmed = self.freshness.borrow().confirmed_at();
         if let Some(at) = confirmed {
             self.request_event(dispatch::Event::Confirmed(at));
         }
     }
 }
 
-fn fresh_word(host: &Name, word: ConfigurationWord) -> FreshWord {
-    FreshWord {
+fn fresh_word(host: &Name, word: ConfigurationWord) -> SourceStatus {
+    SourceStatus {
         host: host.clone(),
         life: word.life,
         stated: word.stated,
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use vanetally_dispatch::{Attempt, AttemptEnd, Event};
 use vanetally_ports::{CallerRequest, Refusal, RefusalCause};
-use vanetally_quarantine::Content;
+use vanetally_quarantine::ContentHash;
 use vanetally_types::{Name, hash64};
 
 /// Answers of up to this many bytes are read whole before they go on, where they are no stream.
@@ -75,7 +75,7 @@
 }
 
 /// What is common to requests that say the same.
-fn content(parts: &Parts, body: &Bytes) -> Content {
+fn content(parts: &Parts, body: &Bytes) -> ContentHash {
     let path = parts.uri.path_and_query().map_or("", |path| path.as_str());
     let mut bytes = Vec::with_capacity(path.len() + body.len() + 8);
     bytes.extend_from_slice(parts.method.as_str().as_bytes());
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -103,7 +103,7 @@
     /// What a reading changes here; `None` if nothing was read before, or in another era.
     pub(crate) fn changes_to(&self, snapshot: &Snapshot) -> Option<Vec<Change>> {
         let mirror = self.mirror.borrow();
-        let follows = mirror.follows(snapshot.at);
+        let follows = mirror.is_same_era(snapshot.at);
         follows.then(|| mirror.changes_to(snapshot.at, &snapshot.items))
     }
 
@@ -128,12 +128,12 @@
 
     /// The era of what is known.
     pub(crate) fn era(&self) -> Option<Era> {
-        self.mirror.borrow().at().map(|at| at.era)
+        self.mirror.borrow().revision().map(|at| at.era)
     }
 
     /// What was told is older than what is known here, or was told twice.
     pub(crate) fn log_passed_over(&self, what: &'static str, at: Revision, keys: usize) {
-        let known = self.mirror.borrow().at().unwrap_or_default();
+        let known = self.mirror.borrow().revision().unwrap_or_default();
         telemetry::passed_over(what);
         log::info!(
             "event=news_passed_over what={what} prefix={} at={at} known={known} keys={keys}",
@@ -148,7 +148,7 @@
     /// What is new to a host that knows all changes up to `have`; `None` if nothing is known here.
     pub(crate) fn sync(&self, have: Option<Revision>) -> Option<PrefixSync> {
         let mirror = self.mirror.borrow();
-        let at = mirror.at()?;
+        let at = mirror.revision()?;
         let since = have.and_then(|have| Some((have, mirror.changes_since(have)?)));
         if let Some((after, changes)) = since {
             let prefix = self.prefix.clone();
@@ -165,7 +165,7 @@
     /// Up to where subscribers were told changes.
     pub(crate) fn told(&self) -> Told {
         let told = self.told.get();
-        let at = self.mirror.borrow().at().unwrap_or(told);
+        let at = self.mirror.borrow().revision().unwrap_or(told);
         let last = if told.era == at.era { told } else { at };
         Told { prefix: self.prefix.clone(), last, at }
     }
@@ -173,7 +173,7 @@
     /// The source told all changes up to `told`; tells whether something of it is missing.
     pub(crate) fn lacks(&self, told: &Told) -> bool {
         let mut mirror = self.mirror.borrow_mut();
-        let lacks = mirror.lacks(told.last);
+        let lacks = mirror.is_behind(told.last);
         if !lacks {
             mirror.advance(told.at);
         }
--- a/crates/gateway/src/hub.rs
+++ b/crates/gateway/src/hub.rs
@@ -24,12 +24,14 @@
 use vanetally_dispatch::{
     self as dispatch, Attempt, Digest, Dispatch, Lack, Leavers, Prediction, RequestId, Standing,
 };
-use vanetally_fanout::{Follow, Freshness, Life, Pull, Source, Spacing, Totals, Versions};
+use vanetally_fanout::{
+    Freshness, HostIncarnation, Pull, Source, SourceSelector, Spacing, Totals, Versions,
+};
 use vanetally_limit::News;
 use vanetally_link::peer::Links;
 use vanetally_placement::{self as placement, Placement, Tenure, TenureEvent, TenureOptions};
 use vanetally_ports::{Configuration, Era, Ports, Refusal, UpstreamState};
-use vanetally_quarantine::{Content, Evidence};
+use vanetally_quarantine::{ContentHash, CrashEvidence};
 use vanetally_types::{Incarnation, Name, Tick};
 
 /// What the decisions tell a request.
@@ -107,14 +109,14 @@
     /// The aggregator whose sums this host rests on; none if it is one itself.
     pub gatherer: RefCell<Option<Name>>,
     pub pacing: RefCell<Pacing>,
-    pub follow: RefCell<Follow>,
+    pub follow: RefCell<SourceSelector>,
     /// When time last passed for the choice of a source.
     pub followed: Cell<Tick>,
     /// The configuration that another host was asked for.
     pub pull: RefCell<Pull>,
     pub feeds: RefCell<Vec<Rc<Feed>>>,
     /// Tells this life of the process from others.
-    pub life: Life,
+    pub life: HostIncarnation,
     /// How certainly this host has the newest configuration.
     pub freshness: RefCell<Freshness>,
     pub quotas: RefCell<Quotas>,
@@ -122,7 +124,7 @@
     /// Upstreams that have said that they leave.
     pub leavers: RefCell<Leavers>,
     /// Evidence against contents.
-    pub evidence: RefCell<Evidence>,
+    pub evidence: RefCell<CrashEvidence>,
     pub looks: RefCell<Looks>,
     /// Quarantines that are being written to the store.
     pub writes: Cell<usize>,
@@ -179,10 +181,10 @@
             next_id: Cell::new(0),
             versions: RefCell::default(),
             last_digest: RefCell::new(Digest::default()),
-            source: watch::Sender::new(Source::Nobody),
+            source: watch::Sender::new(Source::Searching),
             gatherer: RefCell::new(None),
             pacing: RefCell::new(Pacing::new(settings.host.clone())),
-            follow: RefCell::new(Follow::new(
+            follow: RefCell::new(SourceSelector::new(
                 clock.now(),
                 settings.host.clone(),
                 settings.domain.clone(),
@@ -210,7 +212,7 @@
     pub(crate) fn admit(
         self: &Rc<Self>,
         request: vanetally_ports::CallerRequest,
-        content: Content,
+        content: ContentHash,
     ) -> (RequestId, mpsc::UnboundedReceiver<Command>) {
         let id = RequestId(self.next_id.get());
         self.next_id.set(id.0 + 1);
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -6,10 +6,10 @@
 };
 use std::{collections::BTreeSet, rc::Rc};
 use vanetally_dispatch::{self as dispatch, Digest};
-use vanetally_fanout::{Event as FollowEvent, Source, telling_ms};
+use vanetally_fanout::{Event as FollowEvent, Source, status_interval_ms};
 use vanetally_placement::{self as placement, DemandSample};
 use vanetally_ports::{Era, ModelRef, Revision};
-use vanetally_quarantine::{Sign, Suspicion};
+use vanetally_quarantine::{CrashReport, CrashSign};
 use vanetally_types::Name;
 
 /// Hosts tell each other their load this often, where they are few, in milliseconds.
@@ -30,7 +30,7 @@
                 self.subscribed(from, entry, &have, is_aggregator);
             }
             PeerMessage::Listening => {
-                self.totals.borrow_mut().listen(self.clock.now(), from.clone());
+                self.totals.borrow_mut().add_listener(self.clock.now(), from.clone());
                 self.review_subscribers();
             }
             PeerMessage::Unsubscribe => {
@@ -73,8 +73,8 @@
             }
             PeerMessage::Follows => self.followed_by(from),
             PeerMessage::Accuse { content, upstream } => {
-                let sign = Sign::Ended;
-                self.weigh(from, Suspicion { content, upstream, sign, is_common: false });
+                let sign = CrashSign::Ended;
+                self.weigh(from, CrashReport { content, upstream, sign, is_common: false });
             }
             PeerMessage::Suspect(suspicion) => self.weigh(from, suspicion),
             PeerMessage::Clear(content) => self.clear(content),
@@ -115,7 +115,7 @@
         self.compare_version(host, version);
         self.placement_event(placement::Event::Demand(samples(&digest)));
         let now = self.clock.now();
-        self.totals.borrow_mut().take_sum(now, host.clone(), digest.loads.clone());
+        self.totals.borrow_mut().record_sum(now, host.clone(), digest.loads.clone());
         if !self.is_aggregator() {
             return;
         }
@@ -126,7 +126,7 @@
     fn peer_report(self: &Rc<Self>, host: &Name, number: u64, version: u64, digest: Digest) {
         self.compare_version(host, version);
         let now = self.clock.now();
-        self.totals.borrow_mut().take_report(now, host.clone(), number, digest.clone());
+        self.totals.borrow_mut().record_report(now, host.clone(), number, digest.clone());
         self.review_subscribers();
         self.request_event(dispatch::Event::PeerDigest { host: host.clone(), digest });
     }
@@ -137,7 +137,7 @@
         if self.gatherer.borrow().as_ref() == Some(from) {
             let own = reported.iter().find(|(host, _)| *host == self.settings.host);
             if let Some((_, number)) = own {
-                let loads = self.totals.borrow_mut().others(*number, loads);
+                let loads = self.totals.borrow_mut().without_own(*number, loads);
                 let digest = Digest { loads, demand: Vec::new() };
                 self.request_event(dispatch::Event::PeerDigest { host: from.clone(), digest });
             }
@@ -161,7 +161,7 @@
         }
         let now = self.clock.now();
         if is_aggregator {
-            self.totals.borrow_mut().listen(now, from.clone());
+            self.totals.borrow_mut().add_listener(now, from.clone());
         } else {
             self.totals.borrow_mut().subscribe(now, from.clone());
         }
@@ -206,7 +206,7 @@
         let gatherer = self.gatherer.borrow();
         let gatherer = gatherer.as_ref().and_then(|host| peers.get(host));
         let capacity = gatherer.map_or(self.settings.capacity, |entry| entry.capacity);
-        telling_ms(near, capacity)
+        status_interval_ms(near, capacity)
     }
 
     /// Tells other hosts this one's load.
@@ -221,11 +221,11 @@
                 self.tell_sums(digest);
             }
             Source::Host(host) => {
-                let number = self.totals.borrow_mut().number(now, &digest);
+                let number = self.totals.borrow_mut().number_report(now, &digest);
                 let version = self.version();
                 self.send(&host, &PeerMessage::Report { number, version, digest });
             }
-            Source::Store | Source::Nobody => self.tell_sums(digest),
+            Source::Store | Source::Searching => self.tell_sums(digest),
         }
         let silent = self.totals.borrow_mut().forget_silent(now);
         silent.into_iter().for_each(|host| self.peer_left(host));
@@ -236,7 +236,7 @@
         let (sum, reported, loads) = {
             let mut totals = self.totals.borrow_mut();
             totals.add_demand(std::mem::take(&mut own.demand));
-            let sum = totals.take_own_sum(&own);
+            let sum = totals.take_local_sum(&own);
             let (reported, loads) = totals.total(&sum);
             (sum, reported, loads)
         };
@@ -250,7 +250,7 @@
                 let reported = reported.into_iter().map(|one| (one.host, one.number)).collect();
                 let total = PeerMessage::Total(Total { word: self.word(), reported, loads });
                 let bytes = self.send_all(subscribers.iter(), &total);
-                self.sum_spacing.borrow_mut().sent(now, bytes);
+                self.sum_spacing.borrow_mut().record_sent(now, bytes);
             } else {
                 // They hear that their source lives and how old its keys are, without the loads.
                 listeners.extend(subscribers);
@@ -284,7 +284,7 @@
     /// The hosts that need this one's sum: the other aggregators, and who gives the orders.
     pub(crate) fn sum_readers(&self) -> BTreeSet<Name> {
         let mut hosts: BTreeSet<Name> = self.follow.borrow().aggregators().into_iter().collect();
-        hosts.extend(self.totals.borrow().elsewhere().cloned());
+        hosts.extend(self.totals.borrow().peer_aggregators().cloned());
         hosts.extend(self.holder.borrow().clone());
         hosts.remove(&self.settings.host);
         hosts
--- a/crates/gateway/src/pacing.rs
+++ b/crates/gateway/src/pacing.rs
@@ -3,7 +3,7 @@
 use crate::{hub::Hub, peers::PeerMessage};
 use std::{collections::HashMap, rc::Rc};
 use vanetally_dispatch::{self as dispatch, RequestId};
-use vanetally_pacing::{Pacer, Pacers, Prompt, Slot, Turn};
+use vanetally_pacing::{BreakerTransition, Pacer, Pacers, Prompt, SlotReply};
 use vanetally_types::{Incarnation, Name, Tick};
 
 /// For a pacer to answer, in milliseconds: after that this host decides alone.
@@ -93,7 +93,7 @@
     }
 
     /// A pacer answered.
-    pub(crate) fn reserved(self: &Rc<Self>, number: u64, slot: Slot) {
+    pub(crate) fn reserved(self: &Rc<Self>, number: u64, slot: SlotReply) {
         let question = self.pacing.borrow_mut().questions.remove(&number);
         if let Some(Question { id, turn, .. }) = question {
             self.request_event(dispatch::Event::Reserved { id, turn, slot });
@@ -112,15 +112,18 @@
 
     /// A host told how a request ended at an engine that this one paces.
     pub(crate) fn told_end(&self, from: &Name, upstream: &Incarnation, is_good: bool) {
-        let turn = self.pacing.borrow_mut().pacer.told(self.clock.now(), upstream, is_good);
+        let turn =
+            self.pacing.borrow_mut().pacer.record_outcome(self.clock.now(), upstream, is_good);
         match turn {
             None => {}
-            Some(Turn::Opened { pause_ms }) => {
+            Some(BreakerTransition::Opened { pause_ms }) => {
                 log::info!(
                     "event=engine_avoided upstream={upstream} by={from} pause_ms={pause_ms}"
                 );
             }
-            Some(Turn::Closed) => log::info!("event=engine_answers upstream={upstream} by={from}"),
+            Some(BreakerTransition::Closed) => {
+                log::info!("event=engine_answers upstream={upstream} by={from}")
+            }
         }
     }
 
@@ -135,7 +138,7 @@
                 question.prompt.upstream,
                 now.since(question.asked)
             );
-            self.pacing.borrow_mut().pacers.note_silent(now, &question.host);
+            self.pacing.borrow_mut().pacers.mark_silent(now, &question.host);
             self.reserve_here(question.id, question.turn, &question.prompt);
         }
     }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -11,12 +11,12 @@
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, rc::Rc};
 use vanetally_dispatch::{Digest, LoadRow};
-use vanetally_fanout::{Life, Patch, Path, StoreState};
+use vanetally_fanout::{HostIncarnation, Patch, Path, StoreState};
 use vanetally_limit::{Answer as Permit, Question};
-use vanetally_pacing::{Prompt, Slot};
+use vanetally_pacing::{Prompt, SlotReply};
 use vanetally_placement::TenureEvent;
 use vanetally_ports::{Change, Item, Revision};
-use vanetally_quarantine::{Content, Quarantine, Suspicion};
+use vanetally_quarantine::{ContentHash, CrashReport, Quarantine};
 use vanetally_quota::Answer;
 use vanetally_types::{Incarnation, Name, Tick};
 
@@ -109,7 +109,7 @@
         /// The number of the question.
         number: u64,
         /// When.
-        slot: Slot,
+        slot: SlotReply,
     },
     /// To the pacer of an engine: how a request ended there.
     Ended {
@@ -204,15 +204,15 @@
     /// To those that keep the evidence of a content, from hosts of earlier builds: an upstream ended under it.
     Accuse {
         /// The content.
-        content: Content,
+        content: ContentHash,
         /// The upstream's incarnation.
         upstream: Incarnation,
     },
     /// To those that keep the evidence of a content: an upstream showed a sign of its end under it.
-    Suspect(Suspicion),
+    Suspect(CrashReport),
     /// To those that keep the evidence of a content: a request of it was answered whole.
     #[serde(rename = "Acquit")]
-    Clear(Content),
+    Clear(ContentHash),
     /// Contents that must not be sent, or may be sent again.
     #[serde(rename = "Sentenced")]
     Quarantined(Vec<Quarantine>),
@@ -253,7 +253,7 @@
 pub(crate) struct ConfigurationWord {
     /// The life of the host's process.
     #[serde(rename = "l")]
-    pub life: Life,
+    pub life: HostIncarnation,
     /// When this was written, by the host's clock.
     #[serde(rename = "t")]
     pub stated: Tick,
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -15,7 +15,7 @@
 use vanetally_dispatch as dispatch;
 use vanetally_link::socket;
 use vanetally_ports::{Item, StoreAnswer, Transaction, Write};
-use vanetally_quarantine::{Content, Quarantine, Sign, Suspicion};
+use vanetally_quarantine::{ContentHash, CrashReport, CrashSign, Quarantine};
 use vanetally_types::{Incarnation, Name, rendezvous_rank};
 
 /// For an upstream that lives to say so.
@@ -45,7 +45,7 @@
 
 /// The contents of the attempts that broke off at an upstream, and whether many callers send each, while it is looked
 /// whether it lives: one look is enough for all.
-pub(crate) type Looks = HashMap<Incarnation, HashMap<Content, bool>>;
+pub(crate) type Looks = HashMap<Incarnation, HashMap<ContentHash, bool>>;
 
 /// What the store keeps of a quarantine.
 #[derive(Debug, Serialize, Deserialize)]
@@ -56,48 +56,53 @@
 
 /// Looks whether an upstream lives. An answer that breaks off shows no end: a way that was cut, or an answer that was
 /// spoiled, looks the same.
-async fn look(hub: &Hub, suspect: &Suspect) -> Option<Sign> {
+async fn look(hub: &Hub, suspect: &Suspect) -> Option<CrashSign> {
     if !suspect.is_engine {
         return look_at_address(suspect.address).await;
     }
     let request = hub.ports.engine.report_request(&suspect.upstream);
     let reply = call::call(&Pool::new(hub.clock), suspect.address, request, LOOK).await;
     match reply {
-        Ok(reply) if reply.status() == StatusCode::MISDIRECTED_REQUEST => Some(Sign::Ended),
+        Ok(reply) if reply.status() == StatusCode::MISDIRECTED_REQUEST => Some(CrashSign::Ended),
         // A front may say so in the place of one that has gone.
-        Ok(reply) if reply.status().is_server_error() => Some(Sign::Silent),
+        Ok(reply) if reply.status().is_server_error() => Some(CrashSign::Silent),
         Ok(reply) => {
             let report = hub.ports.engine.read_report(&reply.body).ok();
             let born = report.and_then(|report| report.born);
             let is_other = born.is_some() && suspect.upstream.born.is_some();
-            (is_other && born != suspect.upstream.born).then_some(Sign::Ended)
+            (is_other && born != suspect.upstream.born).then_some(CrashSign::Ended)
         }
         Err(call::Error::NotSent(pool::Error::Connect(error))) => Some(sign_of(&error)),
-        Err(_) => Some(Sign::Silent),
+        Err(_) => Some(CrashSign::Silent),
     }
 }
 
 /// The same where nobody reports: whether its address takes a connection and keeps it.
-async fn look_at_address(address: SocketAddr) -> Option<Sign> {
+async fn look_at_address(address: SocketAddr) -> Option<CrashSign> {
     match timeout(LOOK, socket::connect(address)).await {
         Ok(Ok(stream)) => {
             let closed = timeout(CLOSED, stream.peek(&mut [0])).await;
             let is_closed = matches!(closed, Ok(Ok(0) | Err(_)));
-            is_closed.then_some(Sign::Silent)
+            is_closed.then_some(CrashSign::Silent)
         }
         Ok(Err(error)) => Some(sign_of(&error)),
-        Err(_) => Some(Sign::Silent),
+        Err(_) => Some(CrashSign::Silent),
     }
 }
 
-fn sign_of(error: &std::io::Error) -> Sign {
-    if error.kind() == ErrorKind::ConnectionRefused { Sign::Ended } else { Sign::Silent }
+fn sign_of(error: &std::io::Error) -> CrashSign {
+    if error.kind() == ErrorKind::ConnectionRefused { CrashSign::Ended } else { CrashSign::Silent }
 }
 
 impl Hub {
     /// An attempt of a content broke off: looks whether its upstream lives, and tells the decisions and those that keep
     /// the evidence.
-    pub(crate) fn look_at(self: &Rc<Self>, suspect: Suspect, content: Content, is_common: bool) {
+    pub(crate) fn look_at(
+        self: &Rc<Self>,
+        suspect: Suspect,
+        content: ContentHash,
+        is_common: bool,
+    ) {
         let mut looks = self.looks.borrow_mut();
         let is_open = looks.contains_key(&suspect.upstream);
         looks.entry(suspect.upstream.clone()).or_default().insert(content, is_common);
@@ -117,19 +122,19 @@
         });
     }
 
-    fn looked(self: &Rc<Self>, upstream: Incarnation, sign: Option<Sign>) {
+    fn looked(self: &Rc<Self>, upstream: Incarnation, sign: Option<CrashSign>) {
         let contents = self.looks.borrow_mut().remove(&upstream).unwrap_or_default();
         telemetry::looked(sign);
         log::info!(
             "event=upstream_looked_at upstream={upstream} sign={} contents={}",
-            sign.map_or("none", Sign::as_str),
+            sign.map_or("none", CrashSign::as_str),
             contents.len()
         );
         if let Some(sign) = sign {
             for (content, is_common) in &contents {
                 let (content, is_common) = (*content, *is_common);
                 let upstream = upstream.clone();
-                self.suspect(Suspicion { content, upstream, sign, is_common });
+                self.suspect(CrashReport { content, upstream, sign, is_common });
             }
         }
         let contents = contents.into_keys().collect();
@@ -137,22 +142,22 @@
     }
 
     /// Weighs a suspicion here, and tells the others that keep the evidence.
-    pub(crate) fn suspect(self: &Rc<Self>, suspicion: Suspicion) {
+    pub(crate) fn suspect(self: &Rc<Self>, suspicion: CrashReport) {
         let message = PeerMessage::Suspect(suspicion.clone());
         self.send_all(self.keepers(suspicion.content).iter(), &message);
         self.weigh(&self.settings.host.clone(), suspicion);
     }
 
     /// The other hosts that keep the evidence of a content.
-    fn keepers(&self, content: Content) -> Vec<Name> {
+    fn keepers(&self, content: ContentHash) -> Vec<Name> {
         let peers = self.peers.borrow();
         let others = peers.keys().filter(|host| **host != self.settings.host);
         rendezvous_rank(content, others).into_iter().take(KEEPERS).cloned().collect()
     }
 
     /// Weighs what `from` found at an upstream.
-    pub(crate) fn weigh(self: &Rc<Self>, from: &Name, suspicion: Suspicion) {
-        let Suspicion { content, ref upstream, sign, is_common } = suspicion;
+    pub(crate) fn weigh(self: &Rc<Self>, from: &Name, suspicion: CrashReport) {
+        let CrashReport { content, ref upstream, sign, is_common } = suspicion;
         log::debug!(
             "event=content_suspected content={content:016x} upstream={upstream} sign={} common={is_common} from={from}",
             sign.as_str()
@@ -177,12 +182,12 @@
     }
 
     /// Whether a content is kept back here.
-    fn holds(&self, content: Content) -> bool {
-        self.dispatch.borrow().held().rest_ms(self.clock.now(), content).is_some()
+    fn holds(&self, content: ContentHash) -> bool {
+        self.dispatch.borrow().held().remaining_ms(self.clock.now(), content).is_some()
     }
 
     /// A request of a content was answered whole after an upstream had ended under it.
-    pub(crate) fn clear(self: &Rc<Self>, content: Content) {
+    pub(crate) fn clear(self: &Rc<Self>, content: ContentHash) {
         let was_quarantined = self.evidence.borrow_mut().clear(content);
         if was_quarantined || self.holds(content) {
             log::info!("event=content_released content={content:016x}");
@@ -206,11 +211,11 @@
     fn take_quarantine(self: &Rc<Self>, from: &Name, quarantine: Quarantine) -> bool {
         let now = self.clock.now();
         let Quarantine { content, for_ms, ended, .. } = quarantine;
-        if !self.dispatch.borrow().held().is_news(now, &quarantine) {
+        if !self.dispatch.borrow().held().is_update(now, &quarantine) {
             return false;
         }
-        let is_innocent =
-            !quarantine.is_release() && self.dispatch.borrow().held().is_innocent(now, &quarantine);
+        let is_innocent = !quarantine.is_release()
+            && self.dispatch.borrow().held().is_cleared_by_answer(now, &quarantine);
         log::info!(
             "event=content_held content={content:016x} ended={ended} for_ms={for_ms} answered_here={is_innocent} from={from}"
         );
@@ -289,7 +294,7 @@
     }
 
     /// Whether the store keeps a quarantine of this content, as far as is known here.
-    fn is_kept(&self, content: Content) -> bool {
+    fn is_kept(&self, content: ContentHash) -> bool {
         let key = key(content);
         let feeds = self.feeds.borrow();
         feeds.iter().any(|feed| feed.mirror.borrow().contains(&key))
@@ -297,7 +302,8 @@
 
     /// The store keeps this quarantine.
     pub(crate) fn kept_quarantine(self: &Rc<Self>, item: &Item) {
-        let content = item.key.strip_prefix(CONTENTS).map(|hex| Content::from_str_radix(hex, 16));
+        let content =
+            item.key.strip_prefix(CONTENTS).map(|hex| ContentHash::from_str_radix(hex, 16));
         let kept = serde_json::from_slice::<Kept>(&item.value);
         let (Some(Ok(content)), Ok(Kept { for_ms, ended })) = (content, kept) else {
             return log::error!("event=content_unreadable key={}", item.key);
@@ -310,7 +316,7 @@
     }
 }
 
-fn key(content: Content) -> Name {
+fn key(content: ContentHash) -> Name {
     format!("{CONTENTS}{content:016x}").into()
 }
 
--- a/crates/gateway/src/reader.rs
+++ b/crates/gateway/src/reader.rs
@@ -97,7 +97,8 @@
     /// may go on from there, if it is of the store's era.
     pub(crate) fn known(&self, scope: &Scope) -> Option<Revision> {
         let shared = scope.feeds().iter().filter(|feed| feed.is_shared());
-        let known: Option<Vec<Revision>> = shared.map(|feed| feed.mirror.borrow().at()).collect();
+        let known: Option<Vec<Revision>> =
+            shared.map(|feed| feed.mirror.borrow().revision()).collect();
         let era = self.hub.store.eras().newest();
         known?.into_iter().min().filter(|known| known.era == era)
     }
--- a/crates/gateway/src/sources.rs
+++ b/crates/gateway/src/sources.rs
@@ -46,7 +46,7 @@
             match action {
                 Action::Subscribe(to) => self.subscribe(&to),
                 Action::Unsubscribe(to) => self.send(&to, &PeerMessage::Unsubscribe),
-                Action::Survey => {
+                Action::ListHosts => {
                     tokio::task::spawn_local(survey(self.clone()));
                 }
                 Action::Probe => {
@@ -63,7 +63,7 @@
 
     fn subscribe(&self, to: &Name) {
         let feeds = self.shared_feeds();
-        let known = |feed: &Rc<Feed>| Some((feed.prefix.clone(), feed.mirror.borrow().at()?));
+        let known = |feed: &Rc<Feed>| Some((feed.prefix.clone(), feed.mirror.borrow().revision()?));
         let known: Vec<(Name, Revision)> = feeds.iter().filter_map(known).collect();
         let era = known.iter().map(|(_, at)| at.era).max().unwrap_or_default();
         // What is known of an earlier era is needed whole.
@@ -79,7 +79,7 @@
 
     fn switch(self: &Rc<Self>, source: Source, reason: Reason) {
         let name = match &source {
-            Source::Nobody => "-",
+            Source::Searching => "-",
             Source::Store => "store",
             Source::Host(host) => host,
         };
@@ -96,7 +96,7 @@
         if !self.reads_store() {
             return;
         }
-        self.follow_event(Event::Confirmed(self.age_ms()));
+        self.follow_event(Event::StoreConfirmed(self.age_ms()));
         if self.store.should_probe(self.is_fleet()) {
             tokio::task::spawn_local(probe(self.clone()));
         }
@@ -244,7 +244,7 @@
             return self.pass_on(feed, at, changes);
         }
         log::info!("event=changes_missed from={from} prefix={prefix} after={after}");
-        self.follow_event(Event::Missed);
+        self.follow_event(Event::ChangesMissed);
     }
 
     /// How this host stands, for those that hear from it.
@@ -273,7 +273,7 @@
         }
         self.follow_event(Event::Path { from: from.clone(), path: word.path.clone() });
         let is_leaving = word.is_leaving;
-        self.follow_event(Event::Told { from: from.clone(), age_ms, is_leaving });
+        self.follow_event(Event::Status { from: from.clone(), age_ms, is_leaving });
     }
 
     /// Messages of one link come in order: what is missing of what was told was lost with a link.
@@ -285,7 +285,7 @@
         };
         if let Some(Told { prefix, last, .. }) = told.iter().find(lacks) {
             log::info!("event=changes_missed from={from} prefix={prefix} told={last}");
-            self.follow_event(Event::Missed);
+            self.follow_event(Event::ChangesMissed);
         }
     }
 
@@ -323,7 +323,7 @@
     let Ok(snapshot) = hub.store.range(peers::HOSTS, Freshness::MayBeOld).await else {
         return;
     };
-    if *hub.source.borrow() == Source::Nobody {
+    if *hub.source.borrow() == Source::Searching {
         hub.set_peers(snapshot.items.iter().filter_map(peers::entry).collect(), false);
     }
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -12,7 +12,7 @@
 use http::{Request, StatusCode};
 use std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 use tokio::sync::watch;
-use vanetally_fanout::{Contact, StoreState};
+use vanetally_fanout::{StoreContact, StoreState};
 use vanetally_ports::{
     Era, FormatError, Freshness, Item, LeaseId, Revision, StoreAnswer, StoreProtocol, Transaction,
     WatchAnswer,
@@ -80,7 +80,7 @@
     address: SocketAddr,
     protocol: Rc<dyn StoreProtocol>,
     clock: Clock,
-    contact: Rc<RefCell<Contact>>,
+    contact: Rc<RefCell<StoreContact>>,
     /// Counts how often the way to the store opened again.
     returns: Rc<watch::Sender<u64>>,
     /// Calls since they were last logged, by name.
@@ -111,7 +111,7 @@
             address: settings.address,
             protocol,
             clock,
-            contact: Rc::new(RefCell::new(Contact::new(contact_ms))),
+            contact: Rc::new(RefCell::new(StoreContact::new(contact_ms))),
             returns: Rc::new(watch::Sender::new(0)),
             calls: Rc::default(),
             eras: Rc::new(Eras::new(clock.now())),
@@ -119,7 +119,7 @@
     }
 
     /// Whether the store was away lately.
-    pub(crate) fn contact(&self) -> Contact {
+    pub(crate) fn contact(&self) -> StoreContact {
         *self.contact.borrow()
     }
 
@@ -130,7 +130,7 @@
 
     /// Another host told what it knows of the store.
     pub(crate) fn told(&self, state: StoreState) {
-        self.contact.borrow_mut().told(self.clock.now(), state);
+        self.contact.borrow_mut().record_peer_state(self.clock.now(), state);
     }
 
     /// Changes whenever the way to the store opens again: what hangs should be begun anew.
@@ -177,10 +177,10 @@
         let is_answered = reply.as_ref().is_ok_and(|reply| !is_refusal(reply.status()));
         let now = self.clock.now();
         let mut contact = self.contact.borrow_mut();
-        let silent_ms = contact.silent_ms(now);
+        let silent_ms = contact.unanswered_ms(now);
         if !is_answered {
-            contact.failed(sent);
-        } else if contact.answered(sent, now) {
+            contact.record_failure(sent);
+        } else if contact.record_answer(sent, now) {
             log::info!("event=store_returned silent_ms={silent_ms}");
             self.begin_anew();
         }
@@ -205,7 +205,7 @@
                 log::warn!("event=store_era era={era} before={before} call={name} news={is_news}");
                 telemetry::store_era(era);
                 if is_news {
-                    self.contact.borrow_mut().came_back(now);
+                    self.contact.borrow_mut().record_return(now);
                     self.begin_anew();
                 }
             }
--- a/crates/gateway/src/telemetry.rs
+++ b/crates/gateway/src/telemetry.rs
@@ -7,7 +7,7 @@
 use vanetally_limit::{Answer, News};
 use vanetally_link::peer::Traffic;
 use vanetally_ports::{AnnouncementError, Era, OrderOutcome, RefusalCause};
-use vanetally_quarantine::Sign;
+use vanetally_quarantine::CrashSign;
 
 /// Bounds of the latency histograms, in seconds.
 const LATENCY_BUCKETS: [f64; 14] =
@@ -62,8 +62,8 @@
 }
 
 /// It was looked whether an upstream lives at which attempts had broken off.
-pub(crate) fn looked(sign: Option<Sign>) {
-    let sign = sign.map_or("none", Sign::as_str);
+pub(crate) fn looked(sign: Option<CrashSign>) {
+    let sign = sign.map_or("none", CrashSign::as_str);
     counter!("vanetally_upstream_looks_total", "sign" => sign).increment(1);
 }
 
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -99,13 +99,13 @@
     fn gone(&self, id: &Name) {
         let contact = self.hub.store.contact();
         let now = self.hub.clock.now();
-        if !contact.is_recent(now) {
+        if !contact.may_miss_keys(now) {
             return forget(&self.hub, &self.roster, id);
         }
         if !self.roster.borrow().knows(id) || self.lapsed.borrow().contains_key(id) {
             return;
         }
-        let wait_ms = contact.wait_ms(now);
+        let wait_ms = contact.missing_key_wait_ms(now);
         log::log!(self.hub.hearsay(), "event=upstream_lapsed upstream={id} wait_ms={wait_ms}");
         self.lapsed.borrow_mut().insert(id.clone(), now + wait_ms);
         tokio::task::spawn_local(self.wait_for_return(id.clone(), wait_ms));
--- a/crates/pacing/src/breaker.rs
+++ b/crates/pacing/src/breaker.rs
@@ -9,7 +9,7 @@
 
 /// What changed, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum BreakerTransition {
     /// Nothing goes there for so many milliseconds.
     Opened {
         /// Milliseconds until a trial may go.
@@ -83,11 +83,11 @@
     }
 
     /// A trial was answered, or a request ended badly.
-    pub(crate) fn told(&mut self, now: Tick, is_good: bool) -> Option<Turn> {
+    pub(crate) fn record_outcome(&mut self, now: Tick, is_good: bool) -> Option<BreakerTransition> {
         if is_good {
             let is_news = self.state != State::Closed;
             *self = Self::default();
-            return is_news.then_some(Turn::Closed);
+            return is_news.then_some(BreakerTransition::Closed);
         }
         self.decay(now);
         self.bad += 1.0;
@@ -99,7 +99,7 @@
         }
         let pause_ms = PAUSE_MS << self.failures.min(MOST_DOUBLINGS);
         self.state = State::Open(now + pause_ms);
-        Some(Turn::Opened { pause_ms })
+        Some(BreakerTransition::Opened { pause_ms })
     }
 
     fn is_bad(&self) -> bool {
--- a/crates/pacing/src/lib.rs
+++ b/crates/pacing/src/lib.rs
@@ -14,7 +14,7 @@
 mod pacers;
 mod prefixes;
 
-pub use breaker::Turn;
-pub use pacer::{Moment, Pacer, Prompt, Slot};
+pub use breaker::BreakerTransition;
+pub use pacer::{Pacer, Prompt, SendSlot, SlotReply};
 pub use pacers::Pacers;
 pub use prefixes::{Prefix, PrefixCache};
--- a/crates/pacing/src/pacer.rs
+++ b/crates/pacing/src/pacer.rs
@@ -1,6 +1,6 @@
 //! Gives out the moments for prompts.
 
-use crate::{Prefix, PrefixCache, Turn, breaker::Breaker, bucket::Bucket};
+use crate::{BreakerTransition, Prefix, PrefixCache, breaker::Breaker, bucket::Bucket};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use vanetally_types::{Incarnation, Name, Tick};
@@ -30,9 +30,9 @@
 
 /// What a host is told about a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Slot {
+pub enum SlotReply {
     /// It may be sent.
-    Granted(Moment),
+    Granted(SendSlot),
     /// Too many others go first.
     Busy {
         /// Milliseconds after which it is worth to ask again.
@@ -42,7 +42,7 @@
 
 /// The moment for a prompt, and what the engine does then.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Moment {
+pub struct SendSlot {
     /// Milliseconds from now.
     pub delay_ms: u32,
     /// Tokens that the engine has not read before.
@@ -78,11 +78,11 @@
 
 impl Pacer {
     /// Finds the moment for a prompt.
-    pub fn reserve(&mut self, now: Tick, prompt: &Prompt) -> Slot {
+    pub fn reserve(&mut self, now: Tick, prompt: &Prompt) -> SlotReply {
         let Engine { bucket, breaker, prefixes } =
             self.engines.entry(prompt.upstream.clone()).or_default();
         if let Some(retry_ms) = breaker.wait_ms(now) {
-            return Slot::Busy { retry_ms };
+            return SlotReply::Busy { retry_ms };
         }
         let unread = prompt.tokens.saturating_sub(prefixes.tokens(&prompt.shared));
         let reading_ms = f64::from(unread) * f64::from(prompt.per_token_us) / MICROS_PER_MILLI;
@@ -91,19 +91,24 @@
         let most_ms = AHEAD_SHARE * gap_ms;
         if delay_ms > most_ms {
             let retry_ms = (delay_ms - most_ms / 2.0).max(LEAST_RETRY_MS);
-            return Slot::Busy { retry_ms: retry_ms as u32 };
+            return SlotReply::Busy { retry_ms: retry_ms as u32 };
         }
         let delay_ms = delay_ms as u32;
         let ahead_ms = bucket.fill(now, now + u64::from(delay_ms), reading_ms) as u32;
         prefixes.insert(&prompt.model, &prompt.shared);
         let is_trial = breaker.sent(now);
-        Slot::Granted(Moment { delay_ms, unread, ahead_ms, is_trial })
+        SlotReply::Granted(SendSlot { delay_ms, unread, ahead_ms, is_trial })
     }
 
     /// A host told how a request ended at an engine: badly, or well if it was a trial.
-    pub fn told(&mut self, now: Tick, upstream: &Incarnation, is_good: bool) -> Option<Turn> {
+    pub fn record_outcome(
+        &mut self,
+        now: Tick,
+        upstream: &Incarnation,
+        is_good: bool,
+    ) -> Option<BreakerTransition> {
         // One that was never asked for here, or has gone, needs no breaker.
-        self.engines.get_mut(upstream)?.breaker.told(now, is_good)
+        self.engines.get_mut(upstream)?.breaker.record_outcome(now, is_good)
     }
 
     /// An engine let go of a model, and of what it read for it.
--- a/crates/pacing/src/pacers.rs
+++ b/crates/pacing/src/pacers.rs
@@ -39,7 +39,7 @@
     }
 
     /// A host did not answer in time.
-    pub fn note_silent(&mut self, now: Tick, host: &Name) {
+    pub fn mark_silent(&mut self, now: Tick, host: &Name) {
         self.silent.insert(host.clone(), now + SILENT_MS);
     }
 
--- a/crates/pacing/tests/breaker.rs
+++ b/crates/pacing/tests/breaker.rs
@@ -1,7 +1,7 @@
 //! Requests are kept off an engine that breaks them off.
 
 use std::{cmp::Reverse, collections::BinaryHeap};
-use vanetally_pacing::{Moment, Pacer, Prompt, Slot, Turn};
+use vanetally_pacing::{BreakerTransition, Pacer, Prompt, SendSlot, SlotReply};
 use vanetally_types::{Incarnation, Tick};
 
 /// Arrivals at one engine, each at another host, in milliseconds: recorded while it went down and up twice and
@@ -55,25 +55,25 @@
     while let Some(Reverse((at, event))) = events.pop() {
         let arrived = match event {
             Event::Told { is_good } => {
-                pacer.told(Tick(at), &upstream, is_good);
+                pacer.record_outcome(Tick(at), &upstream, is_good);
                 continue;
             }
             Event::Ask { arrived } => arrived,
         };
         match pacer.reserve(Tick(at), &prompt()) {
-            Slot::Granted(_) if is_lost(at) => {
+            SlotReply::Granted(_) if is_lost(at) => {
                 played.lost += 1;
                 events.push(Reverse((at + BROKEN_MS, Event::Told { is_good: false })));
             }
-            Slot::Granted(Moment { is_trial, .. }) => {
+            SlotReply::Granted(SendSlot { is_trial, .. }) => {
                 played.served += 1;
                 played.longest_wait_ms = played.longest_wait_ms.max(at - arrived);
                 if is_trial {
                     events.push(Reverse((at + FIRST_PIECE_MS, Event::Told { is_good: true })));
                 }
             }
-            Slot::Busy { .. } if at - arrived > PATIENCE_MS => played.refused += 1,
-            Slot::Busy { retry_ms } => {
+            SlotReply::Busy { .. } if at - arrived > PATIENCE_MS => played.refused += 1,
+            SlotReply::Busy { retry_ms } => {
                 events.push(Reverse((at + u64::from(retry_ms).max(1), Event::Ask { arrived })));
             }
         }
@@ -108,17 +108,17 @@
     let mut pacer = Pacer::default();
     pacer.reserve(Tick(0), &prompt());
     pacer.reserve(Tick(10), &prompt());
-    assert_eq!(pacer.told(Tick(20), &upstream, false), None);
-    let opened = pacer.told(Tick(30), &upstream, false);
-    assert_eq!(opened, Some(Turn::Opened { pause_ms: 200 }));
-    assert!(matches!(pacer.reserve(Tick(40), &prompt()), Slot::Busy { .. }));
-    assert_eq!(pacer.told(Tick(50), &upstream, false), None, "sent before it opened");
+    assert_eq!(pacer.record_outcome(Tick(20), &upstream, false), None);
+    let opened = pacer.record_outcome(Tick(30), &upstream, false);
+    assert_eq!(opened, Some(BreakerTransition::Opened { pause_ms: 200 }));
+    assert!(matches!(pacer.reserve(Tick(40), &prompt()), SlotReply::Busy { .. }));
+    assert_eq!(pacer.record_outcome(Tick(50), &upstream, false), None, "sent before it opened");
     let trial = pacer.reserve(Tick(230), &prompt());
-    assert!(matches!(trial, Slot::Granted(Moment { is_trial: true, .. })), "{trial:?}");
-    assert!(matches!(pacer.reserve(Tick(240), &prompt()), Slot::Busy { .. }));
-    assert_eq!(pacer.told(Tick(300), &upstream, true), Some(Turn::Closed));
+    assert!(matches!(trial, SlotReply::Granted(SendSlot { is_trial: true, .. })), "{trial:?}");
+    assert!(matches!(pacer.reserve(Tick(240), &prompt()), SlotReply::Busy { .. }));
+    assert_eq!(pacer.record_outcome(Tick(300), &upstream, true), Some(BreakerTransition::Closed));
     let slot = pacer.reserve(Tick(310), &prompt());
-    assert!(matches!(slot, Slot::Granted(Moment { is_trial: false, .. })), "{slot:?}");
+    assert!(matches!(slot, SlotReply::Granted(SendSlot { is_trial: false, .. })), "{slot:?}");
 }
 
 /// A host that took the trial may be gone: another one may try later.
@@ -127,17 +127,17 @@
     let upstream: Incarnation = "i-1".into();
     let mut pacer = Pacer::default();
     pacer.reserve(Tick(0), &prompt());
-    pacer.told(Tick(10), &upstream, false);
-    pacer.told(Tick(10), &upstream, false);
-    assert!(matches!(pacer.reserve(Tick(210), &prompt()), Slot::Granted(_)));
-    assert!(matches!(pacer.reserve(Tick(800), &prompt()), Slot::Busy { .. }));
-    assert!(matches!(pacer.reserve(Tick(810), &prompt()), Slot::Granted(_)));
+    pacer.record_outcome(Tick(10), &upstream, false);
+    pacer.record_outcome(Tick(10), &upstream, false);
+    assert!(matches!(pacer.reserve(Tick(210), &prompt()), SlotReply::Granted(_)));
+    assert!(matches!(pacer.reserve(Tick(800), &prompt()), SlotReply::Busy { .. }));
+    assert!(matches!(pacer.reserve(Tick(810), &prompt()), SlotReply::Granted(_)));
 }
 
 /// What is told of an engine that was never asked for, or has gone, leaves nothing behind.
 #[test]
 fn unknown_engine() {
     let mut pacer = Pacer::default();
-    assert_eq!(pacer.told(Tick(0), &"i-9".into(), false), None);
-    assert_eq!(pacer.told(Tick(0), &"i-9".into(), false), None);
+    assert_eq!(pacer.record_outcome(Tick(0), &"i-9".into(), false), None);
+    assert_eq!(pacer.record_outcome(Tick(0), &"i-9".into(), false), None);
 }
--- a/crates/pacing/tests/spacing.rs
+++ b/crates/pacing/tests/spacing.rs
@@ -1,7 +1,7 @@
 //! Prompts for one engine are spaced, whoever sends them.
 
 use proptest::prelude::*;
-use vanetally_pacing::{Moment, Pacer, Prefix, Prompt, Slot};
+use vanetally_pacing::{Pacer, Prefix, Prompt, SendSlot, SlotReply};
 use vanetally_types::Tick;
 
 const GAP_MS: u32 = 300;
@@ -17,17 +17,18 @@
     }
 }
 
-fn granted(slot: Slot) -> Option<u32> {
+fn granted(slot: SlotReply) -> Option<u32> {
     match slot {
-        Slot::Granted(moment) => Some(moment.delay_ms),
-        Slot::Busy { .. } => None,
+        SlotReply::Granted(moment) => Some(moment.delay_ms),
+        SlotReply::Busy { .. } => None,
     }
 }
 
 #[test]
 fn idle_at_once() {
     let mut pacer = Pacer::default();
-    let idle = Slot::Granted(Moment { delay_ms: 0, unread: 60, ahead_ms: 0, is_trial: false });
+    let idle =
+        SlotReply::Granted(SendSlot { delay_ms: 0, unread: 60, ahead_ms: 0, is_trial: false });
     assert_eq!(pacer.reserve(Tick(5), &prompt("i-1", 60)), idle);
     assert_eq!(pacer.reserve(Tick(5), &prompt("i-2", 60)), idle);
 }
@@ -42,11 +43,12 @@
 #[test]
 fn later_ones_wait_their_turn() {
     let mut pacer = Pacer::default();
-    let slots: Vec<Slot> = (0..5).map(|_| pacer.reserve(Tick(5), &prompt("i-1", 60))).collect();
+    let slots: Vec<SlotReply> =
+        (0..5).map(|_| pacer.reserve(Tick(5), &prompt("i-1", 60))).collect();
     let delays: Vec<u32> = slots.iter().filter_map(|slot| granted(*slot)).collect();
     assert!(delays.windows(2).all(|pair| pair[0] <= pair[1]), "{slots:?}");
     assert!(delays.len() < 5, "{slots:?}");
-    let Some(Slot::Busy { retry_ms }) = slots.last() else {
+    let Some(SlotReply::Busy { retry_ms }) = slots.last() else {
         panic!("{slots:?}");
     };
     let later = Tick(5) + u64::from(*retry_ms);
@@ -68,8 +70,8 @@
     let shared = vec![Prefix { key: 7, tokens: 40 }];
     let prompt = Prompt { shared, ..prompt("i-1", 60) };
     let unread = |slot| match slot {
-        Slot::Granted(moment) => moment.unread,
-        Slot::Busy { .. } => panic!("busy"),
+        SlotReply::Granted(moment) => moment.unread,
+        SlotReply::Busy { .. } => panic!("busy"),
     };
     assert_eq!(unread(pacer.reserve(Tick(0), &prompt)), 60);
     assert_eq!(unread(pacer.reserve(Tick(1_000), &prompt)), 20);
--- a/crates/pacing/tests/who_paces.rs
+++ b/crates/pacing/tests/who_paces.rs
@@ -31,7 +31,7 @@
     let upstream = Name::from("i-1");
     let pacer = first.pacer_of(Tick(0), &upstream).clone();
     let mut other = if &*pacer == "h1" { pacers("h2", &["h1", "h3"]) } else { first };
-    other.note_silent(Tick(0), &pacer);
+    other.mark_silent(Tick(0), &pacer);
     assert_ne!(*other.pacer_of(Tick(500), &upstream), pacer);
     assert_eq!(*other.pacer_of(Tick(2_000), &upstream), pacer);
 }
--- a/crates/quarantine/src/held.rs
+++ b/crates/quarantine/src/blocked_contents.rs
@@ -1,17 +1,17 @@
 //! The contents that one host keeps back.
 
-use crate::{Content, Quarantine};
+use crate::{ContentHash, Quarantine};
 use std::collections::{HashMap, VecDeque};
 use vanetally_types::Tick;
 
 /// Contents that must not be sent, and until when; those that were answered lately.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
-    until: HashMap<Content, (Tick, u32)>,
+pub struct BlockedContents {
+    until: HashMap<ContentHash, (Tick, u32)>,
     /// Contents that are not sent while it is looked at what an attempt of them left behind, and until when.
-    doubted: HashMap<Content, Tick>,
+    doubted: HashMap<ContentHash, Tick>,
     /// The last contents that were answered whole and when, oldest first.
-    answered: VecDeque<(Content, Tick)>,
+    answered: VecDeque<(ContentHash, Tick)>,
 }
 
 /// Contents that are kept back at once; beyond that those whose time is over soonest go.
@@ -28,11 +28,11 @@
 /// comes by several ways.
 const NEWS_MS: u64 = 5_000;
 
-impl Held {
+impl BlockedContents {
     /// Takes in a quarantine; tells whether it is in force here.
     ///
-    /// One for no time releases the content. What was answered here is a bystander, see [`Held::is_innocent`].
-    pub fn hold(&mut self, now: Tick, quarantine: Quarantine) -> bool {
+    /// One for no time releases the content. What was answered here is a bystander, see [`BlockedContents::is_cleared_by_answer`].
+    pub fn apply(&mut self, now: Tick, quarantine: Quarantine) -> bool {
         let Quarantine { content, for_ms, ended, .. } = quarantine;
         if quarantine.is_release() {
             self.doubted.remove(&content);
@@ -40,7 +40,7 @@
         }
         let known = self.until.get(&content);
         let is_known = known.is_some_and(|(_, known)| *known >= ended);
-        if is_known || self.is_innocent(now, &quarantine) {
+        if is_known || self.is_cleared_by_answer(now, &quarantine) {
             return false;
         }
         if self.until.len() >= MOST_HELD {
@@ -51,8 +51,8 @@
     }
 
     /// Whether a quarantine says more than what is known.
-    pub fn is_news(&self, now: Tick, quarantine: &Quarantine) -> bool {
-        let known = self.rest_ms(now, quarantine.content);
+    pub fn is_update(&self, now: Tick, quarantine: &Quarantine) -> bool {
+        let known = self.remaining_ms(now, quarantine.content);
         if quarantine.is_release() {
             return known.is_some();
         }
@@ -61,7 +61,7 @@
 
     /// Whether what was answered here speaks for the content: it was answered after the first upstream had ended under
     /// it, or, where that is not told, at all, and few have ended.
-    pub fn is_innocent(&self, now: Tick, quarantine: &Quarantine) -> bool {
+    pub fn is_cleared_by_answer(&self, now: Tick, quarantine: &Quarantine) -> bool {
         let Some(answered) = self.last_answer(quarantine.content) else {
             return false;
         };
@@ -72,7 +72,7 @@
     }
 
     /// A request of this content was answered whole.
-    pub fn answered(&mut self, now: Tick, content: Content) {
+    pub fn record_answer(&mut self, now: Tick, content: ContentHash) {
         self.doubted.remove(&content);
         if let Some(known) = self.answered.iter_mut().find(|(known, _)| *known == content) {
             known.1 = now;
@@ -85,23 +85,23 @@
     }
 
     /// Whether a request of this content was answered whole here, lately or before.
-    pub fn was_answered(&self, content: Content) -> bool {
+    pub fn was_answered(&self, content: ContentHash) -> bool {
         self.last_answer(content).is_some()
     }
 
     /// Whether it was answered just before.
-    pub fn was_just_answered(&self, now: Tick, content: Content) -> bool {
+    pub fn was_answered_recently(&self, now: Tick, content: ContentHash) -> bool {
         self.last_answer(content).is_some_and(|at| now.since(at) <= INNOCENT_MS)
     }
 
-    fn last_answer(&self, content: Content) -> Option<Tick> {
+    fn last_answer(&self, content: ContentHash) -> Option<Tick> {
         let known = self.answered.iter().find(|(known, _)| *known == content);
         known.map(|(_, at)| *at)
     }
 
     /// The content is not sent for `for_ms`: an attempt of it broke off, and more of them would end more upstreams
     /// before the first end is known.
-    pub fn doubt(&mut self, now: Tick, content: Content, for_ms: u64) {
+    pub fn suspend(&mut self, now: Tick, content: ContentHash, for_ms: u64) {
         self.doubted.retain(|_, until| *until > now);
         if self.doubted.len() < MOST_DOUBTED || self.doubted.contains_key(&content) {
             self.doubted.insert(content, now + for_ms);
@@ -109,17 +109,17 @@
     }
 
     /// The doubt is over.
-    pub fn trust(&mut self, content: Content) {
+    pub fn resume(&mut self, content: ContentHash) {
         self.doubted.remove(&content);
     }
 
     /// Whether the content is not sent just now.
-    pub fn is_doubted(&self, now: Tick, content: Content) -> bool {
+    pub fn is_suspended(&self, now: Tick, content: ContentHash) -> bool {
         self.doubted.get(&content).is_some_and(|until| *until > now)
     }
 
     /// Milliseconds for which the content must not be sent.
-    pub fn rest_ms(&self, now: Tick, content: Content) -> Option<u64> {
+    pub fn remaining_ms(&self, now: Tick, content: ContentHash) -> Option<u64> {
         let (until, _) = self.until.get(&content)?;
         let rest = until.since(now);
         (rest > 0).then_some(rest)
--- a/crates/quarantine/src/evidence.rs
+++ b/crates/quarantine/src/evidence.rs
@@ -1,20 +1,20 @@
 //! The evidence against contents, at the hosts that keep it.
 
-use crate::{Content, Quarantine};
+use crate::{ContentHash, Quarantine};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use vanetally_types::{Incarnation, Tick};
 
 /// What a host found when it looked at an upstream after an attempt there had broken off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Sign {
+pub enum CrashSign {
     /// Somebody took the connection, or the way is cut, and nobody answered: it has probably ended.
     Silent,
     /// Nobody listens there, or another life does: it has ended.
     Ended,
 }
 
-impl Sign {
+impl CrashSign {
     /// The word for logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -33,13 +33,13 @@
 
 /// An upstream showed a sign of its end after an attempt of a content had broken off there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Suspicion {
+pub struct CrashReport {
     /// The content.
-    pub content: Content,
+    pub content: ContentHash,
     /// The upstream's incarnation.
     pub upstream: Incarnation,
     /// What was found there.
-    pub sign: Sign,
+    pub sign: CrashSign,
     /// Whether many callers send this content: it is under way wherever an upstream crashes.
     pub is_common: bool,
 }
@@ -47,7 +47,7 @@
 /// What speaks against one content.
 #[derive(Clone, Debug)]
 struct Case {
-    ended: Vec<(Incarnation, Sign)>,
+    ended: Vec<(Incarnation, CrashSign)>,
     first: Tick,
     last: Tick,
     is_common: bool,
@@ -61,7 +61,7 @@
     }
 
     /// Adds a sign; tells whether it says more than what was known.
-    fn add(&mut self, upstream: Incarnation, sign: Sign) -> bool {
+    fn add(&mut self, upstream: Incarnation, sign: CrashSign) -> bool {
         if let Some((_, known)) = self.ended.iter_mut().find(|(known, _)| *known == upstream) {
             return std::mem::replace(known, sign.max(*known)) < sign;
         }
@@ -86,10 +86,10 @@
     }
 }
 
-/// Evidence that one host keeps.
+/// CrashEvidence that one host keeps.
 #[derive(Clone, Debug, Default)]
-pub struct Evidence {
-    cases: HashMap<Content, Case>,
+pub struct CrashEvidence {
+    cases: HashMap<ContentHash, Case>,
 }
 
 /// The weight from which a content is quarantined: two upstreams that have ended, one that has and one that is silent,
@@ -104,7 +104,7 @@
 const QUARANTINE_COMMON_MS: u64 = 15_000;
 /// Most doublings: an hour.
 const MOST_DOUBLINGS: u32 = 6;
-/// Evidence against a content that was not quarantined is forgotten after this long, in milliseconds: two crashes that
+/// CrashEvidence against a content that was not quarantined is forgotten after this long, in milliseconds: two crashes that
 /// are further apart have nothing to do with each other.
 const MEMORY_MS: u64 = 600_000;
 /// The same for one that was: twice the longest quarantine.
@@ -114,10 +114,10 @@
 /// Upstreams that are remembered for each.
 const MOST_ENDED: usize = 32;
 
-impl Evidence {
+impl CrashEvidence {
     /// Weighs a suspicion; gives back a quarantine if there is enough evidence.
-    pub fn add(&mut self, now: Tick, suspicion: Suspicion) -> Option<Quarantine> {
-        let Suspicion { content, upstream, sign, is_common } = suspicion;
+    pub fn add(&mut self, now: Tick, suspicion: CrashReport) -> Option<Quarantine> {
+        let CrashReport { content, upstream, sign, is_common } = suspicion;
         self.make_room(now, content);
         if self.cases.get(&content).is_some_and(|known| known.is_forgotten(now)) {
             self.cases.remove(&content);
@@ -141,7 +141,7 @@
 
     /// A request of this content was answered whole after the first end: it ends no upstream. Tells whether it was
     /// quarantined.
-    pub fn clear(&mut self, content: Content) -> bool {
+    pub fn clear(&mut self, content: ContentHash) -> bool {
         self.cases.remove(&content).is_some_and(|case| case.count > 0)
     }
 
@@ -155,7 +155,7 @@
         self.cases.is_empty()
     }
 
-    fn make_room(&mut self, now: Tick, content: Content) {
+    fn make_room(&mut self, now: Tick, content: ContentHash) {
         if self.cases.len() < MOST_CONTENTS || self.cases.contains_key(&content) {
             return;
         }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -5,13 +5,13 @@
 //! all upstreams: all hosts hear of it, and it outlives them. State machines only: no clock, no socket.
 #![deny(missing_docs, unsafe_code)]
 
+mod blocked_contents;
 mod evidence;
-mod held;
 mod quarantine;
 
-pub use evidence::{Evidence, Sign, Suspicion};
-pub use held::Held;
+pub use blocked_contents::BlockedContents;
+pub use evidence::{CrashEvidence, CrashReport, CrashSign};
 pub use quarantine::Quarantine;
 
 /// Identifies the content of requests: method, path and body.
-pub type Content = u64;
+pub type ContentHash = u64;
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -1,13 +1,13 @@
 //! What all hosts hear of a content.
 
-use crate::Content;
+use crate::ContentHash;
 use serde::{Deserialize, Serialize};
 
 /// A content that must not be sent for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantine {
     /// The content.
-    pub content: Content,
+    pub content: ContentHash,
     /// For so long, in milliseconds; zero releases it.
     pub for_ms: u64,
     /// Upstreams that ended under it.
@@ -19,7 +19,7 @@
 
 impl Quarantine {
     /// The content may be sent again.
-    pub fn release(content: Content) -> Self {
+    pub fn release(content: ContentHash) -> Self {
         Self { content, for_ms: 0, ended: 0, age_ms: None }
     }
 
