--- a/crates/gateway/src/hub.rs
+++ b/crates/gateway/src/hub.rs
@@ -153,7 +153,7 @@
             revoke_ms: bounds.revoke_ms,
         };
         let tenure = TenureOptions {
-            ttl_ms: ORDER_TTL_MS.max(settings.store.least_ttl_ms),
+            ttl_ms: ORDER_TTL_MS.max(settings.store.min_ttl_ms),
             settle_ms: SETTLE_MS,
             resettle_ms: bounds.order_lease_ms + SETTLE_MS,
         };
@@ -200,7 +200,7 @@
             looks: RefCell::default(),
             writes: Cell::new(0),
             totals: RefCell::default(),
-            sum_spacing: RefCell::new(Spacing::new(settings.link_bytes)),
+            sum_spacing: RefCell::new(Spacing::new(settings.link_bytes_per_s)),
             settings,
             ports,
         })
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -343,7 +343,7 @@
         let transaction = Transaction { remove: vec![key], ..Transaction::default() };
         return matches!(hub.store.transact(&transaction).await, Ok(StoreAnswer::Done(_)));
     }
-    let ttl_ms = for_ms.min(MOST_KEPT_MS).max(hub.settings.store.least_ttl_ms);
+    let ttl_ms = for_ms.min(MOST_KEPT_MS).max(hub.settings.store.min_ttl_ms);
     let Ok(StoreAnswer::Done((lease, _))) = hub.store.grant(ttl_ms).await else {
         return false;
     };
--- a/crates/gateway/src/registration.rs
+++ b/crates/gateway/src/registration.rs
@@ -20,7 +20,7 @@
 /// Keeps this host's key in the store, for as long as the process lives.
 pub(crate) async fn register(hub: Rc<Hub>) {
     loop {
-        let ttl = HOST_TTL_MS.max(hub.settings.store.least_ttl_ms);
+        let ttl = HOST_TTL_MS.max(hub.settings.store.min_ttl_ms);
         if let Ok(StoreAnswer::Done((lease, ttl_ms))) = hub.store.grant(ttl).await {
             let is_written = write_key(&hub, lease).await;
             hub.host_lease.set(Some(lease));
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -13,7 +13,7 @@
     /// The host's share of a processor, in percent.
     pub capacity: u32,
     /// Bytes a second that the host's own link carries, if that is stated.
-    pub link_bytes: Option<u64>,
+    pub link_bytes_per_s: Option<u64>,
     /// Where callers connect.
     pub listen: SocketAddr,
     /// Where the balancer asks for readiness.
@@ -42,7 +42,7 @@
     /// Its address.
     pub address: SocketAddr,
     /// The shortest lease, in milliseconds.
-    pub least_ttl_ms: u64,
+    pub min_ttl_ms: u64,
     /// Writing calls a second that it takes from all hosts together, above zero.
     pub writes_per_s: f64,
 }
