--- a/tests/platform_path.rs
+++ b/tests/platform_path.rs
@@ -61,7 +61,7 @@
     let deployment = Deployment::start();
     deployment.engines[0].set_behaviour(Behaviour::Stream { events: 2_000, pause_ms: 10 });
     let host = deployment.host("front-1");
-    offer("d1").send_and_leave(host.front, Duration::from_millis(300));
+    offer("d1").send_and_disconnect(host.front, Duration::from_millis(300));
     let left = Instant::now();
     wait_for("the run is cancelled", || deployment.engines[0].cancelled() == 1);
     assert!(left.elapsed() < Duration::from_millis(500), "{:?}", left.elapsed());
@@ -72,7 +72,7 @@
     let deployment = Deployment::start();
     deployment.engines[0].set_behaviour(Behaviour::Unresponsive);
     let host = deployment.host("front-1");
-    offer("d2").send_and_leave(host.front, Duration::from_millis(300));
+    offer("d2").send_and_disconnect(host.front, Duration::from_millis(300));
     wait_for("the run is cancelled", || deployment.engines[0].cancelled() == 1);
 }
 
@@ -202,7 +202,7 @@
     let host = deployment.host("front-1");
     deployment.store.set_mode(StoreMode::StalledWatches);
     deployment.configure(2, &["later"]);
-    deployment.store.forget_history();
+    deployment.store.compact_history();
     deployment.store.set_mode(StoreMode::Serving);
     wait_for("the route is there", || {
         Client::new("GET", "/later/1", "n1").send(host.front).status == 200
@@ -283,7 +283,7 @@
     wait_for("somebody holds the orders", || deployment.store.get("vanetally/orders").is_some());
     deployment.engines[0].set_highest_token(1_000_000);
     let client = Client::new("POST", "/offer/1", "t1").with("X-Model", "m1/a1");
-    client.send_and_leave(host.front, Duration::from_millis(4_500));
+    client.send_and_disconnect(host.front, Duration::from_millis(4_500));
     wait_for("the order was refused", || !deployment.engines[0].orders().is_empty());
     wait_for("the key was written anew", || deployment.store.writes_of("vanetally/orders") >= 2);
     let orders = deployment.engines[0].orders();
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -124,7 +124,7 @@
         let began = Instant::now();
         let address = shared.fronts[host];
         let answer = if rng.random_bool(LEAVES) {
-            client.send_and_leave(address, Duration::from_millis(rng.random_range(0..20)));
+            client.send_and_disconnect(address, Duration::from_millis(rng.random_range(0..20)));
             None
         } else if rng.random_bool(KEPT) {
             Some(client.send_on(&mut sessions[host], address))
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -62,7 +62,7 @@
         9 => any_runner(rng, &site.deployment.engines).set_behaviour(any(rng, &ENGINE_FAULTS)),
         10 => any_runner(rng, &site.deployment.desks).set_behaviour(any(rng, &DESK_FAULTS)),
         11 => site.configure(),
-        12 => site.deployment.store.forget_history(),
+        12 => site.deployment.store.compact_history(),
         13 => {
             let number = site.any_present(rng);
             site.announce(number, "draining");
@@ -86,7 +86,7 @@
         4 => site.deployment.store.set_mode(any(rng, &STORE_FAULTS)),
         5 => site.slots[host].store_link.set_mode(any(rng, &LINK_FAULTS)),
         6 => site.configure(),
-        _ => site.deployment.store.forget_history(),
+        _ => site.deployment.store.compact_history(),
     }
     let back = rng.random_range(0..site.slots.len());
     site.slots[back].revive(&site.deployment, &site.shared);
