--- a/crates/bench/benches/fleet.rs
+++ b/crates/bench/benches/fleet.rs
@@ -3,7 +3,7 @@
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use std::{collections::BTreeMap, hint::black_box, rc::Rc, time::Duration};
 use vanetally_dispatch::{
-    Action, BudgetOptions, Digest, Dispatch, Event, LoadRow, Options, RequestId,
+    Action, Digest, Dispatch, Event, LoadRow, Options, RequestId, RetryBudgetOptions,
 };
 use vanetally_fanout::Totals;
 use vanetally_pacing::{Pacer, Prompt};
@@ -100,7 +100,7 @@
     let options = Options {
         host: "front-0".into(),
         domain: "z1".into(),
-        budget: BudgetOptions { ratio: 0.2, window_ms: 10_000, slack: 630.0 },
+        retry_budget: RetryBudgetOptions { ratio: 0.2, window_ms: 10_000, slack: 630.0 },
         grace_ms: 8_000,
         revoke_ms: None,
     };
@@ -139,7 +139,7 @@
             b.iter(|| {
                 number += 1;
                 let (id, request) = (RequestId(number), request(number, models(runners)));
-                let actions = dispatch.handle(NOW, Event::Arrived { id, request, content: 0 });
+                let actions = dispatch.handle(NOW, Event::Arrived { id, request, content_hash: 0 });
                 assert!(matches!(actions[..], [Action::Reserve { .. }]), "{actions:?}");
                 dispatch.handle(NOW, Event::CallerLeft { id })
             });
@@ -184,7 +184,7 @@
                 let id = RequestId(number);
                 let credential = Credential::Key(key(number as usize % ORGANISATIONS));
                 let request = CallerRequest { credential, ..request(number, models(runners)) };
-                let actions = dispatch.handle(NOW, Event::Arrived { id, request, content: 0 });
+                let actions = dispatch.handle(NOW, Event::Arrived { id, request, content_hash: 0 });
                 assert!(matches!(actions[..], [Action::Reserve { .. }]), "{actions:?}");
                 dispatch.handle(NOW, Event::CallerLeft { id })
             });
--- a/crates/dispatch/src/access.rs
+++ b/crates/dispatch/src/access.rs
@@ -94,7 +94,7 @@
     /// Why a request that has arrived must not be sent now, if anything bars it: keys and contents are judged anew
     /// at each sending.
     pub(crate) fn bar(&self, now: Tick, request: &Request) -> Option<Refusal> {
-        if let Some(rest_ms) = self.held.remaining_ms(now, request.content) {
+        if let Some(rest_ms) = self.held.remaining_ms(now, request.content_hash) {
             return Some(Refusal::not_run(RefusalCause::Quarantined, Some(rest_ms)));
         }
         let key = request.access.key?;
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -5,7 +5,7 @@
 
 /// What all hosts together may repeat.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetOptions {
+pub struct RetryBudgetOptions {
     /// Repeats for each request.
     pub ratio: f64,
     /// The sliding window, in milliseconds.
@@ -16,8 +16,8 @@
 
 /// This host's share of the budget of one service.
 #[derive(Clone, Debug)]
-pub struct Budget {
-    options: BudgetOptions,
+pub struct RetryBudget {
+    options: RetryBudgetOptions,
     hosts: usize,
     requests: VecDeque<Tick>,
     repeats: VecDeque<Tick>,
@@ -29,9 +29,9 @@
 /// Hosts that may live beside those that are known.
 const UNKNOWN_HOSTS: usize = 2;
 
-impl Budget {
+impl RetryBudget {
     /// An untouched budget.
-    pub fn new(options: BudgetOptions) -> Self {
+    pub fn new(options: RetryBudgetOptions) -> Self {
         Self { options, hosts: 1, requests: VecDeque::new(), repeats: VecDeque::new() }
     }
 
--- a/crates/dispatch/src/choose.rs
+++ b/crates/dispatch/src/choose.rs
@@ -4,7 +4,7 @@
     choice::{Choice, Expected, Limit},
     pace::Pace,
     request::Request,
-    shortage::{Lack, Shortage},
+    shortage::{Shortage, ShortageKind},
     upstream::Upstream,
 };
 use vanetally_ports::{EngineSpec, ModelRef};
@@ -47,20 +47,21 @@
     request: &Request,
     upstreams: impl Iterator<Item = (&'a Incarnation, &'a Upstream)>,
 ) -> Result<Choice, Shortage> {
-    let mut shortage = Shortage { lack: Lack::Upstream, holders: 0 };
+    let mut shortage = Shortage { kind: ShortageKind::Upstream, holders: 0 };
     let (mut best, mut suspect, mut limited): (Cheapest, Cheapest, Cheapest) = Default::default();
     let (mut usable, mut in_need) = (0, 0);
     for (id, upstream) in upstreams.filter(|(_, upstream)| upstream.takes_new(view.now)) {
         let lack = lack(view, request, id, upstream);
-        shortage.holders += u32::from(!lack.is_some_and(Lack::is_missing));
-        usable += u32::from(!lack.is_some_and(|lack| lack.is_missing() || lack == Lack::Attempt));
+        shortage.holders += u32::from(!lack.is_some_and(ShortageKind::is_missing));
+        usable +=
+            u32::from(!lack.is_some_and(|lack| lack.is_missing() || lack == ShortageKind::Attempt));
         if let Some(lack) = lack {
-            shortage.lack = shortage.lack.max(lack);
+            shortage.kind = shortage.kind.max(lack);
             continue;
         }
         let (cost, choice) = cost(view, request, id, upstream);
         if upstream.is_limited(view.now) {
-            shortage.lack = shortage.lack.max(Lack::Limit);
+            shortage.kind = shortage.kind.max(ShortageKind::Limit);
             in_need += 1;
             let wait_ms = upstream.limited_until.since(view.now) as f64;
             offer(&mut limited, wait_ms, choice);
@@ -89,30 +90,37 @@
 }
 
 /// What keeps the request from going to an upstream that takes new ones, if anything does.
-fn lack(view: &View<'_>, request: &Request, id: &Incarnation, upstream: &Upstream) -> Option<Lack> {
+fn lack(
+    view: &View<'_>,
+    request: &Request,
+    id: &Incarnation,
+    upstream: &Upstream,
+) -> Option<ShortageKind> {
     if let Some(subject) = &request.head.model
         && !upstream.holds(subject, view.now)
     {
         let base = ModelRef { model: subject.model.clone(), adapter: None };
         let has_model = subject.adapter.is_some() && upstream.holds(&base, view.now);
-        return Some(if has_model { Lack::Adapter } else { Lack::Model });
+        return Some(if has_model { ShortageKind::Adapter } else { ShortageKind::Model });
     }
     if !request.may_go_to(id) {
-        return Some(Lack::Attempt);
+        return Some(ShortageKind::Attempt);
     }
     if upstream.rest.closed_ms(view.now).is_some() {
-        return Some(Lack::Rest);
+        return Some(ShortageKind::Cooldown);
     }
     if view.now < upstream.full_until {
-        return Some(Lack::TurnedAway);
+        return Some(ShortageKind::TurnedAway);
     }
     if view.now < upstream.paced_until {
-        return Some(Lack::Moment);
+        return Some(ShortageKind::SendTime);
     }
     let load = upstream.total(view.now);
     let slots = f64::from(upstream.state.slots);
     match view.engine {
-        None => is_crowded(upstream, load.running, slots * SERVICE_QUEUE).then_some(Lack::Slot),
+        None => {
+            is_crowded(upstream, load.running, slots * SERVICE_QUEUE).then_some(ShortageKind::Slot)
+        }
         Some(_) if load.running == 0 => None,
         Some(engine) => engine_lack(view, engine, request, upstream),
     }
@@ -130,15 +138,15 @@
     engine: &EngineSpec,
     request: &Request,
     upstream: &Upstream,
-) -> Option<Lack> {
+) -> Option<ShortageKind> {
     let load = upstream.total(view.now);
     let slots = f64::from(upstream.state.slots);
     let fill = if request.is_late(view.now) { LATE_FILL } else { ENGINE_FILL };
     if is_crowded(upstream, load.running, slots * fill) {
-        return Some(Lack::Slot);
+        return Some(ShortageKind::Slot);
     }
     if u64::from(load.held_tokens + request.tokens()) > engine.kv_tokens {
-        return Some(Lack::Memory);
+        return Some(ShortageKind::Memory);
     }
     let ahead = view.ahead(upstream);
     let model = request.head.model.as_ref();
@@ -146,7 +154,7 @@
     let unread = ahead + request.head.prompt_tokens.saturating_sub(cached);
     let reading_ms = view.pace.reading_ms(model.map(|m| &m.model), unread);
     let is_read_soon = reading_ms < GAP_SHARE * request.gap_ms() as f64;
-    (ahead > 0 && !is_read_soon).then_some(Lack::Reading)
+    (ahead > 0 && !is_read_soon).then_some(ShortageKind::Reading)
 }
 
 impl View<'_> {
--- a/crates/dispatch/src/ending.rs
+++ b/crates/dispatch/src/ending.rs
@@ -1,7 +1,7 @@
 //! How attempts and requests end: what is learned, what may be sent again, what the caller is told.
 
 use crate::{
-    Action, AttemptEnd, Dispatch, RequestId, Standing,
+    Action, AttemptEnd, Dispatch, RefusalContext, RequestId,
     request::{Request, Sending, Stage},
     sending::WANT_AGAIN_MS,
 };
@@ -106,8 +106,8 @@
         let barred = self.bar(now, &request).map(|bar| bar.with_verdict(request.verdict));
         match barred.or_else(|| self.why_not_again(now, &request, end, answered)) {
             Some(refusal) => {
-                let standing = Standing::from(&request);
-                actions.push(Action::Refuse { id, refusal, standing });
+                let context = RefusalContext::from(&request);
+                actions.push(Action::Refuse { id, refusal, context });
             }
             None => {
                 self.queue.insert(id, &request);
@@ -125,7 +125,7 @@
         end: AttemptEnd,
         actions: &mut Vec<Action>,
     ) {
-        let content = request.content;
+        let content = request.content_hash;
         match end {
             AttemptEnd::Served => self.held.record_answer(now, content),
             AttemptEnd::Broken if !self.held.was_answered_recently(now, content) => {
@@ -137,11 +137,11 @@
                 if !is_common {
                     self.held.suspend(now, content, DOUBT_MS);
                 }
-                actions.push(Action::LookAt {
+                actions.push(Action::Probe {
                     upstream,
                     address: known.state.address,
                     is_engine: self.is_engine(&request.service),
-                    content,
+                    content_hash: content,
                     is_common,
                 });
             }
@@ -152,7 +152,7 @@
     /// Whether many callers send what a request says.
     pub(crate) fn is_common(&self, request: &Request) -> bool {
         let is_repeated = request.route.kind == RequestKind::Idempotent;
-        is_repeated || self.held.was_answered(request.content)
+        is_repeated || self.held.was_answered(request.content_hash)
     }
 
     /// Somebody looked whether an upstream lives: one that shows no life gets nothing for a while.
@@ -237,7 +237,7 @@
         };
         let is_news = !is_good || (sending.is_trial && !sending.has_begun);
         if is_news && self.is_engine(&request.service) {
-            actions.push(Action::Tell { upstream: sending.upstream.clone(), is_good });
+            actions.push(Action::ReportOutcome { upstream: sending.upstream.clone(), is_good });
         }
     }
 
@@ -297,12 +297,12 @@
                 }
                 _ => now + LEAST_LEFT_MS >= request.deadline,
             };
-            is_late.then(|| (*id, self.late_refusal(now, request), Standing::from(request)))
+            is_late.then(|| (*id, self.late_refusal(now, request), RefusalContext::from(request)))
         });
-        let late: Vec<(RequestId, Refusal, Standing)> = late.collect();
-        for (id, refusal, standing) in late {
+        let late: Vec<(RequestId, Refusal, RefusalContext)> = late.collect();
+        for (id, refusal, context) in late {
             self.end(id);
-            actions.push(Action::Refuse { id, refusal, standing });
+            actions.push(Action::Refuse { id, refusal, context });
         }
         for upstream in self.upstreams.values_mut() {
             let (good, bad) = upstream.peer_ends(now);
--- a/crates/dispatch/src/event.rs
+++ b/crates/dispatch/src/event.rs
@@ -1,8 +1,8 @@
 //! What goes into the decisions and what comes out.
 
-use crate::{BudgetOptions, Digest, Lack, Standing};
+use crate::{Digest, RefusalContext, RetryBudgetOptions, ShortageKind};
 use std::{net::SocketAddr, rc::Rc};
-use vanetally_limit::{Answer as Permit, News, Question};
+use vanetally_limit::{LimitChange, PermitAnswer, PermitRequest};
 use vanetally_pacing::{Prompt, SlotReply};
 use vanetally_ports::{CallerRequest, Configuration, ModelRef, Origin, Refusal, UpstreamState};
 use vanetally_quarantine::{ContentHash, CrashReport, CrashSign, Quarantine};
@@ -20,7 +20,7 @@
     /// This host's failure domain.
     pub domain: Name,
     /// Retries that all hosts together may make.
-    pub budget: BudgetOptions,
+    pub retry_budget: RetryBudgetOptions,
     /// Milliseconds that a planned stop may take.
     pub grace_ms: u64,
     /// Milliseconds after a key was taken away within which it must not be used any more; none if hosts serve on
@@ -84,11 +84,11 @@
     /// A content was found to end upstreams, or not to.
     Quarantined(Quarantine),
     /// It was looked whether an upstream lives at which attempts had broken off.
-    LookedAt {
+    Probed {
         /// The upstream's incarnation.
         upstream: Incarnation,
         /// The contents of these attempts.
-        contents: Vec<ContentHash>,
+        content_hashes: Vec<ContentHash>,
         /// The sign of its end; none if it lives.
         sign: Option<CrashSign>,
     },
@@ -115,7 +115,7 @@
         id: Incarnation,
     },
     /// The holder of orders told what a runner holds.
-    Placed {
+    PresenceReported {
         /// The runner.
         runner: Incarnation,
         /// What it is about.
@@ -136,7 +136,7 @@
         host: Name,
     },
     /// How many hosts may live now, this one included.
-    Hosts(usize),
+    HostCount(usize),
     /// A request was read whole.
     Arrived {
         /// Its number in this process.
@@ -144,27 +144,27 @@
         /// Its head.
         request: CallerRequest,
         /// Its content.
-        content: ContentHash,
+        content_hash: ContentHash,
     },
     /// The engine's pacer answered.
     Reserved {
         /// The request.
         id: RequestId,
         /// The reservation that was asked for.
-        turn: u32,
+        reservation: u32,
         /// What it said.
         slot: SlotReply,
     },
     /// Who grants said when the request may go to an upstream in need.
-    Permitted {
+    PermitAnswered {
         /// The request.
         id: RequestId,
         /// The reservation that was asked for.
-        turn: u32,
+        reservation: u32,
         /// What was asked.
-        question: Question,
+        request: PermitRequest,
         /// What was said.
-        answer: Permit,
+        answer: PermitAnswer,
     },
     /// The first piece of an answer came.
     FirstPiece {
@@ -172,7 +172,7 @@
         id: RequestId,
     },
     /// The head of an answer came.
-    Stated {
+    LimitStated {
         /// The upstream's incarnation.
         upstream: Incarnation,
         /// When the request was sent.
@@ -181,7 +181,7 @@
         rate: Option<f64>,
     },
     /// An upstream turned a request away and wants nothing from this host for a while.
-    RestAsked {
+    CooldownRequested {
         /// The upstream's incarnation.
         upstream: Incarnation,
         /// Milliseconds.
@@ -223,7 +223,7 @@
     /// Milliseconds since the request arrived.
     pub waited_ms: u64,
     /// What it lacked before, if it had to wait.
-    pub lacked: Option<Lack>,
+    pub shortage: Option<ShortageKind>,
     /// Tokens of the prompt that the upstream was thought not to have read before.
     pub unread_tokens: u32,
     /// Milliseconds of reading that it was thought to do first, for others.
@@ -278,7 +278,7 @@
         /// The request.
         id: RequestId,
         /// The number of this reservation among those of the request.
-        turn: u32,
+        reservation: u32,
         /// Its prompt.
         prompt: Prompt,
     },
@@ -289,32 +289,32 @@
         /// Why, and whether it may have run.
         refusal: Refusal,
         /// What stood in its way.
-        standing: Standing,
+        context: RefusalContext,
     },
     /// A model or adapter is asked for that no runner holds, or an adapter at none with room.
-    Want {
+    RequestModel {
         /// The service.
         service: Name,
         /// What is missing.
         subject: ModelRef,
         /// Whether it is held, and one more copy is wanted.
-        is_crowded: bool,
+        is_saturated: bool,
     },
     /// Tell the engine's pacer how a request ended there.
-    Tell {
+    ReportOutcome {
         /// The engine's incarnation.
         upstream: Incarnation,
         /// Whether it answered.
         is_good: bool,
     },
     /// Ask who grants when the request may go to an upstream in need.
-    Permit {
+    RequestPermit {
         /// The request.
         id: RequestId,
         /// The number of this reservation among those of the request.
-        turn: u32,
+        reservation: u32,
         /// What to ask.
-        question: Question,
+        request: PermitRequest,
     },
     /// What was granted did not go: give it back.
     ReturnPermit {
@@ -324,16 +324,16 @@
         rate: f64,
     },
     /// Note that an upstream names another limit than before, or none any more.
-    Limited {
+    LimitChanged {
         /// The upstream's incarnation.
         upstream: Incarnation,
         /// What changed.
-        news: News,
+        change: LimitChange,
         /// The host that told it; none if this one heard it.
-        by: Option<Name>,
+        reported_by: Option<Name>,
     },
     /// An attempt broke off: look whether its upstream lives. If not, that speaks against the content.
-    LookAt {
+    Probe {
         /// The upstream's incarnation.
         upstream: Incarnation,
         /// Where it listened.
@@ -341,12 +341,12 @@
         /// Whether it is an engine, which reports when asked.
         is_engine: bool,
         /// The content.
-        content: ContentHash,
+        content_hash: ContentHash,
         /// Whether many callers send this content.
         is_common: bool,
     },
     /// An upstream has certainly ended under a content: those that keep the evidence have to know.
-    Suspect(CrashReport),
+    ReportCrash(CrashReport),
     /// Note how well the first piece was predicted.
     Predicted {
         /// The request.
--- a/crates/dispatch/src/leavers.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -8,7 +8,7 @@
 
 /// Those that have said so, and when it was first heard.
 #[derive(Clone, Debug, Default)]
-pub struct Leavers {
+pub struct LeavingUpstreams {
     since: BTreeMap<Incarnation, Tick>,
 }
 
@@ -19,9 +19,9 @@
 /// One in so many of them goes where there is no room, the oldest first.
 const FORGOTTEN_PART: usize = 8;
 
-impl Leavers {
+impl LeavingUpstreams {
     /// An upstream has said that it leaves; tells whether that is news.
-    pub fn add(&mut self, now: Tick, upstream: Incarnation) -> bool {
+    pub fn insert(&mut self, now: Tick, upstream: Incarnation) -> bool {
         if self.since.contains_key(&upstream) {
             return false;
         }
@@ -38,7 +38,7 @@
     }
 
     /// Another life has begun under its id.
-    pub fn ended(&mut self, upstream: &Incarnation) {
+    pub fn remove(&mut self, upstream: &Incarnation) {
         self.since.remove(upstream);
     }
 
--- a/crates/dispatch/src/limits.rs
+++ b/crates/dispatch/src/limits.rs
@@ -1,7 +1,7 @@
 //! What upstreams in need take from all hosts: what answers and other hosts say of it.
 
 use crate::{Action, Digest, Dispatch, LimitRow};
-use vanetally_limit::Statement;
+use vanetally_limit::LimitStatement;
 use vanetally_types::{Incarnation, Name, Tick};
 
 impl Dispatch {
@@ -15,8 +15,12 @@
         actions: &mut Vec<Action>,
     ) {
         let upstream = self.upstreams.get_mut(&id);
-        let news = upstream.and_then(|upstream| upstream.limit.answered(now, sent, rate));
-        actions.extend(news.map(|news| Action::Limited { upstream: id, news, by: None }));
+        let news = upstream.and_then(|upstream| upstream.limit.record_answer(now, sent, rate));
+        actions.extend(news.map(|news| Action::LimitChanged {
+            upstream: id,
+            change: news,
+            reported_by: None,
+        }));
     }
 
     /// Another host told what upstreams stated.
@@ -31,16 +35,19 @@
         for (id, row) in rows {
             let at = Tick(now.0.saturating_sub(u64::from(row.age_ms)));
             let upstream = self.upstreams.get_mut(id);
-            let news =
-                upstream.and_then(|known| known.limit.told(Statement { rate: row.rate, at }));
-            let limited =
-                |news| Action::Limited { upstream: id.clone(), news, by: Some(host.clone()) };
+            let news = upstream
+                .and_then(|known| known.limit.record_report(LimitStatement { rate: row.rate, at }));
+            let limited = |news| Action::LimitChanged {
+                upstream: id.clone(),
+                change: news,
+                reported_by: Some(host.clone()),
+            };
             actions.extend(news.map(limited));
         }
     }
 }
 
 /// What a digest tells of a statement.
-pub(crate) fn row(now: Tick, told: Statement) -> LimitRow {
+pub(crate) fn row(now: Tick, told: LimitStatement) -> LimitRow {
     LimitRow { rate: told.rate, age_ms: now.since(told.at) as u32 }
 }
--- a/crates/dispatch/src/machine.rs
+++ b/crates/dispatch/src/machine.rs
@@ -1,8 +1,8 @@
 //! The state machine of one host's requests.
 
 use crate::{
-    Action, Budget, DemandRow, Digest, Event, LoadRow, Options, Prediction, Presence, RequestId,
-    RouteIndex, Standing,
+    Action, DemandRow, Digest, Event, LoadRow, Options, Prediction, Presence, RefusalContext,
+    RequestId, RetryBudget, RouteIndex,
     access::KeyIndex,
     answers::Answers,
     directory::Directory,
@@ -44,7 +44,7 @@
     pub(crate) directory: Directory,
     pub(crate) requests: HashMap<RequestId, Request>,
     pub(crate) queue: Queue,
-    pub(crate) budgets: BTreeMap<Name, Budget>,
+    pub(crate) budgets: BTreeMap<Name, RetryBudget>,
     pub(crate) pace: Pace,
     /// How long answers of plain services take.
     pub(crate) answers: BTreeMap<Name, Answers>,
@@ -135,7 +135,7 @@
             Event::Quarantined(quarantine) => {
                 self.held.apply(now, quarantine);
             }
-            Event::LookedAt { upstream, contents, sign } => {
+            Event::Probed { upstream, content_hashes: contents, sign } => {
                 self.looked_at(now, &upstream, &contents, sign);
             }
             Event::UpstreamSeen { id, state } => self.upstream_seen(now, id, state),
@@ -149,7 +149,7 @@
                 self.abandon(&id, &mut actions);
             }
             Event::UpstreamGone { id } => self.upstream_gone(now, &id),
-            Event::Placed { runner, subject, presence } => {
+            Event::PresenceReported { runner, subject, presence } => {
                 if presence == Presence::Present {
                     self.directory.told(&runner, &subject.model);
                 }
@@ -161,23 +161,25 @@
                 self.peer_limits(now, &host, &digest, &mut actions);
                 self.peer_digest(now, &host, digest);
             }
-            Event::Permitted { id, turn, question, answer } => {
-                self.permitted(now, (id, turn), question, answer, &mut actions);
+            Event::PermitAnswered { id, reservation, request: question, answer } => {
+                self.permitted(now, (id, reservation), question, answer, &mut actions);
             }
-            Event::Stated { upstream, sent, rate } => {
+            Event::LimitStated { upstream, sent, rate } => {
                 self.stated(now, upstream, sent, rate, &mut actions);
             }
-            Event::RestAsked { upstream, for_ms } => self.rest_asked(now, &upstream, for_ms),
+            Event::CooldownRequested { upstream, for_ms } => {
+                self.rest_asked(now, &upstream, for_ms)
+            }
             Event::PeerGone { host } => self.peer_gone(&host),
-            Event::Hosts(hosts) => {
+            Event::HostCount(hosts) => {
                 self.hosts = hosts.max(1);
                 self.budgets.values_mut().for_each(|budget| budget.share_among(hosts));
             }
-            Event::Arrived { id, request, content } => {
-                self.arrived(now, id, request, content, &mut actions);
+            Event::Arrived { id, request, content_hash } => {
+                self.arrived(now, id, request, content_hash, &mut actions);
             }
-            Event::Reserved { id, turn, slot } => {
-                self.reserved(now, id, turn, slot, &mut actions);
+            Event::Reserved { id, reservation, slot } => {
+                self.reserved(now, id, reservation, slot, &mut actions);
             }
             Event::FirstPiece { id } => self.first_piece(now, id, &mut actions),
             Event::AttemptEnded { id, end, answered } => {
@@ -222,17 +224,17 @@
     }
 
     /// Milliseconds for which an upstream wants nothing from this host.
-    pub fn rest_left_ms(&self, now: Tick, upstream: &Incarnation) -> Option<u64> {
+    pub fn cooldown_left_ms(&self, now: Tick, upstream: &Incarnation) -> Option<u64> {
         self.upstreams.get(upstream)?.rest.left_ms(now)
     }
 
     /// What an upstream announces.
-    pub fn state_of(&self, upstream: &Incarnation) -> Option<&UpstreamState> {
+    pub fn upstream_state(&self, upstream: &Incarnation) -> Option<&UpstreamState> {
         self.upstreams.get(upstream).map(|known| &known.state)
     }
 
     /// The contents that are kept back.
-    pub fn held(&self) -> &BlockedContents {
+    pub fn quarantine(&self) -> &BlockedContents {
         &self.held
     }
 
@@ -248,7 +250,7 @@
     }
 
     /// What is believed of each upstream, for people.
-    pub fn loads(&self, now: Tick) -> Vec<UpstreamSummary> {
+    pub fn summaries(&self, now: Tick) -> Vec<UpstreamSummary> {
         let loads = self.upstreams.iter().map(|(id, upstream)| {
             let load = upstream.total(now);
             UpstreamSummary {
@@ -267,7 +269,7 @@
         let loads = self.upstreams.iter_mut().filter_map(|(id, upstream)| {
             let (good, bad) = upstream.health.recent(now);
             let own = upstream.own;
-            let limit = upstream.limit.to_tell(now);
+            let limit = upstream.limit.announcement(now);
             (own.running > 0 || good + bad > 0 || limit.is_some()).then(|| LoadRow {
                 limit: limit.map(|told| row(now, told)),
                 upstream: id.clone(),
@@ -297,9 +299,9 @@
         self.routes = RouteIndex::new(&configuration);
         self.keys = KeyIndex::new(&configuration);
         for service in configuration.services.keys() {
-            let (options, hosts) = (self.options.budget, self.hosts);
+            let (options, hosts) = (self.options.retry_budget, self.hosts);
             self.budgets.entry(service.clone()).or_insert_with(|| {
-                let mut budget = Budget::new(options);
+                let mut budget = RetryBudget::new(options);
                 budget.share_among(hosts);
                 budget
             });
@@ -343,8 +345,8 @@
         };
         for (id, request) in self.requests.iter().filter(|(_, request)| is_there(request)) {
             actions.push(Action::Abandon { id: *id, number: request.sendings });
-            actions.push(Action::Suspect(CrashReport {
-                content: request.content,
+            actions.push(Action::ReportCrash(CrashReport {
+                content: request.content_hash,
                 upstream: upstream.clone(),
                 sign: CrashSign::Ended,
                 is_common: self.is_common(request),
@@ -374,14 +376,14 @@
         now: Tick,
         id: RequestId,
         head: CallerRequest,
-        content: ContentHash,
+        content_hash: ContentHash,
         actions: &mut Vec<Action>,
     ) {
-        let standing = Standing::default();
+        let context = RefusalContext::default();
         let refuse = |cause, retry| Action::Refuse {
             id,
             refusal: Refusal::not_run(cause, retry),
-            standing: Standing::default(),
+            context: RefusalContext::default(),
         };
         let admitted = self.route(now, &head).and_then(|route| {
             let access = self.access(now, &route, &head)?;
@@ -389,7 +391,7 @@
         });
         let (route, access) = match admitted {
             Ok(admitted) => admitted,
-            Err(refusal) => return actions.push(Action::Refuse { id, refusal, standing }),
+            Err(refusal) => return actions.push(Action::Refuse { id, refusal, context }),
         };
         if self.is_late_in_stop(now) {
             return actions.push(refuse(RefusalCause::Stopping, Some(STOP_RETRY_MS)));
@@ -401,7 +403,7 @@
         if let Some(budget) = self.budgets.get_mut(&service) {
             budget.earn(now);
         }
-        let request = Request { content, ..Request::new(head, route, access, service, now) };
+        let request = Request { content_hash, ..Request::new(head, route, access, service, now) };
         if let Some(subject) = &request.head.model {
             let demand = self.demand.entry((request.service.clone(), subject.clone()));
             let demand = demand.or_default();
@@ -439,7 +441,8 @@
             return;
         }
         if sending.is_trial {
-            actions.push(Action::Tell { upstream: sending.upstream.clone(), is_good: true });
+            actions
+                .push(Action::ReportOutcome { upstream: sending.upstream.clone(), is_good: true });
         }
         let read = Load { unread_tokens: sending.load.unread_tokens, ..Load::default() };
         sending.load.unread_tokens = 0;
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -3,7 +3,7 @@
 use crate::{
     access::Access,
     choice::{Choice, Expected},
-    shortage::{Lack, Shortage},
+    shortage::{Shortage, ShortageKind},
     upstream::{Load, shared_prefixes},
 };
 use std::rc::Rc;
@@ -33,7 +33,7 @@
 /// A moment that was asked for and not given yet.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Reservation {
-    pub turn: u32,
+    pub reservation: u32,
     pub choice: Choice,
     /// What it adds to the engine's load.
     pub load: Load,
@@ -61,7 +61,7 @@
     pub head: CallerRequest,
     pub route: Rc<Route>,
     pub access: Access,
-    pub content: ContentHash,
+    pub content_hash: ContentHash,
     /// The parts of its prompt that others may share.
     pub shared: Vec<Prefix>,
     pub service: Name,
@@ -123,7 +123,7 @@
             head,
             route,
             access,
-            content: 0,
+            content_hash: 0,
             service,
             arrived: now,
             deadline,
@@ -172,7 +172,8 @@
     /// Whether no upstream of its service is there, and it has waited as long as its answer may take: a wait
     /// until its deadline would only keep its caller from asking again.
     pub(crate) fn waits_for_nobody(&self, now: Tick) -> bool {
-        let is_nobody = self.shortage.is_some_and(|shortage| shortage.lack == Lack::Upstream);
+        let is_nobody =
+            self.shortage.is_some_and(|shortage| shortage.kind == ShortageKind::Upstream);
         is_nobody && self.is_late(now)
     }
 
--- a/crates/dispatch/src/reserving.rs
+++ b/crates/dispatch/src/reserving.rs
@@ -2,13 +2,13 @@
 //! engine.
 
 use crate::{
-    Action, Dispatch, Lack, RequestId, Shortage,
+    Action, Dispatch, RequestId, Shortage, ShortageKind,
     choice::{Choice, Expected},
     machine::MICROS_PER_MILLI,
     request::{Reservation, Stage},
     sending::CROWDED_MS,
 };
-use vanetally_limit::{Answer as Permit, Question};
+use vanetally_limit::{PermitAnswer, PermitRequest};
 use vanetally_pacing::{Prompt, SendSlot, SlotReply};
 use vanetally_ports::RefusalCause;
 use vanetally_types::Tick;
@@ -17,7 +17,7 @@
     /// Asks the engine's pacer for the moment; the request counts as the engine's load meanwhile.
     pub(crate) fn reserve(&mut self, now: Tick, id: RequestId, choice: Choice) -> Option<Action> {
         let upstream = choice.upstream.clone();
-        let turn = self.open_reservation(now, id, choice)?;
+        let reservation = self.open_reservation(now, id, choice)?;
         let request = self.requests.get(&id)?;
         let model = request.head.model.as_ref().map(|subject| subject.model.clone());
         let per_token_us = self.pace.per_token(model.as_ref()) * MICROS_PER_MILLI;
@@ -29,7 +29,7 @@
             per_token_us: per_token_us.round() as u32,
             gap_ms: request.gap_ms() as u32,
         };
-        Some(Action::Reserve { id, turn, prompt })
+        Some(Action::Reserve { id, reservation, prompt })
     }
 
     /// A request waits no more in the queue, but for a moment at the upstream that was chosen; it counts as that one's
@@ -42,9 +42,9 @@
         upstream.own.add(load);
         upstream.rest.sent(now);
         request.reservations += 1;
-        let turn = request.reservations;
-        request.stage = Stage::Reserving(Reservation { turn, choice, load });
-        Some(turn)
+        let reservation = request.reservations;
+        request.stage = Stage::Reserving(Reservation { reservation, choice, load });
+        Some(reservation)
     }
 
     /// The pacer answered: the request goes, or waits for this or another engine.
@@ -52,11 +52,11 @@
         &mut self,
         now: Tick,
         id: RequestId,
-        turn: u32,
+        reservation: u32,
         slot: SlotReply,
         actions: &mut Vec<Action>,
     ) {
-        let Some(choice) = self.take_reservation(id, turn) else {
+        let Some(choice) = self.take_reservation(id, reservation) else {
             return;
         };
         // One that has gone or leaves takes nothing new, whatever its pacer says.
@@ -87,28 +87,28 @@
     ) -> Option<Action> {
         let limit = choice.limit?;
         let upstream = choice.upstream.clone();
-        let turn = self.open_reservation(now, id, choice)?;
+        let reservation = self.open_reservation(now, id, choice)?;
         let waits_ms = self.requests.get(&id)?.waits_ms(now).max(1);
-        let most_ms = if limit.may_wait { waits_ms.try_into().unwrap_or(u32::MAX) } else { 0 };
-        let question = Question { upstream, rate: limit.rate, most_ms };
-        Some(Action::Permit { id, turn, question })
+        let max_wait_ms = if limit.may_wait { waits_ms.try_into().unwrap_or(u32::MAX) } else { 0 };
+        let question = PermitRequest { upstream, rate: limit.rate, max_wait_ms };
+        Some(Action::RequestPermit { id, reservation, request: question })
     }
 
     /// Who grants answered: the request goes, goes elsewhere, or is refused with the time at which there is room.
     pub(crate) fn permitted(
         &mut self,
         now: Tick,
-        (id, turn): (RequestId, u32),
-        question: Question,
-        answer: Permit,
+        (id, reservation): (RequestId, u32),
+        question: PermitRequest,
+        answer: PermitAnswer,
         actions: &mut Vec<Action>,
     ) {
         let granted = match answer {
-            Permit::Granted { delay_ms } => Some(delay_ms),
-            Permit::Busy { .. } | Permit::NotGranting => None,
+            PermitAnswer::Granted { delay_ms } => Some(delay_ms),
+            PermitAnswer::Busy { .. } | PermitAnswer::NotGranting => None,
         };
-        let Some(mut choice) = self.take_reservation(id, turn) else {
-            let Question { upstream, rate, .. } = question;
+        let Some(mut choice) = self.take_reservation(id, reservation) else {
+            let PermitRequest { upstream, rate, .. } = question;
             actions.extend(granted.map(|_| Action::ReturnPermit { upstream, rate }));
             return;
         };
@@ -121,17 +121,19 @@
         }
         let is_open = upstream.takes_now(now);
         match answer {
-            Permit::Granted { .. } if !is_open => actions.extend(choice.unused_permit()),
-            Permit::Granted { delay_ms: 0 } if is_engine => {
+            PermitAnswer::Granted { .. } if !is_open => actions.extend(choice.unused_permit()),
+            PermitAnswer::Granted { delay_ms: 0 } if is_engine => {
                 actions.extend(self.reserve(now, id, choice));
             }
             // In line its prompt meets few others.
-            Permit::Granted { delay_ms } => actions.extend(self.send(now, id, choice, delay_ms)),
-            Permit::Busy { retry_ms } if question.most_ms > 0 => {
+            PermitAnswer::Granted { delay_ms } => {
+                actions.extend(self.send(now, id, choice, delay_ms))
+            }
+            PermitAnswer::Busy { retry_ms } if question.max_wait_ms > 0 => {
                 self.refuse_limited(now, id, retry_ms, actions);
             }
-            Permit::Busy { retry_ms } => upstream.limited_until = now + u64::from(retry_ms),
-            Permit::NotGranting => {}
+            PermitAnswer::Busy { retry_ms } => upstream.limited_until = now + u64::from(retry_ms),
+            PermitAnswer::NotGranting => {}
         }
     }
 
@@ -147,18 +149,18 @@
             return;
         };
         let holders = request.shortage.map_or(1, |shortage| shortage.holders);
-        let shortage = Shortage { lack: Lack::Limit, holders };
+        let shortage = Shortage { kind: ShortageKind::Limit, holders };
         let (service, subject) = (request.service.clone(), request.head.model.clone());
         self.refuse_at_once(id, shortage, RefusalCause::RateLimited, retry_ms.into(), actions);
         if let Some(subject) = subject {
-            self.tell_shortage(now, &service, subject, Lack::Limit, CROWDED_MS, actions);
+            self.tell_shortage(now, &service, subject, ShortageKind::Limit, CROWDED_MS, actions);
         }
     }
 
     /// Ends the reservation `turn` of a request, if it is open: the request waits again.
-    fn take_reservation(&mut self, id: RequestId, turn: u32) -> Option<Choice> {
+    fn take_reservation(&mut self, id: RequestId, reservation: u32) -> Option<Choice> {
         let request = self.requests.get_mut(&id)?;
-        if !matches!(&request.stage, Stage::Reserving(open) if open.turn == turn) {
+        if !matches!(&request.stage, Stage::Reserving(open) if open.reservation == reservation) {
             return None;
         }
         let stage = std::mem::replace(&mut request.stage, Stage::Waiting);
--- a/crates/dispatch/src/roster.rs
+++ b/crates/dispatch/src/roster.rs
@@ -12,11 +12,11 @@
 
 /// What an announcement, or its end, means.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum RosterUpdate {
     /// A life announced itself, or changed what it announces.
     Seen {
         /// The life.
-        life: Incarnation,
+        incarnation: Incarnation,
         /// What it says.
         state: UpstreamState,
         /// Whether nothing was known of it before.
@@ -25,19 +25,19 @@
     /// What lies under its id can't be read: it gets nothing new until it can.
     Unreadable {
         /// The life that was announced last, if any.
-        life: Option<Incarnation>,
+        incarnation: Option<Incarnation>,
         /// Why.
         error: AnnouncementError,
     },
     /// A copy of the store tells what is known to be over.
     Outdated {
         /// The life that it tells of.
-        life: Incarnation,
+        incarnation: Incarnation,
     },
     /// A life has ended: another one is announced under its id.
     Ended {
         /// The life that ended.
-        life: Incarnation,
+        incarnation: Incarnation,
         /// The one after it.
         next: Incarnation,
     },
@@ -69,13 +69,13 @@
 
 impl Roster {
     /// What lies under `id` as of `revision` was read, or can't be.
-    pub fn announced(
+    pub fn record(
         &mut self,
         now: Tick,
         id: &Name,
         revision: Revision,
         read: Result<Announcement, AnnouncementError>,
-    ) -> Vec<News> {
+    ) -> Vec<RosterUpdate> {
         let Some(entry) = self.entries.get_mut(id) else {
             return self.first(now, id, revision, read);
         };
@@ -92,11 +92,11 @@
             entry.is_readable = true;
             entry.seen = revision;
             entry.note_leaving(revision, &mut state);
-            return vec![News::Seen { life, state, is_new: false }];
+            return vec![RosterUpdate::Seen { incarnation: life, state, is_new: false }];
         }
         let former = self.former.get(now, &life);
         if entry.is_younger(&life, revision) || former.is_some_and(|f| f.is_told_again(revision)) {
-            return vec![News::Outdated { life }];
+            return vec![RosterUpdate::Outdated { incarnation: life }];
         }
         if former.is_some_and(|former| former.is_late(now)) {
             return Vec::new();
@@ -106,8 +106,8 @@
         let before = std::mem::replace(entry, next);
         self.former.insert(before.life.clone(), before.end(now, true));
         vec![
-            News::Ended { life: before.life, next: life.clone() },
-            News::Seen { life, state, is_new: true },
+            RosterUpdate::Ended { incarnation: before.life, next: life.clone() },
+            RosterUpdate::Seen { incarnation: life, state, is_new: true },
         ]
     }
 
@@ -118,7 +118,7 @@
         id: &Name,
         revision: Revision,
         read: Result<Announcement, AnnouncementError>,
-    ) -> Vec<News> {
+    ) -> Vec<RosterUpdate> {
         let Announcement { incarnation: life, mut state } = match read {
             Ok(told) => told,
             Err(error) => return self.stranger(id, error),
@@ -126,21 +126,25 @@
         self.strangers.remove(id);
         let former = self.former.get(now, &life);
         if former.is_some_and(|former| former.is_told_again(revision)) {
-            return vec![News::Outdated { life }];
+            return vec![RosterUpdate::Outdated { incarnation: life }];
         }
         let leaving = self.former.remove(&life).and_then(|former| former.leaving);
         let entry = Entry::new(life.clone(), revision, leaving, &mut state);
         self.entries.insert(id.clone(), entry);
-        vec![News::Seen { life, state, is_new: true }]
+        vec![RosterUpdate::Seen { incarnation: life, state, is_new: true }]
     }
 
-    fn stranger(&mut self, id: &Name, error: AnnouncementError) -> Vec<News> {
+    fn stranger(&mut self, id: &Name, error: AnnouncementError) -> Vec<RosterUpdate> {
         let is_new = self.strangers.len() < MOST_STRANGERS && self.strangers.insert(id.clone());
-        if is_new { vec![News::Unreadable { life: None, error }] } else { Vec::new() }
+        if is_new {
+            vec![RosterUpdate::Unreadable { incarnation: None, error }]
+        } else {
+            Vec::new()
+        }
     }
 
     /// The announcement under `id` is gone, and with it the life.
-    pub fn gone(&mut self, now: Tick, id: &Name) -> Option<Incarnation> {
+    pub fn remove(&mut self, now: Tick, id: &Name) -> Option<Incarnation> {
         self.strangers.remove(id);
         let entry = self.entries.remove(id)?;
         self.former.insert(entry.life.clone(), entry.end(now, false));
@@ -148,7 +152,7 @@
     }
 
     /// Whether anything is known under `id`.
-    pub fn knows(&self, id: &Name) -> bool {
+    pub fn contains(&self, id: &Name) -> bool {
         self.entries.contains_key(id)
     }
 
@@ -198,10 +202,10 @@
         Ok(told)
     }
 
-    fn unreadable(&mut self, error: AnnouncementError) -> Vec<News> {
+    fn unreadable(&mut self, error: AnnouncementError) -> Vec<RosterUpdate> {
         if !std::mem::replace(&mut self.is_readable, false) {
             return Vec::new();
         }
-        vec![News::Unreadable { life: Some(self.life.clone()), error }]
+        vec![RosterUpdate::Unreadable { incarnation: Some(self.life.clone()), error }]
     }
 }
--- a/crates/dispatch/src/sending.rs
+++ b/crates/dispatch/src/sending.rs
@@ -1,13 +1,13 @@
 //! What waits is sent where it may go, in order.
 
 use crate::{
-    Action, Attempt, Dispatch, RequestId, Standing,
+    Action, Attempt, Dispatch, RefusalContext, RequestId,
     answers::Answers,
     choice::Choice,
     choose::{View, choose},
     ending::{RETRY_MS, STOP_RETRY_MS},
     request::{Request, Sending, Stage},
-    shortage::{Lack, Shortage},
+    shortage::{Shortage, ShortageKind},
     upstream::Upstream,
 };
 use std::collections::HashMap;
@@ -62,13 +62,13 @@
             return;
         };
         if let Some(refusal) = self.bar(now, request) {
-            let standing = Standing::from(request);
+            let context = RefusalContext::from(request);
             let refusal = refusal.with_verdict(request.verdict);
             self.end(id);
-            return actions.push(Action::Refuse { id, refusal, standing });
+            return actions.push(Action::Refuse { id, refusal, context });
         }
         let subject = request.head.model.clone();
-        if now < request.not_before || self.held.is_suspended(now, request.content) {
+        if now < request.not_before || self.held.is_suspended(now, request.content_hash) {
             return;
         }
         if let Some(shortage) = lacking.get(&subject).copied() {
@@ -96,7 +96,7 @@
                 request.shortage = Some(shortage);
                 let waited_ms = now.since(request.arrived);
                 if let Some(subject) = subject {
-                    self.tell_shortage(now, service, subject, shortage.lack, waited_ms, actions);
+                    self.tell_shortage(now, service, subject, shortage.kind, waited_ms, actions);
                 }
             }
         }
@@ -110,11 +110,11 @@
         request: &Request,
         shortage: Shortage,
     ) -> Option<(RefusalCause, u64)> {
-        match shortage.lack {
-            Lack::Upstream if self.all_leave(now, &request.service) => {
+        match shortage.kind {
+            ShortageKind::Upstream if self.all_leave(now, &request.service) => {
                 Some((RefusalCause::NoUpstream, RETRY_MS))
             }
-            Lack::Rest => {
+            ShortageKind::Cooldown => {
                 self.rested_in_ms(now, request).map(|left_ms| (RefusalCause::Cooldown, left_ms))
             }
             _ => None,
@@ -158,9 +158,9 @@
         request.shortage = Some(shortage);
         let refusal = Refusal::not_run(cause, Some(retry_ms));
         let refusal = refusal.with_verdict(request.verdict);
-        let standing = Standing::from(&*request);
+        let context = RefusalContext::from(&*request);
         self.end(id);
-        actions.push(Action::Refuse { id, refusal, standing });
+        actions.push(Action::Refuse { id, refusal, context });
     }
 
     /// Tells the holder of orders what a request lacks, if weights or an adapter would help.
@@ -169,7 +169,7 @@
         now: Tick,
         service: &Name,
         subject: ModelRef,
-        lack: Lack,
+        lack: ShortageKind,
         waited_ms: u64,
         actions: &mut Vec<Action>,
     ) {
@@ -177,9 +177,9 @@
             let model = ModelRef { model: subject.model.clone(), adapter: None };
             self.want(now, service, model, true, actions);
         }
-        let is_crowded = subject.adapter.is_some() && lack.is_crowd();
-        if is_crowded || lack.is_missing() {
-            self.want(now, service, subject, is_crowded, actions);
+        let is_saturated = subject.adapter.is_some() && lack.is_crowd();
+        if is_saturated || lack.is_missing() {
+            self.want(now, service, subject, is_saturated, actions);
         }
     }
 
@@ -205,10 +205,10 @@
         let holders = directory.holders(service, &subject.model);
         choose(&view, request, self.known(holders)).map_err(|shortage| {
             // Where no holder takes requests, others tell whether it is the model that is missing.
-            let is_nobody = shortage.lack == Lack::Upstream;
+            let is_nobody = shortage.kind == ShortageKind::Upstream;
             let others = || self.known(directory.of_service(service));
             let is_missing = is_nobody && others().any(|(_, upstream)| upstream.takes_new(now));
-            if is_missing { Shortage { lack: Lack::Model, ..shortage } } else { shortage }
+            if is_missing { Shortage { kind: ShortageKind::Model, ..shortage } } else { shortage }
         })
     }
 
@@ -224,7 +224,7 @@
         now: Tick,
         service: &Name,
         subject: ModelRef,
-        is_crowded: bool,
+        is_saturated: bool,
         actions: &mut Vec<Action>,
     ) {
         let last = self.wanted.get(&(service.clone(), subject.clone()));
@@ -232,7 +232,7 @@
             return;
         }
         self.wanted.insert((service.clone(), subject.clone()), now);
-        actions.push(Action::Want { service: service.clone(), subject, is_crowded });
+        actions.push(Action::RequestModel { service: service.clone(), subject, is_saturated });
     }
 
     pub(crate) fn send(
@@ -256,7 +256,7 @@
             subject: request.head.model.clone(),
             version,
             waited_ms: now.since(request.arrived),
-            lacked: request.shortage.map(|shortage| shortage.lack),
+            shortage: request.shortage.map(|shortage| shortage.kind),
             unread_tokens: choice.expected.unread,
             ahead_ms: choice.expected.ahead_ms,
             upstream: choice.upstream.clone(),
@@ -305,7 +305,7 @@
         let Stage::Sent(sending) = &request.stage else {
             return false;
         };
-        if self.held.is_suspended(now, request.content) {
+        if self.held.is_suspended(now, request.content_hash) {
             return false;
         }
         let Some(upstream) = self.upstreams.get(&sending.upstream) else {
--- a/crates/dispatch/src/shortage.rs
+++ b/crates/dispatch/src/shortage.rs
@@ -6,7 +6,7 @@
 
 /// What a request lacks, the nearest to being sent last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Lack {
+pub enum ShortageKind {
     /// No upstream of the service takes new requests.
     Upstream,
     /// No upstream holds the model.
@@ -16,13 +16,13 @@
     /// It was sent to as many upstreams as are allowed to it.
     Attempt,
     /// The upstream asked this host for rest.
-    Rest,
+    Cooldown,
     /// The upstream turned requests away, or could not be reached, just before.
     TurnedAway,
     /// The upstream is in need and takes no more now.
     Limit,
     /// The engine's pacer has no moment for its prompt.
-    Moment,
+    SendTime,
     /// All places of the upstream are taken.
     Slot,
     /// The engine's memory is taken.
@@ -31,7 +31,7 @@
     Reading,
 }
 
-impl Lack {
+impl ShortageKind {
     /// The word for logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -39,10 +39,10 @@
             Self::Model => "model",
             Self::Adapter => "adapter",
             Self::Attempt => "attempt",
-            Self::Rest => "rest",
+            Self::Cooldown => "rest",
             Self::TurnedAway => "turned_away",
             Self::Limit => "limit",
-            Self::Moment => "moment",
+            Self::SendTime => "moment",
             Self::Slot => "slot",
             Self::Memory => "memory",
             Self::Reading => "reading",
@@ -51,7 +51,7 @@
 
     /// Whether those that hold what is asked for have no room.
     pub(crate) fn is_crowd(self) -> bool {
-        matches!(self, Self::Limit | Self::Moment | Self::Slot | Self::Memory | Self::Reading)
+        matches!(self, Self::Limit | Self::SendTime | Self::Slot | Self::Memory | Self::Reading)
     }
 
     /// Whether nobody holds what is asked for.
@@ -64,30 +64,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shortage {
     /// What the upstream that came nearest lacked.
-    pub lack: Lack,
+    pub kind: ShortageKind,
     /// Upstreams that hold what is asked for.
     pub holders: u32,
 }
 
 /// A request that is refused, for the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct RefusalContext {
     /// The route that took it; empty if none did.
     pub route: Name,
     /// The model or adapter that it asked for.
     pub subject: Option<ModelRef>,
     /// Sendings so far.
-    pub sendings: u32,
+    pub attempts: u32,
     /// What it lacked when it last looked for an upstream, if it did in vain.
     pub shortage: Option<Shortage>,
 }
 
-impl From<&Request> for Standing {
+impl From<&Request> for RefusalContext {
     fn from(request: &Request) -> Self {
         Self {
             route: request.route.name.clone(),
             subject: request.head.model.clone(),
-            sendings: request.sendings,
+            attempts: request.sendings,
             shortage: request.shortage,
         }
     }
--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -2,7 +2,7 @@
 
 use crate::{Health, LoadRow, Presence, choice::Choice, rest::Rest};
 use std::collections::{BTreeMap, HashMap};
-use vanetally_limit::Belief;
+use vanetally_limit::KnownLimit;
 use vanetally_pacing::{Prefix, PrefixCache};
 use vanetally_ports::{ModelRef, PromptPart, UpstreamState};
 use vanetally_types::{Incarnation, Name, Tick, hash64};
@@ -48,7 +48,7 @@
     /// How often it turned requests away since it last answered one.
     pub refusals: u32,
     /// What it takes from all hosts while it is in need.
-    pub limit: Belief,
+    pub limit: KnownLimit,
     /// It takes no more from this host before this, while it is in need.
     pub limited_until: Tick,
     /// Rest that it asked this host for.
@@ -87,7 +87,7 @@
             health: Health::default(),
             full_until: Tick(0),
             refusals: 0,
-            limit: Belief::default(),
+            limit: KnownLimit::default(),
             limited_until: Tick(0),
             rest: Rest::default(),
             paced_until: Tick(0),
--- a/crates/dispatch/tests/choice.rs
+++ b/crates/dispatch/tests/choice.rs
@@ -28,7 +28,7 @@
 fn nothing_configured() {
     let mut dispatch = Dispatch::new(support::START, options());
     let head = request("a", "offer", None);
-    let arrived = Event::Arrived { id: RequestId(0), request: head, content: 0 };
+    let arrived = Event::Arrived { id: RequestId(0), request: head, content_hash: 0 };
     let refused = refusal(&dispatch.handle(support::START, arrived), RequestId(0)).unwrap();
     assert_eq!((refused.cause, refused.verdict), (RefusalCause::NotConfigured, Verdict::NotRun));
 }
@@ -99,7 +99,7 @@
     host.tell(Event::UpstreamGone { id: "i-2".into() });
     let (id, actions) = host.arrive(request("a", "offer", Some("m2")));
     assert!(sent(&actions, id).is_empty());
-    assert!(actions.iter().any(|action| matches!(action, Action::Want { .. })));
+    assert!(actions.iter().any(|action| matches!(action, Action::RequestModel { .. })));
 }
 
 /// What the holder of orders tells counts before the announcement catches up.
@@ -107,7 +107,7 @@
 fn told_presence_counts() {
     let mut host = host();
     let subject = ModelRef { model: "m2".into(), adapter: None };
-    let told = |runner: &str, presence| Event::Placed {
+    let told = |runner: &str, presence| Event::PresenceReported {
         runner: runner.into(),
         subject: subject.clone(),
         presence,
@@ -124,7 +124,7 @@
     let mut host = host();
     let (_, first) = host.arrive(request("a", "offer", Some("m3")));
     let wants = |actions: &[Action]| {
-        actions.iter().filter(|action| matches!(action, Action::Want { .. })).count()
+        actions.iter().filter(|action| matches!(action, Action::RequestModel { .. })).count()
     };
     assert_eq!(wants(&first), 1);
     let later = wants(&host.pass(1_000));
@@ -135,7 +135,7 @@
 #[test]
 fn no_herd() {
     let mut host = Host::new(routes());
-    host.tell(Event::Hosts(8));
+    host.tell(Event::HostCount(8));
     let waiting: Vec<RequestId> = (0..20)
         .map(|number| {
             let mut head = request(&format!("a{number}"), "offer", Some("m1"));
@@ -198,8 +198,11 @@
 fn going_stays_left() {
     let mut host = host();
     let subject = ModelRef { model: "m1".into(), adapter: None };
-    let told =
-        |presence| Event::Placed { runner: "i-1".into(), subject: subject.clone(), presence };
+    let told = |presence| Event::PresenceReported {
+        runner: "i-1".into(),
+        subject: subject.clone(),
+        presence,
+    };
     host.tell(told(Presence::Absent));
     for number in 0..10 {
         host.pass(1_000);
@@ -246,7 +249,7 @@
     let digest = Digest { loads: vec![row], demand: Vec::new() };
     host.tell(Event::PeerDigest { host: "front-2".into(), digest });
     let (_, actions) = host.arrive(request);
-    let wants = |action: &Action| matches!(action, Action::Want { is_crowded: true, .. });
+    let wants = |action: &Action| matches!(action, Action::RequestModel { is_saturated: true, .. });
     assert_eq!(actions.iter().any(wants), is_wanted, "{actions:?}");
 }
 
--- a/crates/dispatch/tests/copies.rs
+++ b/crates/dispatch/tests/copies.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use std::net::SocketAddr;
-use vanetally_dispatch::{News, Roster};
+use vanetally_dispatch::{Roster, RosterUpdate};
 use vanetally_ports::{Announcement, Era, Revision, UpstreamState};
 use vanetally_types::{Incarnation, Name, Tick};
 
@@ -45,9 +45,9 @@
     draining: bool,
 ) -> Vec<(Option<u64>, bool)> {
     let read = Ok(Announcement { incarnation: life(born), state: state(draining) });
-    let news = roster.announced(now, &id(), revision, read);
+    let news = roster.record(now, &id(), revision, read);
     let seen = news.into_iter().filter_map(|news| match news {
-        News::Seen { life, state, .. } => Some((life.born, state.draining)),
+        RosterUpdate::Seen { incarnation: life, state, .. } => Some((life.born, state.draining)),
         _ => None,
     });
     seen.collect()
@@ -80,10 +80,10 @@
 fn departed_stays_away() {
     let mut roster = Roster::default();
     tell(&mut roster, NOW, at(1, 10), None, true);
-    roster.gone(NOW, &id());
+    roster.remove(NOW, &id());
     assert_eq!(tell(&mut roster, NOW, at(2, 10), None, false), [], "its last word");
     assert_eq!(tell(&mut roster, NOW, at(2, 4), None, false), [], "an earlier one");
-    assert!(!roster.knows(&id()));
+    assert!(!roster.contains(&id()));
     assert_eq!(tell(&mut roster, NOW, at(2, 11), None, false), [(None, true)], "it leaves still");
 }
 
@@ -91,7 +91,7 @@
 fn departed_returns_in_its_era() {
     let mut roster = Roster::default();
     tell(&mut roster, NOW, at(1, 10), None, false);
-    roster.gone(NOW, &id());
+    roster.remove(NOW, &id());
     assert_eq!(tell(&mut roster, NOW, at(1, 12), None, false), [(None, false)]);
 }
 
@@ -100,7 +100,7 @@
 fn departed_forgotten() {
     let mut roster = Roster::default();
     tell(&mut roster, NOW, at(1, 10), None, false);
-    roster.gone(NOW, &id());
+    roster.remove(NOW, &id());
     assert_eq!(tell(&mut roster, NOW + 60_000, at(2, 10), None, false), [(None, false)]);
 }
 
@@ -113,7 +113,7 @@
     let mut roster = Roster::default();
     tell(&mut roster, NOW, at(1, 30), Some(1), false);
     if goes_between {
-        roster.gone(NOW, &id());
+        roster.remove(NOW, &id());
     }
     tell(&mut roster, NOW, at(1, 42), Some(2), false);
     assert_eq!(tell(&mut roster, NOW, at(2, 35), Some(1), false), [], "the copy's");
--- a/crates/dispatch/tests/deadly.rs
+++ b/crates/dispatch/tests/deadly.rs
@@ -23,7 +23,7 @@
 fn arrive(host: &mut Host, number: u64, content: u64) -> (RequestId, Vec<Action>) {
     let id = RequestId(1_000 + number);
     let request = request(&format!("r{number}"), "offer", Some("m1"));
-    (id, host.tell(Event::Arrived { id, request, content }))
+    (id, host.tell(Event::Arrived { id, request, content_hash: content }))
 }
 
 /// Played: the same content came back about once a second, under a new id and at another host each time, and each
@@ -53,7 +53,9 @@
         let actions =
             host.tell(Event::AttemptEnded { id, end: AttemptEnd::Broken, answered: true });
         let suspect = actions.iter().find_map(|action| match action {
-            Action::LookAt { content, upstream, .. } => Some((*content, upstream.clone())),
+            Action::Probe { content_hash: content, upstream, .. } => {
+                Some((*content, upstream.clone()))
+            }
             _ => None,
         });
         let (content, upstream) = suspect.expect("its upstream is looked at");
@@ -112,7 +114,7 @@
     host.tell(Event::AttemptEnded { id, end: AttemptEnd::Served, answered: true });
     let (id, _) = arrive(&mut host, 2, CONTENT);
     let actions = host.tell(Event::AttemptEnded { id, end: AttemptEnd::Broken, answered: true });
-    let looks = |action: &Action| matches!(action, Action::LookAt { .. });
+    let looks = |action: &Action| matches!(action, Action::Probe { .. });
     assert!(!actions.iter().any(looks), "{actions:?}");
     host.tell(Event::Quarantined(QUARANTINE));
     let (id, actions) = arrive(&mut host, 3, CONTENT);
@@ -127,7 +129,7 @@
     let (id, _) = arrive(&mut host, 1, CONTENT);
     let actions = host.tell(Event::AttemptEnded { id, end: AttemptEnd::Broken, answered: true });
     let upstream = actions.iter().find_map(|action| match action {
-        Action::LookAt { upstream, .. } => Some(upstream.clone()),
+        Action::Probe { upstream, .. } => Some(upstream.clone()),
         _ => None,
     });
     let upstream = upstream.expect("its upstream is looked at");
@@ -135,7 +137,7 @@
     assert!(sent(&actions, second).is_empty() && refusal(&actions, second).is_none());
     let (other, actions) = arrive(&mut host, 3, CONTENT + 1);
     assert_eq!(sent(&actions, other).len(), 1, "others go on");
-    let looked = Event::LookedAt { upstream, contents: vec![CONTENT], sign: None };
+    let looked = Event::Probed { upstream, content_hashes: vec![CONTENT], sign: None };
     let actions = host.tell(looked);
     assert_eq!(sent(&actions, second).len(), 1, "it lives: nothing speaks against the content");
 }
@@ -145,9 +147,9 @@
 fn silent_upstream() {
     let mut host = host();
     let upstream: vanetally_types::Incarnation = "i-1".into();
-    let looked = Event::LookedAt {
+    let looked = Event::Probed {
         upstream: upstream.clone(),
-        contents: vec![],
+        content_hashes: vec![],
         sign: Some(CrashSign::Silent),
     };
     host.tell(looked);
@@ -167,7 +169,7 @@
     let actions = host.tell(Event::UpstreamEnded { id: upstream.clone() });
     let suspicion =
         CrashReport { content: CONTENT, upstream, sign: CrashSign::Ended, is_common: false };
-    assert!(actions.contains(&Action::Suspect(suspicion)), "{actions:?}");
+    assert!(actions.contains(&Action::ReportCrash(suspicion)), "{actions:?}");
     let actions = host.tell(Event::AttemptEnded { id, end: AttemptEnd::Broken, answered: false });
-    assert!(!actions.iter().any(|action| matches!(action, Action::LookAt { .. })), "it is known");
+    assert!(!actions.iter().any(|action| matches!(action, Action::Probe { .. })), "it is known");
 }
--- a/crates/dispatch/tests/holders.rs
+++ b/crates/dispatch/tests/holders.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use support::{Host, refusal, request, route, upstream};
-use vanetally_dispatch::{Action, Event, Lack, Presence};
+use vanetally_dispatch::{Action, Event, Presence, ShortageKind};
 use vanetally_ports::{ModelRef, RequestKind};
 use vanetally_types::Incarnation;
 
@@ -76,7 +76,7 @@
                 Step::Told { upstream, model } => {
                     let subject = ModelRef { model: model.into(), adapter: None };
                     let presence = Presence::Present;
-                    host.tell(Event::Placed { runner: name(upstream), subject, presence });
+                    host.tell(Event::PresenceReported { runner: name(upstream), subject, presence });
                     if known.announced.contains_key(&upstream) {
                         known.told.insert((upstream, model), now);
                     }
@@ -100,7 +100,7 @@
                             let actions = host.pass(PATIENCE_MS);
                             prop_assert!(refusal(&actions, id).is_some());
                             let is_nobody = known.announced.is_empty();
-                            let lack = if is_nobody { Lack::Upstream } else { Lack::Model };
+                            let lack = if is_nobody { ShortageKind::Upstream } else { ShortageKind::Model };
                             prop_assert_eq!(lacked(&actions), Some(lack));
                         }
                     }
@@ -110,9 +110,9 @@
     }
 }
 
-fn lacked(actions: &[Action]) -> Option<Lack> {
+fn lacked(actions: &[Action]) -> Option<ShortageKind> {
     actions.iter().find_map(|action| match action {
-        Action::Refuse { standing, .. } => standing.shortage.map(|shortage| shortage.lack),
+        Action::Refuse { context, .. } => context.shortage.map(|shortage| shortage.kind),
         _ => None,
     })
 }
--- a/crates/dispatch/tests/leavers.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use support::{Host, refusal, request, route, sent, upstream};
-use vanetally_dispatch::{Event, Leavers};
+use vanetally_dispatch::{Event, LeavingUpstreams};
 use vanetally_ports::{RefusalCause, RequestKind, UpstreamState};
 use vanetally_types::{Incarnation, Name, Tick, Verdict};
 
@@ -16,22 +16,27 @@
 
 #[test]
 fn until_next_life() {
-    let mut leavers = Leavers::default();
-    assert!(leavers.add(START, life("i-1", 1)), "it is news");
-    assert!(!leavers.add(START + 10, life("i-1", 1)), "once");
-    assert!(leavers.contains(&life("i-1", 1)) && !leavers.contains(&life("i-1", 2)));
-    leavers.ended(&life("i-1", 1));
-    assert!(leavers.all().is_empty());
+    let mut leaving_upstreams = LeavingUpstreams::default();
+    assert!(leaving_upstreams.insert(START, life("i-1", 1)), "it is news");
+    assert!(!leaving_upstreams.insert(START + 10, life("i-1", 1)), "once");
+    assert!(
+        leaving_upstreams.contains(&life("i-1", 1)) && !leaving_upstreams.contains(&life("i-1", 2))
+    );
+    leaving_upstreams.remove(&life("i-1", 1));
+    assert!(leaving_upstreams.all().is_empty());
 }
 
 #[test]
 fn bounded() {
-    let mut leavers = Leavers::default();
+    let mut leaving_upstreams = LeavingUpstreams::default();
     for number in 0..20_000 {
-        leavers.add(START + number, life(&format!("i-{number}"), 1));
+        leaving_upstreams.insert(START + number, life(&format!("i-{number}"), 1));
     }
-    assert!(leavers.all().len() <= 8_192);
-    assert!(leavers.contains(&life("i-19999", 1)) && !leavers.contains(&life("i-0", 1)));
+    assert!(leaving_upstreams.all().len() <= 8_192);
+    assert!(
+        leaving_upstreams.contains(&life("i-19999", 1))
+            && !leaving_upstreams.contains(&life("i-0", 1))
+    );
 }
 
 fn draining(port: u16) -> UpstreamState {
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -3,8 +3,10 @@
 mod support;
 
 use support::{Host, refusal, request, route, sent, sent_to, upstream};
-use vanetally_dispatch::{Action, AttemptEnd, Digest, Event, Lack, LimitRow, LoadRow, RequestId};
-use vanetally_limit::{Answer, Question};
+use vanetally_dispatch::{
+    Action, AttemptEnd, Digest, Event, LimitRow, LoadRow, RequestId, ShortageKind,
+};
+use vanetally_limit::{PermitAnswer, PermitRequest};
 use vanetally_ports::{RefusalCause, RequestKind};
 
 /// Two plain upstreams, the first of them in need.
@@ -21,27 +23,29 @@
 fn state(host: &mut Host, upstream: &str, rate: Option<f64>) -> Vec<Action> {
     let sent = host.now;
     host.now = host.now + 1;
-    host.tell(Event::Stated { upstream: upstream.into(), sent, rate })
+    host.tell(Event::LimitStated { upstream: upstream.into(), sent, rate })
 }
 
 /// What is asked of who grants.
-fn asked(actions: &[Action]) -> Option<(RequestId, u32, Question)> {
+fn asked(actions: &[Action]) -> Option<(RequestId, u32, PermitRequest)> {
     actions.iter().find_map(|action| match action {
-        Action::Permit { id, turn, question } => Some((*id, *turn, question.clone())),
+        Action::RequestPermit { id, reservation, request: question } => {
+            Some((*id, *reservation, question.clone()))
+        }
         _ => None,
     })
 }
 
-fn answer(host: &mut Host, actions: &[Action], answer: Answer) -> Vec<Action> {
-    let (id, turn, question) = asked(actions).expect("a question");
-    host.tell(Event::Permitted { id, turn, question, answer })
+fn answer(host: &mut Host, actions: &[Action], answer: PermitAnswer) -> Vec<Action> {
+    let (id, reservation, question) = asked(actions).expect("a question");
+    host.tell(Event::PermitAnswered { id, reservation, request: question, answer })
 }
 
 fn returned(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::ReturnPermit { .. }))
 }
 
-const NOW: Answer = Answer::Granted { delay_ms: 0 };
+const NOW: PermitAnswer = PermitAnswer::Granted { delay_ms: 0 };
 
 #[test]
 fn asked_before_sent() {
@@ -50,7 +54,7 @@
     assert!(sent(&actions, id).is_empty(), "{actions:?}");
     let (_, _, question) = asked(&actions).expect("a question");
     assert_eq!(question.rate, 1.5);
-    assert!(question.most_ms > 0, "nobody else could take it: it would wait");
+    assert!(question.max_wait_ms > 0, "nobody else could take it: it would wait");
     let actions = answer(&mut host, &actions, NOW);
     assert_eq!(&*sent_to(&actions, id).id, "s-1");
     assert!(host.dispatch.may_send(host.now, id));
@@ -61,7 +65,7 @@
 fn moment_lapses() {
     let mut host = host();
     let (id, actions) = host.arrive(request("a", "check", None));
-    let actions = answer(&mut host, &actions, Answer::Granted { delay_ms: 700 });
+    let actions = answer(&mut host, &actions, PermitAnswer::Granted { delay_ms: 700 });
     assert_eq!(sent(&actions, id)[0].delay_ms, 700);
     assert!(host.dispatch.may_send(host.now + 700, id));
     assert!(!host.dispatch.may_send(host.now + 2_000, id));
@@ -80,8 +84,8 @@
     for number in 0..40 {
         let (id, mut actions) = host.arrive(request(&format!("a{number}"), "check", None));
         while let Some((_, _, question)) = asked(&actions) {
-            assert_eq!(question.most_ms, 0, "others can take it now");
-            actions = answer(&mut host, &actions, Answer::Busy { retry_ms: 60_000 });
+            assert_eq!(question.max_wait_ms, 0, "others can take it now");
+            actions = answer(&mut host, &actions, PermitAnswer::Busy { retry_ms: 60_000 });
         }
         elsewhere += usize::from(&*sent_to(&actions, id).id == "s-3");
         host.end(id, AttemptEnd::Served);
@@ -94,14 +98,14 @@
 fn refused_with_true_time() {
     let mut host = host();
     let (id, actions) = host.arrive(request("a", "check", None));
-    let actions = answer(&mut host, &actions, Answer::Busy { retry_ms: 4_200 });
+    let actions = answer(&mut host, &actions, PermitAnswer::Busy { retry_ms: 4_200 });
     let refused = refusal(&actions, id).expect("refused");
     assert_eq!((refused.cause, refused.retry_after_ms), (RefusalCause::RateLimited, Some(4_200)));
     let lack = actions.iter().find_map(|action| match action {
-        Action::Refuse { standing, .. } => standing.shortage.map(|shortage| shortage.lack),
+        Action::Refuse { context, .. } => context.shortage.map(|shortage| shortage.kind),
         _ => None,
     });
-    assert_eq!(lack, Some(Lack::Limit));
+    assert_eq!(lack, Some(ShortageKind::Limit));
 }
 
 /// Two upstreams, both in need and both without a moment just now: the request stands in line for one of them.
@@ -111,11 +115,11 @@
     host.see("s-2", upstream("desk", 2, &[]));
     state(&mut host, "s-2", Some(0.5));
     let (id, actions) = host.arrive(request("a", "check", None));
-    let actions = answer(&mut host, &actions, Answer::Busy { retry_ms: 900 });
-    let actions = answer(&mut host, &actions, Answer::Busy { retry_ms: 300 });
+    let actions = answer(&mut host, &actions, PermitAnswer::Busy { retry_ms: 900 });
+    let actions = answer(&mut host, &actions, PermitAnswer::Busy { retry_ms: 300 });
     let (_, _, question) = asked(&actions).expect("a third question");
-    assert!(question.most_ms > 0, "{question:?}");
-    let actions = answer(&mut host, &actions, Answer::Granted { delay_ms: 300 });
+    assert!(question.max_wait_ms > 0, "{question:?}");
+    let actions = answer(&mut host, &actions, PermitAnswer::Granted { delay_ms: 300 });
     assert_eq!(sent(&actions, id).len(), 1, "{actions:?}");
 }
 
@@ -124,7 +128,7 @@
 fn other_turned_away() {
     let mut host = host();
     host.see("s-2", upstream("desk", 2, &[]));
-    let busy = Answer::Busy { retry_ms: 9_000 };
+    let busy = PermitAnswer::Busy { retry_ms: 9_000 };
     let (id, mut actions) = host.arrive(request("a", "check", None));
     if asked(&actions).is_some() {
         actions = answer(&mut host, &actions, busy);
--- a/crates/dispatch/tests/lives.rs
+++ b/crates/dispatch/tests/lives.rs
@@ -38,7 +38,7 @@
     let actions = start_again(&mut host);
     let suspicion =
         CrashReport { content: id.0, upstream: life(1), sign: CrashSign::Ended, is_common: false };
-    assert_eq!(actions, [Action::Abandon { id, number: 1 }, Action::Suspect(suspicion)]);
+    assert_eq!(actions, [Action::Abandon { id, number: 1 }, Action::ReportCrash(suspicion)]);
     let actions = host.end(id, AttemptEnd::Broken);
     let refusal = refusal(&actions, id).expect("it may have run");
     assert_eq!(refusal.verdict, Verdict::MayHaveRun);
@@ -73,7 +73,7 @@
     host.tell(Event::UpstreamEnded { id: life(1) });
     see(&mut host, 2, &[]);
     let subject = ModelRef { model: "m1".into(), adapter: None };
-    host.tell(Event::Placed { runner: life(1), subject, presence: Presence::Present });
+    host.tell(Event::PresenceReported { runner: life(1), subject, presence: Presence::Present });
     let row = LoadRow {
         upstream: life(1),
         running: 4,
@@ -85,7 +85,7 @@
     };
     let digest = Digest { loads: vec![row], demand: Vec::new() };
     host.tell(Event::PeerDigest { host: "front-2".into(), digest });
-    let loads = host.dispatch.loads(host.now);
+    let loads = host.dispatch.summaries(host.now);
     assert_eq!(loads.len(), 1, "{loads:?}");
     assert_eq!((&loads[0].upstream, loads[0].running), (&life(2), 0));
     let (id, actions) = host.arrive(request("a", "offer", Some("m1")));
--- a/crates/dispatch/tests/pacing.rs
+++ b/crates/dispatch/tests/pacing.rs
@@ -10,8 +10,8 @@
 /// What asks for a moment: the number of the question and the engine.
 fn asked(actions: &[Action], id: RequestId) -> Option<(u32, String)> {
     actions.iter().find_map(|action| match action {
-        Action::Reserve { id: of, turn, prompt } if *of == id => {
-            Some((*turn, prompt.upstream.to_string()))
+        Action::Reserve { id: of, reservation, prompt } if *of == id => {
+            Some((*reservation, prompt.upstream.to_string()))
         }
         _ => None,
     })
@@ -28,11 +28,12 @@
 /// A request whose pacer has not answered.
 fn open(host: &mut Host) -> (RequestId, u32) {
     let id = RequestId(100);
-    let arrived = Event::Arrived { id, request: request("a", "offer", Some("m1")), content: 0 };
+    let arrived =
+        Event::Arrived { id, request: request("a", "offer", Some("m1")), content_hash: 0 };
     let actions = host.dispatch.handle(host.now, arrived);
-    let (turn, _) = asked(&actions, id).expect("asked");
+    let (reservation, _) = asked(&actions, id).expect("asked");
     assert!(sent(&actions, id).is_empty());
-    (id, turn)
+    (id, reservation)
 }
 
 #[test]
@@ -46,9 +47,9 @@
 #[test]
 fn granted_goes_after_its_delay() {
     let mut host = host();
-    let (id, turn) = open(&mut host);
+    let (id, reservation) = open(&mut host);
     let slot = SlotReply::Granted(SendSlot { delay_ms: 50, ..SendSlot::default() });
-    let actions = host.dispatch.handle(host.now, Event::Reserved { id, turn, slot });
+    let actions = host.dispatch.handle(host.now, Event::Reserved { id, reservation, slot });
     let attempts = sent(&actions, id);
     assert_eq!((attempts[0].delay_ms, attempts[0].deadline_ms), (50, 9_950));
 }
@@ -56,19 +57,19 @@
 #[test]
 fn busy_engine_is_left_for_another() {
     let mut host = host();
-    let (id, turn) = open(&mut host);
+    let (id, reservation) = open(&mut host);
     host.see("i-2", upstream("llm", 2, &["m1"]));
     let busy = SlotReply::Busy { retry_ms: 100 };
-    let actions = host.dispatch.handle(host.now, Event::Reserved { id, turn, slot: busy });
-    assert_eq!(asked(&actions, id), Some((turn + 1, "i-2".into())));
+    let actions = host.dispatch.handle(host.now, Event::Reserved { id, reservation, slot: busy });
+    assert_eq!(asked(&actions, id), Some((reservation + 1, "i-2".into())));
 }
 
 #[test]
 fn busy_engine_is_asked_again_in_time() {
     let mut host = host();
-    let (id, turn) = open(&mut host);
+    let (id, reservation) = open(&mut host);
     let busy = SlotReply::Busy { retry_ms: 100 };
-    let actions = host.dispatch.handle(host.now, Event::Reserved { id, turn, slot: busy });
+    let actions = host.dispatch.handle(host.now, Event::Reserved { id, reservation, slot: busy });
     assert_eq!(asked(&actions, id), None);
     assert!(sent(&host.pass(80), id).is_empty());
     assert_eq!(&*sent_to(&host.pass(40), id).id, "i-1");
@@ -77,12 +78,13 @@
 #[test]
 fn old_answer_is_nothing() {
     let mut host = host();
-    let (id, turn) = open(&mut host);
+    let (id, reservation) = open(&mut host);
     let slot = SlotReply::Granted(SendSlot::default());
-    let early = host.dispatch.handle(host.now, Event::Reserved { id, turn: turn + 1, slot });
+    let early =
+        host.dispatch.handle(host.now, Event::Reserved { id, reservation: reservation + 1, slot });
     assert!(early.is_empty());
-    host.dispatch.handle(host.now, Event::Reserved { id, turn, slot });
-    let again = host.dispatch.handle(host.now, Event::Reserved { id, turn, slot });
+    host.dispatch.handle(host.now, Event::Reserved { id, reservation, slot });
+    let again = host.dispatch.handle(host.now, Event::Reserved { id, reservation, slot });
     assert!(sent(&again, id).is_empty());
 }
 
@@ -90,23 +92,23 @@
 #[test]
 fn leaving_engine_gets_nothing() {
     let mut host = host();
-    let (id, turn) = open(&mut host);
+    let (id, reservation) = open(&mut host);
     let draining = UpstreamState { draining: true, ..upstream("llm", 1, &["m1"]) };
     host.see("i-1", draining);
     let slot = SlotReply::Granted(SendSlot::default());
-    let actions = host.dispatch.handle(host.now, Event::Reserved { id, turn, slot });
+    let actions = host.dispatch.handle(host.now, Event::Reserved { id, reservation, slot });
     assert!(sent(&actions, id).is_empty());
 }
 
 #[test]
 fn left_caller_frees_its_place() {
     let mut host = host();
-    let (id, turn) = open(&mut host);
-    assert_eq!(host.dispatch.loads(host.now)[0].running, 1);
+    let (id, reservation) = open(&mut host);
+    assert_eq!(host.dispatch.summaries(host.now)[0].running, 1);
     host.tell(Event::CallerLeft { id });
-    assert_eq!(host.dispatch.loads(host.now)[0].running, 0);
+    assert_eq!(host.dispatch.summaries(host.now)[0].running, 0);
     let slot = SlotReply::Granted(SendSlot::default());
-    assert!(host.dispatch.handle(host.now, Event::Reserved { id, turn, slot }).is_empty());
+    assert!(host.dispatch.handle(host.now, Event::Reserved { id, reservation, slot }).is_empty());
 }
 
 #[test]
@@ -115,5 +117,5 @@
     let (id, _) = open(&mut host);
     let refused = refusal(&host.pass(4_000), id).expect("refused");
     assert_eq!(refused.cause, RefusalCause::Overloaded);
-    assert_eq!(host.dispatch.loads(host.now)[0].running, 0);
+    assert_eq!(host.dispatch.summaries(host.now)[0].running, 0);
 }
--- a/crates/dispatch/tests/reading_pace.rs
+++ b/crates/dispatch/tests/reading_pace.rs
@@ -34,7 +34,8 @@
 /// The pace that the engine's pacer is told of the next prompt, in microseconds a token.
 fn told(host: &mut Host) -> f64 {
     let id = RequestId(9_999);
-    let arrived = Event::Arrived { id, request: request("last", "offer", Some("m1")), content: 0 };
+    let arrived =
+        Event::Arrived { id, request: request("last", "offer", Some("m1")), content_hash: 0 };
     let actions = host.dispatch.handle(host.now, arrived);
     let paces = actions.iter().find_map(|action| match action {
         Action::Reserve { prompt, .. } => Some(f64::from(prompt.per_token_us)),
--- a/crates/dispatch/tests/resting.rs
+++ b/crates/dispatch/tests/resting.rs
@@ -17,7 +17,7 @@
 }
 
 fn ask_rest(host: &mut Host, id: &str, for_ms: u64) {
-    host.tell(Event::RestAsked { upstream: id.into(), for_ms });
+    host.tell(Event::CooldownRequested { upstream: id.into(), for_ms });
 }
 
 /// The upstream that a request goes to, if it goes anywhere.
--- a/crates/dispatch/tests/retries.rs
+++ b/crates/dispatch/tests/retries.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use support::{Host, refusal, request, route, sent, sent_to, upstream};
-use vanetally_dispatch::{AttemptEnd, Budget, BudgetOptions, Event};
+use vanetally_dispatch::{AttemptEnd, Event, RetryBudget, RetryBudgetOptions};
 use vanetally_ports::{RefusalCause, RequestKind, Route};
 use vanetally_types::{Tick, Verdict};
 
@@ -140,7 +140,8 @@
     assert_eq!(host.dispatch.counts().open, 0);
 }
 
-const BOUNDS: BudgetOptions = BudgetOptions { ratio: 0.2, window_ms: 10_000, slack: 50.0 };
+const BOUNDS: RetryBudgetOptions =
+    RetryBudgetOptions { ratio: 0.2, window_ms: 10_000, slack: 50.0 };
 
 /// All hosts together stay within the bound, whatever share of the requests each one gets.
 #[rstest]
@@ -150,7 +151,7 @@
 fn budget_shared(#[case] hosts: usize) {
     let mut spent = 0;
     for _ in 0..hosts {
-        let mut budget = Budget::new(BOUNDS);
+        let mut budget = RetryBudget::new(BOUNDS);
         budget.share_among(hosts);
         spent += (0..1_000).filter(|_| budget.try_spend(Tick(5_000))).count();
     }
@@ -159,7 +160,7 @@
 
 #[test]
 fn budget_slides() {
-    let mut budget = Budget::new(BOUNDS);
+    let mut budget = RetryBudget::new(BOUNDS);
     budget.share_among(10);
     let first = (0..100).filter(|_| budget.try_spend(Tick(0))).count();
     assert!(first > 0);
@@ -169,7 +170,7 @@
 
 #[test]
 fn budget_grows() {
-    let mut budget = Budget::new(BOUNDS);
+    let mut budget = RetryBudget::new(BOUNDS);
     budget.share_among(10);
     (0..100).for_each(|_| budget.earn(Tick(0)));
     let spent = (0..1_000).filter(|_| budget.try_spend(Tick(1))).count();
--- a/crates/dispatch/tests/shortage.rs
+++ b/crates/dispatch/tests/shortage.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use support::{Host, request, route, upstream};
 use vanetally_dispatch::{
-    Action, AttemptEnd, Digest, Event, Lack, LoadRow, RequestId, Shortage, Standing,
+    Action, AttemptEnd, Digest, Event, LoadRow, RefusalContext, RequestId, Shortage, ShortageKind,
 };
 use vanetally_ports::{ModelRef, RequestKind};
 
@@ -20,22 +20,22 @@
     Host::new(routes)
 }
 
-fn standing(actions: &[Action], id: RequestId) -> Option<Standing> {
+fn context(actions: &[Action], id: RequestId) -> Option<RefusalContext> {
     actions.iter().find_map(|action| match action {
-        Action::Refuse { id: of, standing, .. } if *of == id => Some(standing.clone()),
+        Action::Refuse { id: of, context, .. } if *of == id => Some(context.clone()),
         _ => None,
     })
 }
 
-/// The standing of a request for `model` that waits in vain.
-fn waited(host: &mut Host, model: &str) -> Standing {
+/// The context of a request for `model` that waits in vain.
+fn waited(host: &mut Host, model: &str) -> RefusalContext {
     let mut head = request("a", "offer", Some(model));
     if let Some((base, adapter)) = model.split_once('/') {
         head.model = Some(ModelRef { model: base.into(), adapter: Some(adapter.into()) });
     }
     let (id, mut actions) = host.arrive(head);
     actions.extend(host.pass(LONG_MS));
-    standing(&actions, id).expect("refused")
+    context(&actions, id).expect("refused")
 }
 
 fn others_at(upstream: &str, running: u32, held_tokens: u32, unread_tokens: u32) -> Event {
@@ -56,25 +56,30 @@
 fn nobody_there() {
     let mut host = host();
     let told = waited(&mut host, "m1");
-    assert_eq!(told.shortage, Some(Shortage { lack: Lack::Upstream, holders: 0 }));
-    assert_eq!((&*told.route, told.sendings), ("offer", 0));
+    assert_eq!(told.shortage, Some(Shortage { kind: ShortageKind::Upstream, holders: 0 }));
+    assert_eq!((&*told.route, told.attempts), ("offer", 0));
     assert_eq!(told.subject.unwrap().to_string(), "m1");
 }
 
 #[rstest]
-#[case("m2", Lack::Model)]
-#[case("m1/a1", Lack::Adapter)]
-fn not_held(#[case] model: &str, #[case] lack: Lack) {
+#[case("m2", ShortageKind::Model)]
+#[case("m1/a1", ShortageKind::Adapter)]
+fn not_held(#[case] model: &str, #[case] kind: ShortageKind) {
     let mut host = host();
     host.see("i-1", upstream("llm", 1, &["m1"]));
-    assert_eq!(waited(&mut host, model).shortage, Some(Shortage { lack, holders: 0 }));
+    assert_eq!(waited(&mut host, model).shortage, Some(Shortage { kind, holders: 0 }));
 }
 
 #[rstest]
-#[case(4, 500, 0, Lack::Slot)]
-#[case(2, 9_950, 0, Lack::Memory)]
-#[case(2, 500, 50_000, Lack::Reading)]
-fn no_room(#[case] running: u32, #[case] held: u32, #[case] unread: u32, #[case] lack: Lack) {
+#[case(4, 500, 0, ShortageKind::Slot)]
+#[case(2, 9_950, 0, ShortageKind::Memory)]
+#[case(2, 500, 50_000, ShortageKind::Reading)]
+fn no_room(
+    #[case] running: u32,
+    #[case] held: u32,
+    #[case] unread: u32,
+    #[case] kind: ShortageKind,
+) {
     let mut host = host();
     host.see("i-1", upstream("llm", 1, &["m1"]));
     host.tell(others_at("i-1", running, held, unread));
@@ -84,8 +89,8 @@
         actions.extend(host.pass(1_000));
         actions.extend(host.tell(others_at("i-1", running, held, unread)));
     }
-    let told = standing(&actions, id).expect("refused");
-    assert_eq!(told.shortage, Some(Shortage { lack, holders: 1 }));
+    let told = context(&actions, id).expect("refused");
+    assert_eq!(told.shortage, Some(Shortage { kind, holders: 1 }));
 }
 
 #[test]
@@ -94,15 +99,15 @@
     host.see("s-1", upstream("desk", 1, &[]));
     let (id, mut actions) = host.arrive(request("a", "check", None));
     actions.extend(host.end(id, AttemptEnd::Full));
-    while standing(&actions, id).is_none() {
+    while context(&actions, id).is_none() {
         actions.extend(host.pass(20));
         if actions.iter().any(|action| matches!(action, Action::Send { .. })) {
             actions = host.end(id, AttemptEnd::Full);
         }
     }
-    let told = standing(&actions, id).unwrap();
-    assert!(told.sendings > 1, "{told:?}");
-    assert_eq!(told.shortage, Some(Shortage { lack: Lack::TurnedAway, holders: 1 }));
+    let told = context(&actions, id).unwrap();
+    assert!(told.attempts > 1, "{told:?}");
+    assert_eq!(told.shortage, Some(Shortage { kind: ShortageKind::TurnedAway, holders: 1 }));
 }
 
 /// A request that waits shows that the replicas of its model are too few; the holder of orders is told of the
@@ -115,7 +120,7 @@
         let actions = host.pass(millis);
         actions.into_iter().any(|action| {
             let base = ModelRef { model: "m1".into(), adapter: None };
-            matches!(action, Action::Want { subject, is_crowded: true, .. } if subject == base)
+            matches!(action, Action::RequestModel { subject, is_saturated: true, .. } if subject == base)
         })
     };
     for number in 0..40 {
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -6,7 +6,7 @@
     rc::Rc,
 };
 use vanetally_dispatch::{
-    Action, Attempt, AttemptEnd, BudgetOptions, Dispatch, Event, Options, RequestId,
+    Action, Attempt, AttemptEnd, Dispatch, Event, Options, RequestId, RetryBudgetOptions,
 };
 use vanetally_pacing::{SendSlot, SlotReply};
 use vanetally_ports::{
@@ -23,7 +23,7 @@
     Options {
         host: "front-0".into(),
         domain: "z1".into(),
-        budget: BudgetOptions { ratio: 0.2, window_ms: 10_000, slack: 30.0 },
+        retry_budget: RetryBudgetOptions { ratio: 0.2, window_ms: 10_000, slack: 30.0 },
         grace_ms: 8_000,
         revoke_ms: None,
     }
@@ -134,10 +134,10 @@
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             for action in self.dispatch.handle(self.now, event) {
-                if let Action::Reserve { id, turn, prompt } = action {
+                if let Action::Reserve { id, reservation, prompt } = action {
                     let moment = SendSlot { unread: prompt.tokens, ..SendSlot::default() };
                     let slot = SlotReply::Granted(moment);
-                    events.push_back(Event::Reserved { id, turn, slot });
+                    events.push_back(Event::Reserved { id, reservation, slot });
                 } else {
                     actions.push(action);
                 }
@@ -166,7 +166,7 @@
     pub fn arrive(&mut self, request: CallerRequest) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next);
         self.next += 1;
-        (id, self.tell(Event::Arrived { id, request, content: id.0 }))
+        (id, self.tell(Event::Arrived { id, request, content_hash: id.0 }))
     }
 
     /// An attempt ends before any of its answer went out.
--- a/crates/fanout/tests/recorded.rs
+++ b/crates/fanout/tests/recorded.rs
@@ -5,7 +5,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::fmt::Debug;
 use vanetally_dispatch::{DemandRow, Digest, LimitRow, LoadRow};
-use vanetally_limit::{Answer, Question};
+use vanetally_limit::{PermitAnswer, PermitRequest};
 use vanetally_link::peer::{decode, encode};
 use vanetally_pacing::{Prefix, Prompt, SendSlot, SlotReply};
 use vanetally_types::Incarnation;
@@ -95,11 +95,11 @@
 
 #[test]
 fn permits() {
-    let question = Question { upstream: upstream(), rate: 1.8, most_ms: 800 };
+    let question = PermitRequest { upstream: upstream(), rate: 1.8, max_wait_ms: 800 };
     reads(QUESTION, &question);
     writes(&question, QUESTION);
-    reads(DELAYED, &Answer::Granted { delay_ms: 500 });
-    writes(&Answer::Granted { delay_ms: 500 }, DELAYED);
+    reads(DELAYED, &PermitAnswer::Granted { delay_ms: 500 });
+    writes(&PermitAnswer::Granted { delay_ms: 500 }, DELAYED);
 }
 
 /// A later build may say more: what this one does not know is passed over, with nothing of the rest lost.
@@ -122,6 +122,6 @@
     assert_eq!(decode(&limit), Some(LimitRow { rate: None, age_ms: 7 }));
     let question = LaterQuestion { u: upstream(), n: 0.5, w: 1, urgency: vec![1, 2] };
     let question = encode(&question).expect("it can be written");
-    let read: Option<Question> = decode(&question);
-    assert_eq!(read, Some(Question { upstream: upstream(), rate: 0.5, most_ms: 1 }));
+    let read: Option<PermitRequest> = decode(&question);
+    assert_eq!(read, Some(PermitRequest { upstream: upstream(), rate: 0.5, max_wait_ms: 1 }));
 }
--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -127,17 +127,17 @@
 
     /// Notes the final answer of the product's own.
     pub(crate) fn refused(&mut self, refused: &Refused) {
-        let Refused { refusal, standing } = refused;
-        let lack = standing.shortage.map_or("-", |shortage| shortage.lack.as_str());
+        let Refused { refusal, context } = refused;
+        let lack = context.shortage.map_or("-", |shortage| shortage.kind.as_str());
         telemetry::refused(refusal.cause, lack);
         log::info!(
             "event=request_refused request={} route={} subject={} lack={lack} holders={} sendings={} \
              cause={} verdict={} retry_after_ms={} after_ms={}",
             self.name,
-            standing.route,
-            standing.subject.as_ref().map_or_else(|| "-".into(), ToString::to_string),
-            standing.shortage.map_or(0, |shortage| shortage.holders),
-            standing.sendings,
+            context.route,
+            context.subject.as_ref().map_or_else(|| "-".into(), ToString::to_string),
+            context.shortage.map_or(0, |shortage| shortage.holders),
+            context.attempts,
             refusal.cause.as_str(),
             refusal.verdict,
             refusal.retry_after_ms.unwrap_or(0),
--- a/crates/gateway/src/hosts.rs
+++ b/crates/gateway/src/hosts.rs
@@ -113,9 +113,9 @@
         self.tenure.borrow_mut().set_rank(rank);
         self.pacing.borrow_mut().set_hosts(self.capacities());
         let now = self.clock.now();
-        self.quotas.borrow_mut().asker.set_hosts(now, hosts);
+        self.quotas.borrow_mut().client.set_hosts(now, hosts);
         self.limits.borrow_mut().contact.set_hosts(now, hosts);
-        self.request_event(dispatch::Event::Hosts(hosts));
+        self.request_event(dispatch::Event::HostCount(hosts));
     }
 
     /// The hosts that live, this one included, with their shares of a processor.
--- a/crates/gateway/src/hub.rs
+++ b/crates/gateway/src/hub.rs
@@ -22,12 +22,13 @@
 };
 use tokio::sync::{mpsc, watch};
 use vanetally_dispatch::{
-    self as dispatch, Attempt, Digest, Dispatch, Lack, Leavers, Prediction, RequestId, Standing,
+    self as dispatch, Attempt, Digest, Dispatch, LeavingUpstreams, Prediction, RefusalContext,
+    RequestId, ShortageKind,
 };
 use vanetally_fanout::{
     Freshness, HostIncarnation, Pull, Source, SourceSelector, Spacing, Totals, Versions,
 };
-use vanetally_limit::News;
+use vanetally_limit::LimitChange;
 use vanetally_link::peer::Links;
 use vanetally_placement::{self as placement, Placement, Tenure, TenureEvent, TenureOptions};
 use vanetally_ports::{Configuration, Era, Ports, Refusal, UpstreamState};
@@ -52,12 +53,12 @@
 #[derive(Debug)]
 pub(crate) struct Refused {
     pub refusal: Refusal,
-    pub standing: Standing,
+    pub context: RefusalContext,
 }
 
 impl From<Refusal> for Refused {
     fn from(refusal: Refusal) -> Self {
-        Self { refusal, standing: Standing::default() }
+        Self { refusal, context: RefusalContext::default() }
     }
 }
 
@@ -122,7 +123,7 @@
     pub quotas: RefCell<Quotas>,
     pub limits: RefCell<Limits>,
     /// Upstreams that have said that they leave.
-    pub leavers: RefCell<Leavers>,
+    pub leaving_upstreams: RefCell<LeavingUpstreams>,
     /// Evidence against contents.
     pub evidence: RefCell<CrashEvidence>,
     pub looks: RefCell<Looks>,
@@ -146,7 +147,7 @@
         let options = dispatch::Options {
             host: settings.host.clone(),
             domain: settings.domain.clone(),
-            budget: dispatch::BudgetOptions {
+            retry_budget: dispatch::RetryBudgetOptions {
                 ratio: bounds.retry_ratio,
                 window_ms: bounds.retry_window_ms,
                 slack: bounds.retry_slack,
@@ -197,7 +198,7 @@
             freshness: RefCell::default(),
             quotas: RefCell::new(Quotas::new(bounds.quota, rand::random())),
             limits: RefCell::new(Limits::new(rand::random())),
-            leavers: RefCell::default(),
+            leaving_upstreams: RefCell::default(),
             evidence: RefCell::default(),
             looks: RefCell::default(),
             writes: Cell::new(0),
@@ -219,7 +220,7 @@
         let (sender, commands) = mpsc::unbounded_channel();
         self.waiters.borrow_mut().insert(id, sender);
         telemetry::arrived();
-        self.request_event(dispatch::Event::Arrived { id, request, content });
+        self.request_event(dispatch::Event::Arrived { id, request, content_hash: content });
         (id, commands)
     }
 
@@ -238,29 +239,39 @@
                     log_sending(&attempt);
                     self.command(id, Command::Send(attempt));
                 }
-                dispatch::Action::Refuse { id, refusal, standing } => {
-                    self.command(id, Command::Refuse(Refused { refusal, standing }));
+                dispatch::Action::Refuse { id, refusal, context } => {
+                    self.command(id, Command::Refuse(Refused { refusal, context }));
                 }
                 dispatch::Action::Abandon { id, number } => {
                     self.command(id, Command::Abandon { number });
                 }
-                dispatch::Action::Reserve { id, turn, prompt } => self.reserve(id, turn, prompt),
-                dispatch::Action::Want { service, subject, is_crowded } => {
-                    self.want(service, subject, is_crowded);
+                dispatch::Action::Reserve { id, reservation, prompt } => {
+                    self.reserve(id, reservation, prompt)
                 }
-                dispatch::Action::Tell { upstream, is_good } => self.tell_pacer(upstream, is_good),
-                dispatch::Action::LookAt { upstream, address, is_engine, content, is_common } => {
-                    self.look_at(Suspect { upstream, address, is_engine }, content, is_common);
+                dispatch::Action::RequestModel { service, subject, is_saturated } => {
+                    self.want(service, subject, is_saturated);
                 }
-                dispatch::Action::Suspect(suspicion) => self.suspect(suspicion),
-                dispatch::Action::Permit { id, turn, question } => {
-                    tokio::task::spawn_local(self.clone().permit(id, turn, question));
+                dispatch::Action::ReportOutcome { upstream, is_good } => {
+                    self.tell_pacer(upstream, is_good)
+                }
+                dispatch::Action::Probe {
+                    upstream,
+                    address,
+                    is_engine,
+                    content_hash,
+                    is_common,
+                } => {
+                    self.look_at(Suspect { upstream, address, is_engine }, content_hash, is_common);
+                }
+                dispatch::Action::ReportCrash(suspicion) => self.suspect(suspicion),
+                dispatch::Action::RequestPermit { id, reservation, request } => {
+                    tokio::task::spawn_local(self.clone().permit(id, reservation, request));
                 }
                 dispatch::Action::ReturnPermit { upstream, rate } => {
                     self.return_permit(upstream, rate);
                 }
-                dispatch::Action::Limited { upstream, news, by } => {
-                    note_limit(&upstream, news, by.as_ref());
+                dispatch::Action::LimitChanged { upstream, change, reported_by } => {
+                    note_limit(&upstream, change, reported_by.as_ref());
                 }
                 dispatch::Action::Predicted { prediction, .. } => note_prediction(&prediction),
             }
@@ -342,7 +353,7 @@
     /// An upstream announced itself.
     pub(crate) fn upstream_seen(self: &Rc<Self>, id: Incarnation, mut state: UpstreamState) {
         // What it has said itself holds, however old its announcement is.
-        state.draining |= self.leavers.borrow().contains(&id);
+        state.draining |= self.leaving_upstreams.borrow().contains(&id);
         let seen = placement::Event::UpstreamSeen { id: id.clone(), state: state.clone() };
         self.placement_event(seen);
         self.request_event(dispatch::Event::UpstreamSeen { id, state });
@@ -356,7 +367,7 @@
 
     /// Another life is announced under an upstream's id.
     pub(crate) fn upstream_ended(self: &Rc<Self>, id: Incarnation) {
-        self.leavers.borrow_mut().ended(&id);
+        self.leaving_upstreams.borrow_mut().remove(&id);
         self.pacing.borrow_mut().forget(&id);
         self.limits.borrow_mut().forget(&id);
         self.placement_event(placement::Event::UpstreamGone { id: id.clone() });
@@ -389,14 +400,14 @@
     }
 }
 
-fn note_limit(upstream: &Incarnation, news: News, by: Option<&Name>) {
-    telemetry::limit_stated(news);
+fn note_limit(upstream: &Incarnation, change: LimitChange, by: Option<&Name>) {
+    telemetry::limit_stated(change);
     let by = by.map_or("answer", |host| host);
-    match news {
-        News::Named(rate) => {
+    match change {
+        LimitChange::Stated(rate) => {
             log::info!("event=limit_named upstream={upstream} per_s={rate} by={by}");
         }
-        News::Ended => log::info!("event=limit_ended upstream={upstream} by={by}"),
+        LimitChange::Ended => log::info!("event=limit_ended upstream={upstream} by={by}"),
     }
 }
 
@@ -424,7 +435,7 @@
         attempt.upstream,
         attempt.number,
         attempt.waited_ms,
-        attempt.lacked.map_or("-", Lack::as_str),
+        attempt.shortage.map_or("-", ShortageKind::as_str),
         attempt.deadline_ms,
         attempt.own_load,
         attempt.peer_load,
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use vanetally_dispatch::{self as dispatch, RequestId};
 use vanetally_fanout::StoreState;
-use vanetally_limit::{Answer, Grantor, Question, Shares};
-use vanetally_quota::Contact;
+use vanetally_limit::{Grantor, PermitAnswer, PermitRequest, Shares};
+use vanetally_quota::GrantorContact;
 use vanetally_types::{Incarnation, Name, Tick};
 
 /// While the store is away hosts tell the last grantor this often that they still ask it and nobody else, in
@@ -20,9 +20,9 @@
 /// This host's part in the limits of upstreams.
 pub(crate) struct Limits {
     pub grantor: Grantor,
-    pub contact: Contact,
+    pub contact: GrantorContact,
     shares: Shares,
-    questions: Questions<Answer>,
+    questions: Questions<PermitAnswer>,
     /// When the last grantor was told that this host still asks it.
     followed: Tick,
 }
@@ -32,7 +32,7 @@
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             grantor: Grantor::default(),
-            contact: Contact::default(),
+            contact: GrantorContact::default(),
             shares: Shares::new(seed),
             questions: Questions::default(),
             followed: Tick(0),
@@ -45,15 +45,20 @@
         self.shares.forget(upstream);
     }
 
-    fn ask_alone(&mut self, now: Tick, question: &Question) -> Answer {
-        let hosts = self.contact.most_hosts();
-        self.shares.ask(now, question, hosts)
+    fn ask_alone(&mut self, now: Tick, question: &PermitRequest) -> PermitAnswer {
+        let hosts = self.contact.max_hosts();
+        self.shares.decide(now, question, hosts)
     }
 }
 
 impl Hub {
     /// Finds out when a request may go to an upstream in need, and tells the decisions.
-    pub(crate) async fn permit(self: Rc<Self>, id: RequestId, turn: u32, question: Question) {
+    pub(crate) async fn permit(
+        self: Rc<Self>,
+        id: RequestId,
+        reservation: u32,
+        question: PermitRequest,
+    ) {
         let (answer, by) = self.decide_permit(&question).await;
         telemetry::permitted(answer);
         // The grantor's words show in what is sent and refused; a host that decides alone explains what is missing there.
@@ -65,16 +70,21 @@
             "event=permit upstream={} per_s={} most_ms={} answer={} by={by}",
             question.upstream,
             question.rate,
-            question.most_ms,
+            question.max_wait_ms,
             answer.as_str()
         );
-        self.request_event(dispatch::Event::Permitted { id, turn, question, answer });
+        self.request_event(dispatch::Event::PermitAnswered {
+            id,
+            reservation,
+            request: question,
+            answer,
+        });
     }
 
     /// Decides on a question, and tells who did.
-    async fn decide_permit(&self, question: &Question) -> (Answer, Name) {
+    async fn decide_permit(&self, question: &PermitRequest) -> (PermitAnswer, Name) {
         let own = &self.settings.host;
-        let host = self.limits.borrow().contact.host(self.clock.now()).cloned();
+        let host = self.limits.borrow().contact.available_grantor(self.clock.now()).cloned();
         let answer = match &host {
             Some(host) if host == own => Some(self.permit_here(own, question)),
             Some(host) => self.ask_permit(host, question).await,
@@ -83,15 +93,17 @@
         let now = self.clock.now();
         let mut limits = self.limits.borrow_mut();
         match (answer, host) {
-            (Some(answer), Some(host)) if answer != Answer::NotGranting => return (answer, host),
-            (Some(_), _) => limits.contact.not_granting(now),
-            (None, Some(host)) => limits.contact.unanswered(now, &host),
+            (Some(answer), Some(host)) if answer != PermitAnswer::NotGranting => {
+                return (answer, host);
+            }
+            (Some(_), _) => limits.contact.mark_not_granting(now),
+            (None, Some(host)) => limits.contact.mark_unanswered(now, &host),
             (None, None) => {}
         }
         (limits.ask_alone(now, question), own.clone())
     }
 
-    async fn ask_permit(&self, host: &Name, question: &Question) -> Option<Answer> {
+    async fn ask_permit(&self, host: &Name, question: &PermitRequest) -> Option<PermitAnswer> {
         let (number, answer) = self.limits.borrow_mut().questions.ask();
         let question = question.clone();
         self.send(host, &PeerMessage::Permit { number, question });
@@ -103,23 +115,23 @@
     }
 
     /// Decides on a question of `host`, as the one that grants.
-    fn permit_here(&self, host: &Name, question: &Question) -> Answer {
+    fn permit_here(&self, host: &Name, question: &PermitRequest) -> PermitAnswer {
         self.review_granting();
         let now = self.clock.now();
-        self.quotas.borrow_mut().grantor.note_asker(now, host);
-        self.limits.borrow_mut().grantor.ask(now, question)
+        self.quotas.borrow_mut().grantor.record_request(now, host);
+        self.limits.borrow_mut().grantor.decide(now, question)
     }
 
     /// Another host asks.
-    pub(crate) fn permit_for(&self, host: &Name, number: u64, question: &Question) {
+    pub(crate) fn permit_for(&self, host: &Name, number: u64, question: &PermitRequest) {
         let answer = self.permit_here(host, question);
         self.send(host, &PeerMessage::Permitted { number, question: question.clone(), answer });
     }
 
     /// The grantor answered: what comes too late goes back to it.
-    pub(crate) fn permitted(&self, number: u64, question: &Question, answer: Answer) {
+    pub(crate) fn permitted(&self, number: u64, question: &PermitRequest, answer: PermitAnswer) {
         let late = self.limits.borrow_mut().questions.answered(number, answer);
-        if matches!(late, Some(Answer::Granted { .. })) {
+        if matches!(late, Some(PermitAnswer::Granted { .. })) {
             self.return_permit(question.upstream.clone(), question.rate);
         }
     }
@@ -129,7 +141,7 @@
         let holder = self.holder.borrow().clone();
         match holder {
             Some(host) if host == self.settings.host => {
-                self.limits.borrow_mut().grantor.give_back(&upstream, rate);
+                self.limits.borrow_mut().grantor.return_permit(&upstream, rate);
             }
             Some(host) => self.send(&host, &PeerMessage::ReturnPermit { upstream, rate }),
             // Nobody keeps the line that it stood in.
@@ -156,6 +168,6 @@
     /// A host asks this one and nobody else.
     pub(crate) fn followed_by(&self, host: &Name) {
         let now = self.clock.now();
-        self.quotas.borrow_mut().grantor.note_asker(now, host);
+        self.quotas.borrow_mut().grantor.record_request(now, host);
     }
 }
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -62,14 +62,14 @@
             }
             PeerMessage::Spent { number, answer } => self.spent(number, answer),
             PeerMessage::GiveBack { organisation, cost } => {
-                self.quotas.borrow_mut().grantor.give_back(&organisation, cost);
+                self.quotas.borrow_mut().grantor.refund(&organisation, cost);
             }
             PeerMessage::Permit { number, question } => self.permit_for(from, number, &question),
             PeerMessage::Permitted { number, question, answer } => {
                 self.permitted(number, &question, answer);
             }
             PeerMessage::ReturnPermit { upstream, rate } => {
-                self.limits.borrow_mut().grantor.give_back(&upstream, rate);
+                self.limits.borrow_mut().grantor.return_permit(&upstream, rate);
             }
             PeerMessage::Follows => self.followed_by(from),
             PeerMessage::Accuse { content, upstream } => {
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -39,7 +39,7 @@
             log::info!("event=order_holder_seen holder={}", holder.as_deref().unwrap_or("-"));
         }
         *self.holder.borrow_mut() = holder.clone();
-        self.quotas.borrow_mut().asker.set_grantor(holder.clone());
+        self.quotas.borrow_mut().client.set_grantor(holder.clone());
         self.limits.borrow_mut().contact.set_grantor(holder.clone());
         self.tenure_event(TenureEvent::HolderSeen(holder));
     }
@@ -135,7 +135,7 @@
             self.pacing.borrow_mut().drop_model(&runner, &subject.model);
         }
         let presence = if is_present { Presence::Present } else { Presence::Absent };
-        self.request_event(dispatch::Event::Placed { runner, subject, presence });
+        self.request_event(dispatch::Event::PresenceReported { runner, subject, presence });
     }
 }
 
--- a/crates/gateway/src/pacing.rs
+++ b/crates/gateway/src/pacing.rs
@@ -12,7 +12,7 @@
 /// A question that another host has not answered.
 struct Question {
     id: RequestId,
-    turn: u32,
+    reservation: u32,
     prompt: Prompt,
     host: Name,
     asked: Tick,
@@ -69,21 +69,21 @@
 
 impl Hub {
     /// Asks the pacer of the prompt's engine for its moment.
-    pub(crate) fn reserve(self: &Rc<Self>, id: RequestId, turn: u32, prompt: Prompt) {
+    pub(crate) fn reserve(self: &Rc<Self>, id: RequestId, reservation: u32, prompt: Prompt) {
         let now = self.clock.now();
         let host = self.pacing.borrow_mut().pacers.pacer_of(now, &prompt.upstream.id).clone();
         if host == self.settings.host {
-            return self.reserve_here(id, turn, &prompt);
+            return self.reserve_here(id, reservation, &prompt);
         }
-        let question = Question { id, turn, prompt: prompt.clone(), host, asked: now };
+        let question = Question { id, reservation, prompt: prompt.clone(), host, asked: now };
         let host = question.host.clone();
         let number = self.pacing.borrow_mut().ask(question);
         self.send(&host, &PeerMessage::Reserve { number, prompt });
     }
 
-    fn reserve_here(self: &Rc<Self>, id: RequestId, turn: u32, prompt: &Prompt) {
+    fn reserve_here(self: &Rc<Self>, id: RequestId, reservation: u32, prompt: &Prompt) {
         let slot = self.pacing.borrow_mut().pacer.reserve(self.clock.now(), prompt);
-        self.request_event(dispatch::Event::Reserved { id, turn, slot });
+        self.request_event(dispatch::Event::Reserved { id, reservation, slot });
     }
 
     /// Another host asks for a moment.
@@ -95,8 +95,8 @@
     /// A pacer answered.
     pub(crate) fn reserved(self: &Rc<Self>, number: u64, slot: SlotReply) {
         let question = self.pacing.borrow_mut().questions.remove(&number);
-        if let Some(Question { id, turn, .. }) = question {
-            self.request_event(dispatch::Event::Reserved { id, turn, slot });
+        if let Some(Question { id, reservation, .. }) = question {
+            self.request_event(dispatch::Event::Reserved { id, reservation, slot });
         }
     }
 
@@ -139,7 +139,7 @@
                 now.since(question.asked)
             );
             self.pacing.borrow_mut().pacers.mark_silent(now, &question.host);
-            self.reserve_here(question.id, question.turn, &question.prompt);
+            self.reserve_here(question.id, question.reservation, &question.prompt);
         }
     }
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -12,12 +12,12 @@
 use std::{net::SocketAddr, rc::Rc};
 use vanetally_dispatch::{Digest, LoadRow};
 use vanetally_fanout::{HostIncarnation, Patch, Path, StoreState};
-use vanetally_limit::{Answer as Permit, Question};
+use vanetally_limit::{PermitAnswer, PermitRequest};
 use vanetally_pacing::{Prompt, SlotReply};
 use vanetally_placement::TenureEvent;
 use vanetally_ports::{Change, Item, Revision};
 use vanetally_quarantine::{ContentHash, CrashReport, Quarantine};
-use vanetally_quota::Answer;
+use vanetally_quota::QuotaAnswer;
 use vanetally_types::{Incarnation, Name, Tick};
 
 /// The beginning of all keys of the product.
@@ -167,7 +167,7 @@
         /// The number of the question.
         number: u64,
         /// What it says.
-        answer: Answer,
+        answer: QuotaAnswer,
     },
     /// To the grantor of quotas: what was granted did not run.
     GiveBack {
@@ -181,16 +181,16 @@
         /// The number of this question.
         number: u64,
         /// The question.
-        question: Question,
+        question: PermitRequest,
     },
     /// From the grantor.
     Permitted {
         /// The number of the question.
         number: u64,
         /// The question: what comes too late is given back.
-        question: Question,
+        question: PermitRequest,
         /// What it says.
-        answer: Permit,
+        answer: PermitAnswer,
     },
     /// To the grantor: what was granted did not go.
     ReturnPermit {
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -112,7 +112,7 @@
         let hub = self.clone();
         tokio::task::spawn_local(async move {
             let now = hub.clock.now();
-            let rest_ms = hub.dispatch.borrow().rest_left_ms(now, &suspect.upstream);
+            let rest_ms = hub.dispatch.borrow().cooldown_left_ms(now, &suspect.upstream);
             let sign = match rest_ms {
                 // It has just answered, and wants no more.
                 Some(_) => None,
@@ -138,7 +138,7 @@
             }
         }
         let contents = contents.into_keys().collect();
-        self.request_event(dispatch::Event::LookedAt { upstream, contents, sign });
+        self.request_event(dispatch::Event::Probed { upstream, content_hashes: contents, sign });
     }
 
     /// Weighs a suspicion here, and tells the others that keep the evidence.
@@ -183,7 +183,7 @@
 
     /// Whether a content is kept back here.
     fn holds(&self, content: ContentHash) -> bool {
-        self.dispatch.borrow().held().remaining_ms(self.clock.now(), content).is_some()
+        self.dispatch.borrow().quarantine().remaining_ms(self.clock.now(), content).is_some()
     }
 
     /// A request of a content was answered whole after an upstream had ended under it.
@@ -211,11 +211,11 @@
     fn take_quarantine(self: &Rc<Self>, from: &Name, quarantine: Quarantine) -> bool {
         let now = self.clock.now();
         let Quarantine { content, for_ms, ended, .. } = quarantine;
-        if !self.dispatch.borrow().held().is_update(now, &quarantine) {
+        if !self.dispatch.borrow().quarantine().is_update(now, &quarantine) {
             return false;
         }
         let is_innocent = !quarantine.is_release()
-            && self.dispatch.borrow().held().is_cleared_by_answer(now, &quarantine);
+            && self.dispatch.borrow().quarantine().is_cleared_by_answer(now, &quarantine);
         log::info!(
             "event=content_held content={content:016x} ended={ended} for_ms={for_ms} answered_here={is_innocent} from={from}"
         );
@@ -251,7 +251,7 @@
 
     /// Tells a host that starts what is kept back.
     pub(crate) fn tell_quarantines(&self, host: &Name) {
-        let quarantines = self.dispatch.borrow().held().quarantines(self.clock.now());
+        let quarantines = self.dispatch.borrow().quarantine().quarantines(self.clock.now());
         if !quarantines.is_empty() {
             self.send(host, &PeerMessage::Quarantined(quarantines));
         }
@@ -273,7 +273,7 @@
     /// The store came back from a copy: writes again which quarantines it lacks. One of those that know a quarantine does
     /// so at once, the next ones if it is still missing later.
     pub(crate) fn keep_again(self: &Rc<Self>) {
-        let held = self.dispatch.borrow().held().quarantines(self.clock.now());
+        let held = self.dispatch.borrow().quarantine().quarantines(self.clock.now());
         for quarantine in held.into_iter().filter(|one| !self.is_kept(one.content)) {
             let peers = self.peers.borrow();
             let own = &self.settings.host;
--- a/crates/gateway/src/quotas.rs
+++ b/crates/gateway/src/quotas.rs
@@ -9,7 +9,7 @@
 use vanetally_dispatch::AttemptEnd;
 use vanetally_fanout::StoreState;
 use vanetally_ports::{CallerRequest, Configuration, Quota, Refusal, RefusalCause};
-use vanetally_quota::{Answer, Ask, Asker, Bounds, Decision, Grantor};
+use vanetally_quota::{Authority, Bounds, Decision, Grantor, QuotaAnswer, QuotaClient};
 use vanetally_types::{Name, Tick};
 
 /// When to come back where it is not known whether a request is within its quota, in milliseconds: a new grantor is
@@ -19,8 +19,8 @@
 /// This host's part in the quotas.
 pub(crate) struct Quotas {
     pub grantor: Grantor,
-    pub asker: Asker,
-    questions: Questions<Answer>,
+    pub client: QuotaClient,
+    questions: Questions<QuotaAnswer>,
 }
 
 impl Quotas {
@@ -28,7 +28,7 @@
     pub(crate) fn new(bounds: Bounds, seed: u64) -> Self {
         Self {
             grantor: Grantor::default(),
-            asker: Asker::new(bounds, seed),
+            client: QuotaClient::new(bounds, seed),
             questions: Questions::default(),
         }
     }
@@ -38,7 +38,7 @@
         let organisations = configuration.organisations.iter().flatten();
         let quotas: HashMap<Name, Quota> =
             organisations.filter_map(|one| Some((one.name.clone(), one.quota?))).collect();
-        self.asker.configure(now, &quotas);
+        self.client.configure(now, &quotas);
         self.grantor.configure(now, quotas);
     }
 }
@@ -85,7 +85,7 @@
         head: &CallerRequest,
     ) -> Result<Option<Charge>, Refusal> {
         let tokens = head.has_token_count.then_some(head.prompt_tokens + head.output_tokens);
-        let Some(cost) = self.quotas.borrow().asker.cost(&organisation, tokens) else {
+        let Some(cost) = self.quotas.borrow().client.cost(&organisation, tokens) else {
             return Ok(None);
         };
         let (decision, by) = self.decide(&organisation, cost).await;
@@ -119,14 +119,15 @@
     async fn decide(self: &Rc<Self>, organisation: &Name, cost: u32) -> (Decision, Name) {
         let own = &self.settings.host;
         let now = self.clock.now();
-        let ask = self.quotas.borrow().asker.ask(now, organisation);
+        let ask = self.quotas.borrow().client.authority(now, organisation);
         let host = match ask {
-            Ask::Nobody => return (Decision::Granted, own.clone()),
-            Ask::Alone => {
-                let decision = self.quotas.borrow_mut().asker.decide_alone(now, organisation, cost);
+            Authority::Unlimited => return (Decision::Granted, own.clone()),
+            Authority::Local => {
+                let decision =
+                    self.quotas.borrow_mut().client.decide_locally(now, organisation, cost);
                 return (decision, own.clone());
             }
-            Ask::Host(host) => host,
+            Authority::Grantor(host) => host,
         };
         let answer = if host == *own {
             Some(self.spend(own, organisation, cost))
@@ -134,16 +135,21 @@
             self.ask_grantor(&host, organisation, cost).await
         };
         let now = self.clock.now();
-        let asker = &mut self.quotas.borrow_mut().asker;
+        let client = &mut self.quotas.borrow_mut().client;
         let decision = match answer {
-            Some(answer) => asker.answered(now, organisation, cost, answer),
-            None => asker.unanswered(now, &host, organisation, cost),
+            Some(answer) => client.handle_answer(now, organisation, cost, answer),
+            None => client.handle_no_answer(now, &host, organisation, cost),
         };
-        let by = if matches!(answer, None | Some(Answer::NotGranting)) { own } else { &host };
+        let by = if matches!(answer, None | Some(QuotaAnswer::NotGranting)) { own } else { &host };
         (decision, by.clone())
     }
 
-    async fn ask_grantor(&self, host: &Name, organisation: &Name, cost: u32) -> Option<Answer> {
+    async fn ask_grantor(
+        &self,
+        host: &Name,
+        organisation: &Name,
+        cost: u32,
+    ) -> Option<QuotaAnswer> {
         let (number, answer) = self.quotas.borrow_mut().questions.ask();
         let organisation = organisation.clone();
         self.send(host, &PeerMessage::Spend { number, organisation, cost });
@@ -156,11 +162,11 @@
     }
 
     /// Takes `cost` from the quota, as the grantor.
-    fn spend(&self, host: &Name, organisation: &Name, cost: u32) -> Answer {
+    fn spend(&self, host: &Name, organisation: &Name, cost: u32) -> QuotaAnswer {
         self.review_granting();
         let now = self.clock.now();
         let grantor = &mut self.quotas.borrow_mut().grantor;
-        grantor.note_asker(now, host);
+        grantor.record_request(now, host);
         grantor.spend(now, organisation, cost)
     }
 
@@ -171,7 +177,7 @@
     }
 
     /// The grantor answered.
-    pub(crate) fn spent(&self, number: u64, answer: Answer) {
+    pub(crate) fn spent(&self, number: u64, answer: QuotaAnswer) {
         // One that comes late is of no use: the host has decided alone.
         let _ = self.quotas.borrow_mut().questions.answered(number, answer);
     }
@@ -180,7 +186,7 @@
         let holder = self.holder.borrow().clone();
         match holder {
             Some(host) if host == self.settings.host => {
-                self.quotas.borrow_mut().grantor.give_back(organisation, cost);
+                self.quotas.borrow_mut().grantor.refund(organisation, cost);
             }
             Some(host) => {
                 let organisation = organisation.clone();
@@ -199,7 +205,7 @@
         let is_away = is_last && self.store.state() == StoreState::Away;
         let hosts = self.peers.borrow().len();
         let grantor = &mut self.quotas.borrow_mut().grantor;
-        let goes_on = !is_holder && is_away && grantor.may_go_on(now, hosts);
+        let goes_on = !is_holder && is_away && grantor.may_continue(now, hosts);
         grantor.set_granting(now, is_holder || goes_on);
         self.limits.borrow_mut().grantor.set_granting(now, is_holder || goes_on);
     }
--- a/crates/gateway/src/statements.rs
+++ b/crates/gateway/src/statements.rs
@@ -25,7 +25,7 @@
         let ends = matches!(kind, AnswerKind::Success | AnswerKind::Failure);
         let rate = self.readable(upstream, "limit", statement.limit);
         if rate.is_some() || ends {
-            self.request_event(Event::Stated { upstream: upstream.clone(), sent, rate });
+            self.request_event(Event::LimitStated { upstream: upstream.clone(), sent, rate });
         }
         self.note_statement(upstream, &statement);
     }
@@ -46,13 +46,13 @@
         if let Some(for_ms) = rest_ms.filter(|for_ms| *for_ms > 0) {
             log::info!("event=rest_asked upstream={upstream} for_ms={for_ms}");
             telemetry::rest_asked();
-            self.request_event(Event::RestAsked { upstream: upstream.clone(), for_ms });
+            self.request_event(Event::CooldownRequested { upstream: upstream.clone(), for_ms });
         }
     }
 
     /// Whether an upstream has asked for rest; if so, waits for the end of it, `most` at most.
     pub(crate) async fn rests(&self, upstream: &Incarnation, most: Duration) -> bool {
-        let left_ms = self.dispatch.borrow().rest_left_ms(self.clock.now(), upstream);
+        let left_ms = self.dispatch.borrow().cooldown_left_ms(self.clock.now(), upstream);
         if let Some(left_ms) = left_ms {
             sleep(Duration::from_millis(left_ms).min(most)).await;
         }
@@ -75,7 +75,9 @@
     /// These upstreams have said that they leave, by the word of `from` or in answers to this host.
     pub(crate) fn leaving(self: &Rc<Self>, from: Option<&Name>, upstreams: Vec<Incarnation>) {
         let now = self.clock.now();
-        let is_news = |upstream: &Incarnation| self.leavers.borrow_mut().add(now, upstream.clone());
+        let is_news = |upstream: &Incarnation| {
+            self.leaving_upstreams.borrow_mut().insert(now, upstream.clone())
+        };
         let news: Vec<Incarnation> = upstreams.into_iter().filter(is_news).collect();
         if news.is_empty() {
             return;
@@ -84,7 +86,7 @@
             let by = from.map_or("answer", |host| host);
             log::info!("event=upstream_leaving upstream={upstream} by={by}");
             telemetry::upstream_leaving(from.is_some());
-            let state = self.dispatch.borrow().state_of(upstream).cloned();
+            let state = self.dispatch.borrow().upstream_state(upstream).cloned();
             if let Some(state) = state {
                 self.upstream_seen(upstream.clone(), state);
             }
@@ -95,9 +97,9 @@
 
     /// Tells a host that starts which upstreams have said that they leave.
     pub(crate) fn tell_leavers(&self, host: &Name) {
-        let leavers = self.leavers.borrow().all();
-        if !leavers.is_empty() {
-            self.send(host, &PeerMessage::Leaving(leavers));
+        let leaving_upstreams = self.leaving_upstreams.borrow().all();
+        if !leaving_upstreams.is_empty() {
+            self.send(host, &PeerMessage::Leaving(leaving_upstreams));
         }
     }
 }
--- a/crates/gateway/src/telemetry.rs
+++ b/crates/gateway/src/telemetry.rs
@@ -4,7 +4,7 @@
 use metrics_exporter_prometheus::{Matcher, PrometheusBuilder, PrometheusHandle};
 use std::sync::atomic::{AtomicU64, Ordering};
 use vanetally_dispatch::{AttemptEnd, Counts};
-use vanetally_limit::{Answer, News};
+use vanetally_limit::{LimitChange, PermitAnswer};
 use vanetally_link::peer::Traffic;
 use vanetally_ports::{AnnouncementError, Era, OrderOutcome, RefusalCause};
 use vanetally_quarantine::CrashSign;
@@ -73,16 +73,16 @@
 }
 
 /// An upstream named another limit, or none any more.
-pub(crate) fn limit_stated(news: News) {
-    let change = match news {
-        News::Named(_) => "named",
-        News::Ended => "ended",
+pub(crate) fn limit_stated(limit_change: LimitChange) {
+    let change = match limit_change {
+        LimitChange::Stated(_) => "named",
+        LimitChange::Ended => "ended",
     };
     counter!("vanetally_limits_total", "change" => change).increment(1);
 }
 
 /// A request to an upstream in need got its moment, or did not.
-pub(crate) fn permitted(answer: Answer) {
+pub(crate) fn permitted(answer: PermitAnswer) {
     counter!("vanetally_permits_total", "answer" => answer.as_str()).increment(1);
 }
 
--- a/crates/gateway/src/upkeep.rs
+++ b/crates/gateway/src/upkeep.rs
@@ -41,7 +41,7 @@
         let now = self.clock.now();
         let dispatch = self.dispatch.borrow();
         let peers = self.peers.borrow();
-        let loads = dispatch.loads(now).into_iter().map(|load| format!("{load:?}\n"));
+        let loads = dispatch.summaries(now).into_iter().map(|load| format!("{load:?}\n"));
         let loads: String = loads.collect();
         format!(
             "host={}\nversion={:?}\ncounts={:?}\nstage={:?}\nholder={:?}\ntoken={:?}\npeers={:?}\n{loads}",
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 use tokio::time::sleep;
-use vanetally_dispatch::{News, Roster};
+use vanetally_dispatch::{Roster, RosterUpdate};
 use vanetally_ports::{Change, Item, Revision, UpstreamState};
 use vanetally_types::{Incarnation, Name, Tick};
 
@@ -39,54 +39,54 @@
         }
         let read = self.hub.ports.upstreams.read(id.clone(), &item.value);
         let now = self.hub.clock.now();
-        let news = self.roster.borrow_mut().announced(now, &id, item.revision, read);
+        let news = self.roster.borrow_mut().record(now, &id, item.revision, read);
         for news in news {
             self.take(&id, item.revision, news);
         }
     }
 
-    fn take(&self, id: &Name, revision: Revision, news: News) {
+    fn take(&self, id: &Name, revision: Revision, news: RosterUpdate) {
         match news {
-            News::Seen { life, state, is_new } => {
+            RosterUpdate::Seen { incarnation, state, is_new } => {
                 if is_new || state.draining {
-                    self.log_seen(&life, &state, revision);
+                    self.log_seen(&incarnation, &state, revision);
                 }
-                self.hub.upstream_seen(life, state);
+                self.hub.upstream_seen(incarnation, state);
             }
-            News::Unreadable { life, error } => {
+            RosterUpdate::Unreadable { incarnation, error } => {
                 telemetry::announcement_unreadable(&error);
                 log::error!(
                     "event=upstream_unreadable upstream={id} revision={revision} reason={} error=\"{error}\"",
                     error.as_str()
                 );
-                if let Some(life) = life {
-                    self.hub.upstream_unreadable(life);
+                if let Some(incarnation) = incarnation {
+                    self.hub.upstream_unreadable(incarnation);
                 }
             }
-            News::Outdated { life } => {
+            RosterUpdate::Outdated { incarnation } => {
                 telemetry::passed_over("announcement");
                 log::log!(
                     self.hub.hearsay(),
-                    "event=upstream_outdated upstream={life} revision={revision}"
+                    "event=upstream_outdated upstream={incarnation} revision={revision}"
                 );
             }
-            News::Ended { life, next } => {
+            RosterUpdate::Ended { incarnation, next } => {
                 telemetry::upstream_reborn();
                 log::log!(
                     self.hub.hearsay(),
                     "event=upstream_reborn upstream={id} born_before={} born={} revision={revision}",
-                    start(&life),
+                    start(&incarnation),
                     start(&next)
                 );
-                self.hub.upstream_ended(life);
+                self.hub.upstream_ended(incarnation);
             }
         }
     }
 
-    fn log_seen(&self, life: &Incarnation, state: &UpstreamState, revision: Revision) {
+    fn log_seen(&self, incarnation: &Incarnation, state: &UpstreamState, revision: Revision) {
         log::log!(
             self.hub.hearsay(),
-            "event=upstream_seen upstream={life} service={} address={} draining={} remaining_ms={} \
+            "event=upstream_seen upstream={incarnation} service={} address={} draining={} remaining_ms={} \
              revision={revision}",
             state.service,
             state.address,
@@ -102,7 +102,7 @@
         if !contact.may_miss_keys(now) {
             return forget(&self.hub, &self.roster, id);
         }
-        if !self.roster.borrow().knows(id) || self.lapsed.borrow().contains_key(id) {
+        if !self.roster.borrow().contains(id) || self.lapsed.borrow().contains_key(id) {
             return;
         }
         let wait_ms = contact.missing_key_wait_ms(now);
@@ -127,15 +127,15 @@
 }
 
 fn forget(hub: &Rc<Hub>, roster: &RefCell<Roster>, id: &Name) {
-    let life = roster.borrow_mut().gone(hub.clock.now(), id);
-    if let Some(life) = life {
-        log::log!(hub.hearsay(), "event=upstream_gone upstream={life}");
-        hub.upstream_gone(life);
+    let incarnation = roster.borrow_mut().remove(hub.clock.now(), id);
+    if let Some(incarnation) = incarnation {
+        log::log!(hub.hearsay(), "event=upstream_gone upstream={incarnation}");
+        hub.upstream_gone(incarnation);
     }
 }
 
-fn start(life: &Incarnation) -> String {
-    life.born.map_or_else(|| "-".into(), |born| born.to_string())
+fn start(incarnation: &Incarnation) -> String {
+    incarnation.born.map_or_else(|| "-".into(), |born| born.to_string())
 }
 
 impl Follower for UpstreamFollower {
--- a/crates/limit/src/grantor.rs
+++ b/crates/limit/src/grantor.rs
@@ -1,13 +1,13 @@
 //! The one host that says when requests may go to upstreams in need.
 
-use crate::line::{Line, interval_ms};
+use crate::schedule::{Schedule, interval_ms};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use vanetally_types::{Incarnation, Tick};
 
 /// May a request go to an upstream in need?
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Question {
+pub struct PermitRequest {
     /// The upstream's incarnation.
     #[serde(rename = "u")]
     pub upstream: Incarnation,
@@ -16,12 +16,12 @@
     pub rate: f64,
     /// The longest that the request would wait for it, in milliseconds; nothing where others may take it.
     #[serde(rename = "w")]
-    pub most_ms: u32,
+    pub max_wait_ms: u32,
 }
 
 /// What is said to that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum PermitAnswer {
     /// It may, and nobody else has its moment.
     Granted {
         /// Milliseconds until then.
@@ -36,7 +36,7 @@
     NotGranting,
 }
 
-impl Answer {
+impl PermitAnswer {
     /// The word for logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -71,7 +71,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Queue {
-    line: Line,
+    line: Schedule,
     /// When the last caller was told to come back, in milliseconds.
     told: f64,
     /// Hosts that were told to ask again since the last moment was given out.
@@ -91,9 +91,9 @@
     }
 
     /// Whether and when a request may go.
-    pub fn ask(&mut self, now: Tick, question: &Question) -> Answer {
+    pub fn decide(&mut self, now: Tick, question: &PermitRequest) -> PermitAnswer {
         let Some(since) = self.since else {
-            return Answer::NotGranting;
+            return PermitAnswer::NotGranting;
         };
         let first = (since + MOST_AHEAD_MS).max(now);
         let queue = self.upstreams.entry(question.upstream.clone());
@@ -101,7 +101,7 @@
     }
 
     /// What was granted did not go.
-    pub fn give_back(&mut self, upstream: &Incarnation, rate: f64) {
+    pub fn return_permit(&mut self, upstream: &Incarnation, rate: f64) {
         if let Some(queue) = self.upstreams.get_mut(upstream) {
             queue.line.give_back(interval_ms(rate));
         }
@@ -115,22 +115,22 @@
 
 impl Queue {
     fn new(first: Tick) -> Self {
-        Self { line: Line::new(first), told: 0.0, turns: 0 }
+        Self { line: Schedule::new(first), told: 0.0, turns: 0 }
     }
 
-    fn ask(&mut self, now: Tick, question: &Question) -> Answer {
+    fn ask(&mut self, now: Tick, question: &PermitRequest) -> PermitAnswer {
         let interval_ms = interval_ms(question.rate);
         let wait_ms = self.line.wait_ms(now);
-        if wait_ms <= f64::from(question.most_ms).min(MOST_AHEAD_MS as f64) {
+        if wait_ms <= f64::from(question.max_wait_ms).min(MOST_AHEAD_MS as f64) {
             self.line.take(now, interval_ms);
             self.turns = 0;
-            return Answer::Granted { delay_ms: wait_ms.ceil() as u32 };
+            return PermitAnswer::Granted { delay_ms: wait_ms.ceil() as u32 };
         }
-        let retry_ms = match question.most_ms {
+        let retry_ms = match question.max_wait_ms {
             0 => self.next_turn(wait_ms, interval_ms),
             _ => self.next_told(now, wait_ms, interval_ms),
         };
-        Answer::Busy { retry_ms: retry_ms.ceil() as u32 }
+        PermitAnswer::Busy { retry_ms: retry_ms.ceil() as u32 }
     }
 
     /// When a host whose request goes elsewhere may ask again.
--- a/crates/limit/src/line.rs
+++ b/crates/limit/src/schedule.rs
@@ -4,7 +4,7 @@
 
 /// When the next request may go to an upstream.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Line {
+pub(crate) struct Schedule {
     /// The moment of the next one, in milliseconds.
     next: f64,
 }
@@ -22,7 +22,7 @@
     MILLIS_PER_SECOND / rate.max(LEAST_RATE)
 }
 
-impl Line {
+impl Schedule {
     /// The first request may go at `first`.
     pub(crate) fn new(first: Tick) -> Self {
         Self { next: first.0 as f64 + EARLY_MS }
--- a/crates/limit/src/share.rs
+++ b/crates/limit/src/share.rs
@@ -1,8 +1,8 @@
 //! What a host sends to an upstream in need where it can ask nobody.
 
 use crate::{
-    grantor::{Answer, MOST_AHEAD_MS, Question},
-    line::{Line, interval_ms},
+    grantor::{MOST_AHEAD_MS, PermitAnswer, PermitRequest},
+    schedule::{Schedule, interval_ms},
 };
 use std::collections::HashMap;
 use vanetally_types::{Incarnation, Tick, hash64};
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Part {
-    line: Line,
+    line: Schedule,
     /// Milliseconds from one request of this host to its next one, as the line was begun.
     interval_ms: f64,
 }
@@ -39,24 +39,24 @@
     ///
     /// A part is often less than a request in many seconds: each host's first one comes at a moment of its own, so that
     /// all together send evenly.
-    pub fn ask(&mut self, now: Tick, question: &Question, hosts: usize) -> Answer {
+    pub fn decide(&mut self, now: Tick, question: &PermitRequest, hosts: usize) -> PermitAnswer {
         let interval_ms = interval_ms(question.rate) * hosts.max(1) as f64 / ALONE_SHARE;
         let seed = self.seed;
         let known = self.lines.get(&question.upstream).filter(|p| p.interval_ms == interval_ms);
         let mut part = known.copied().unwrap_or_else(|| {
             let first_ms = draw(seed, &question.upstream, now) * interval_ms;
-            Part { line: Line::new(now + first_ms as u64), interval_ms }
+            Part { line: Schedule::new(now + first_ms as u64), interval_ms }
         });
         let wait_ms = part.line.wait_ms(now);
-        let is_soon = wait_ms <= f64::from(question.most_ms).min(MOST_AHEAD_MS as f64);
+        let is_soon = wait_ms <= f64::from(question.max_wait_ms).min(MOST_AHEAD_MS as f64);
         if is_soon {
             part.line.take(now, interval_ms);
         }
         self.lines.insert(question.upstream.clone(), part);
         if is_soon {
-            Answer::Granted { delay_ms: wait_ms.ceil() as u32 }
+            PermitAnswer::Granted { delay_ms: wait_ms.ceil() as u32 }
         } else {
-            Answer::Busy { retry_ms: wait_ms.ceil().min(ALONE_RETRY_MS) as u32 }
+            PermitAnswer::Busy { retry_ms: wait_ms.ceil().min(ALONE_RETRY_MS) as u32 }
         }
     }
 
--- a/crates/limit/tests/alone.rs
+++ b/crates/limit/tests/alone.rs
@@ -1,6 +1,6 @@
 //! Hosts that can ask nobody keep to a small part of the limit in sum.
 
-use vanetally_limit::{Answer, Question, Shares};
+use vanetally_limit::{PermitAnswer, PermitRequest, Shares};
 use vanetally_types::Tick;
 
 const START: Tick = Tick(1_000_000);
@@ -11,9 +11,9 @@
     for seed in 0..hosts as u64 {
         let mut shares = Shares::new(seed);
         for at in (0..for_ms).step_by(50) {
-            let question = Question { upstream: "r1".into(), rate, most_ms: 0 };
-            let answer = shares.ask(START + at, &question, hosts);
-            count += usize::from(matches!(answer, Answer::Granted { .. }));
+            let question = PermitRequest { upstream: "r1".into(), rate, max_wait_ms: 0 };
+            let answer = shares.decide(START + at, &question, hosts);
+            count += usize::from(matches!(answer, PermitAnswer::Granted { .. }));
         }
     }
     count
--- a/crates/limit/tests/grants.rs
+++ b/crates/limit/tests/grants.rs
@@ -1,7 +1,7 @@
 //! One host gives out the moments at which requests go to an upstream in need.
 
 use proptest::prelude::*;
-use vanetally_limit::{Answer, Grantor, Question};
+use vanetally_limit::{Grantor, PermitAnswer, PermitRequest};
 use vanetally_types::Tick;
 
 const START: Tick = Tick(1_000_000);
@@ -15,8 +15,8 @@
     grantor
 }
 
-fn question(rate: f64, most_ms: u32) -> Question {
-    Question { upstream: "r1".into(), rate, most_ms }
+fn question(rate: f64, max_wait_ms: u32) -> PermitRequest {
+    PermitRequest { upstream: "r1".into(), rate, max_wait_ms }
 }
 
 /// The most moments within one window.
@@ -27,12 +27,18 @@
 }
 
 /// When the requests go that ask every `pause_ms` for `for_ms`.
-fn play(grantor: &mut Grantor, rate: f64, most_ms: u32, pause_ms: u64, for_ms: u64) -> Vec<u64> {
+fn play(
+    grantor: &mut Grantor,
+    rate: f64,
+    max_wait_ms: u32,
+    pause_ms: u64,
+    for_ms: u64,
+) -> Vec<u64> {
     let moments = (0..for_ms).step_by(pause_ms as usize).filter_map(|at| {
         let now = BEGUN + at;
-        match grantor.ask(now, &question(rate, most_ms)) {
-            Answer::Granted { delay_ms } => Some((now + u64::from(delay_ms)).0),
-            Answer::Busy { .. } | Answer::NotGranting => None,
+        match grantor.decide(now, &question(rate, max_wait_ms)) {
+            PermitAnswer::Granted { delay_ms } => Some((now + u64::from(delay_ms)).0),
+            PermitAnswer::Busy { .. } | PermitAnswer::NotGranting => None,
         }
     });
     moments.collect()
@@ -41,8 +47,8 @@
 #[test]
 fn rate_kept_and_used() {
     for rate in [0.2, 0.5, 1.3, 1.8, 10.0, 120.0] {
-        for most_ms in [0, 800] {
-            let sent = play(&mut grantor(), rate, most_ms, 5, 60_000);
+        for max_wait_ms in [0, 800] {
+            let sent = play(&mut grantor(), rate, max_wait_ms, 5, 60_000);
             let most = most_in_window(&sent) as f64;
             let window = rate * WINDOW_MS as f64 / 1_000.0;
             assert!(most <= window + rate * 0.25 + 1.0, "{rate}: {most} in a window");
@@ -62,13 +68,14 @@
 #[test]
 fn told_true_times() {
     let mut grantor = grantor();
-    let ask = |grantor: &mut Grantor, most_ms| grantor.ask(BEGUN, &question(2.0, most_ms));
-    assert_eq!(ask(&mut grantor, 800), Answer::Granted { delay_ms: 0 });
-    assert_eq!(ask(&mut grantor, 800), Answer::Granted { delay_ms: 500 });
-    assert_eq!(ask(&mut grantor, 800), Answer::Busy { retry_ms: 1_000 });
-    assert_eq!(ask(&mut grantor, 800), Answer::Busy { retry_ms: 1_500 });
-    let back = grantor.ask(BEGUN + 1_000, &question(2.0, 800));
-    assert_eq!(back, Answer::Granted { delay_ms: 0 });
+    let ask =
+        |grantor: &mut Grantor, max_wait_ms| grantor.decide(BEGUN, &question(2.0, max_wait_ms));
+    assert_eq!(ask(&mut grantor, 800), PermitAnswer::Granted { delay_ms: 0 });
+    assert_eq!(ask(&mut grantor, 800), PermitAnswer::Granted { delay_ms: 500 });
+    assert_eq!(ask(&mut grantor, 800), PermitAnswer::Busy { retry_ms: 1_000 });
+    assert_eq!(ask(&mut grantor, 800), PermitAnswer::Busy { retry_ms: 1_500 });
+    let back = grantor.decide(BEGUN + 1_000, &question(2.0, 800));
+    assert_eq!(back, PermitAnswer::Granted { delay_ms: 0 });
 }
 
 /// A grantor that follows another one gives out nothing until what that one gave out has gone.
@@ -79,23 +86,23 @@
     let mut second = Grantor::default();
     let begun = BEGUN + 100;
     second.set_granting(begun, true);
-    let answer = second.ask(begun, &question(5.0, 5_000));
-    let Answer::Granted { delay_ms } = answer else {
+    let answer = second.decide(begun, &question(5.0, 5_000));
+    let PermitAnswer::Granted { delay_ms } = answer else {
         panic!("{answer:?}");
     };
     let next = (begun + u64::from(delay_ms)).0;
     assert!(sent.iter().all(|at| *at <= next), "{sent:?}, then {next}");
     second.set_granting(begun + 10, false);
-    assert_eq!(second.ask(begun + 20, &question(5.0, 0)), Answer::NotGranting);
+    assert_eq!(second.decide(begun + 20, &question(5.0, 0)), PermitAnswer::NotGranting);
 }
 
 #[test]
 fn given_back() {
     let mut grantor = grantor();
-    assert_eq!(grantor.ask(BEGUN, &question(1.0, 0)), Answer::Granted { delay_ms: 0 });
-    assert!(matches!(grantor.ask(BEGUN, &question(1.0, 0)), Answer::Busy { .. }));
-    grantor.give_back(&"r1".into(), 1.0);
-    assert_eq!(grantor.ask(BEGUN, &question(1.0, 0)), Answer::Granted { delay_ms: 0 });
+    assert_eq!(grantor.decide(BEGUN, &question(1.0, 0)), PermitAnswer::Granted { delay_ms: 0 });
+    assert!(matches!(grantor.decide(BEGUN, &question(1.0, 0)), PermitAnswer::Busy { .. }));
+    grantor.return_permit(&"r1".into(), 1.0);
+    assert_eq!(grantor.decide(BEGUN, &question(1.0, 0)), PermitAnswer::Granted { delay_ms: 0 });
 }
 
 /// Hosts whose requests go elsewhere ask again when told: however many they are, each moment is used and few ask in
@@ -117,13 +124,13 @@
     for at in 0..60_000 {
         for turn in next.iter_mut().filter(|turn| **turn <= at) {
             asked += 1;
-            match grantor.ask(BEGUN + at, &question(rate, 0)) {
-                Answer::Granted { .. } => {
+            match grantor.decide(BEGUN + at, &question(rate, 0)) {
+                PermitAnswer::Granted { .. } => {
                     granted += 1;
                     *turn = at + 50;
                 }
-                Answer::Busy { retry_ms } => *turn = at + u64::from(retry_ms).max(1),
-                Answer::NotGranting => panic!("it grants"),
+                PermitAnswer::Busy { retry_ms } => *turn = at + u64::from(retry_ms).max(1),
+                PermitAnswer::NotGranting => panic!("it grants"),
             }
         }
     }
@@ -137,11 +144,11 @@
         let mut grantor = grantor();
         let mut now = BEGUN;
         let mut sent = Vec::new();
-        for (pause, tenths, most_ms) in asks {
+        for (pause, tenths, max_wait_ms) in asks {
             now = now + pause;
             let rate = f64::from(tenths) / 10.0;
-            if let Answer::Granted { delay_ms } = grantor.ask(now, &question(rate, most_ms)) {
-                prop_assert!(delay_ms <= most_ms);
+            if let PermitAnswer::Granted { delay_ms } = grantor.decide(now, &question(rate, max_wait_ms)) {
+                prop_assert!(delay_ms <= max_wait_ms);
                 sent.push((now + u64::from(delay_ms)).0);
             }
         }
--- a/crates/quota/src/asker.rs
+++ b/crates/quota/src/client.rs
@@ -1,19 +1,19 @@
 //! A host that asks the grantor, and what it does where that one can't be asked.
 
-use crate::{Answer, Bounds, Contact, MILLIS_PER_SECOND, bucket::Bucket};
+use crate::{Bounds, GrantorContact, MILLIS_PER_SECOND, QuotaAnswer, bucket::Bucket};
 use std::collections::HashMap;
 use vanetally_ports::Quota;
 use vanetally_types::{Name, Tick, hash64};
 
 /// Where to turn with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Authority {
     /// The quota is unlimited.
-    Nobody,
+    Unlimited,
     /// The grantor.
-    Host(Name),
+    Grantor(Name),
     /// Nobody can be asked: this host decides.
-    Alone,
+    Local,
 }
 
 /// What comes of a request.
@@ -48,10 +48,10 @@
 
 /// What one host knows of the quotas.
 #[derive(Clone, Debug)]
-pub struct Asker {
+pub struct QuotaClient {
     bounds: Bounds,
     seed: u64,
-    contact: Contact,
+    contact: GrantorContact,
     shares: HashMap<Name, Share>,
 }
 
@@ -71,12 +71,12 @@
     draws: u64,
 }
 
-impl Asker {
+impl QuotaClient {
     /// No quota and no grantor are known.
     ///
     /// Hosts differ in `seed`.
     pub fn new(bounds: Bounds, seed: u64) -> Self {
-        Self { bounds, seed, contact: Contact::default(), shares: HashMap::new() }
+        Self { bounds, seed, contact: GrantorContact::default(), shares: HashMap::new() }
     }
 
     /// The quotas in force.
@@ -102,11 +102,11 @@
     }
 
     /// Whom to ask for `organisation`.
-    pub fn ask(&self, now: Tick, organisation: &Name) -> Ask {
-        match self.contact.host(now) {
-            _ if !self.shares.contains_key(organisation) => Ask::Nobody,
-            Some(host) => Ask::Host(host.clone()),
-            None => Ask::Alone,
+    pub fn authority(&self, now: Tick, organisation: &Name) -> Authority {
+        match self.contact.available_grantor(now) {
+            _ if !self.shares.contains_key(organisation) => Authority::Unlimited,
+            Some(host) => Authority::Grantor(host.clone()),
+            None => Authority::Local,
         }
     }
 
@@ -116,51 +116,51 @@
     }
 
     /// The grantor answered.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         now: Tick,
         organisation: &Name,
         cost: u32,
-        answer: Answer,
+        answer: QuotaAnswer,
     ) -> Decision {
         match answer {
-            Answer::Granted { is_calm } => {
+            QuotaAnswer::Granted { is_below_quota } => {
                 if let Some(share) = self.shares.get_mut(organisation) {
-                    share.calm_at = is_calm.then_some(now);
+                    share.calm_at = is_below_quota.then_some(now);
                     share.spent = 0.0;
                 }
                 Decision::Granted
             }
-            Answer::Refused { retry_ms } => {
+            QuotaAnswer::Refused { retry_ms } => {
                 if let Some(share) = self.shares.get_mut(organisation) {
                     share.calm_at = None;
                 }
                 Decision::Refused { retry_ms }
             }
-            Answer::NotGranting => {
-                self.contact.not_granting(now);
-                self.decide_alone(now, organisation, cost)
+            QuotaAnswer::NotGranting => {
+                self.contact.mark_not_granting(now);
+                self.decide_locally(now, organisation, cost)
             }
         }
     }
 
     /// The grantor `host` did not answer.
-    pub fn unanswered(
+    pub fn handle_no_answer(
         &mut self,
         now: Tick,
         host: &Name,
         organisation: &Name,
         cost: u32,
     ) -> Decision {
-        self.contact.unanswered(now, host);
-        self.decide_alone(now, organisation, cost)
+        self.contact.mark_unanswered(now, host);
+        self.decide_locally(now, organisation, cost)
     }
 
     /// Decides by this host's own share.
     ///
     /// A share is often smaller than one request: a part of the next one, drawn anew each time, has to be there. Then
     /// some hosts of many let one go at once, and on average as much is spent as comes in.
-    pub fn decide_alone(&mut self, now: Tick, organisation: &Name, cost: u32) -> Decision {
+    pub fn decide_locally(&mut self, now: Tick, organisation: &Name, cost: u32) -> Decision {
         let Some(share) = self.shares.get(organisation) else {
             return Decision::Granted;
         };
@@ -189,14 +189,14 @@
 
     /// Units a second of this host's part of the quota.
     fn rate(&self, quota: &Quota) -> f64 {
-        quota.rate / self.contact.most_hosts() as f64
+        quota.rate / self.contact.max_hosts() as f64
     }
 
     /// Units that this host may spend at once: its part of what is allowed beyond the quota.
     fn depth(&self, quota: &Quota) -> f64 {
         let window = self.bounds.window_ms as f64 / MILLIS_PER_SECOND;
         let beyond = (quota.rate * window + quota.burst) * self.bounds.excess + self.bounds.slack;
-        beyond * EXCESS_SHARE / self.contact.most_hosts() as f64
+        beyond * EXCESS_SHARE / self.contact.max_hosts() as f64
     }
 }
 
--- a/crates/quota/src/contact.rs
+++ b/crates/quota/src/contact.rs
@@ -14,13 +14,13 @@
 
 /// The grantor, as one host knows it.
 #[derive(Clone, Debug, Default)]
-pub struct Contact {
+pub struct GrantorContact {
     grantor: Option<Name>,
     silent_until: Tick,
     hosts: Hosts,
 }
 
-impl Contact {
+impl GrantorContact {
     /// The host that grants, if one is known.
     pub fn set_grantor(&mut self, grantor: Option<Name>) {
         if self.grantor != grantor {
@@ -30,19 +30,19 @@
     }
 
     /// The host to ask now, if one can be asked.
-    pub fn host(&self, now: Tick) -> Option<&Name> {
+    pub fn available_grantor(&self, now: Tick) -> Option<&Name> {
         self.grantor.as_ref().filter(|_| now >= self.silent_until)
     }
 
     /// `host` did not answer.
-    pub fn unanswered(&mut self, now: Tick, host: &Name) {
+    pub fn mark_unanswered(&mut self, now: Tick, host: &Name) {
         if self.grantor.as_ref() == Some(host) {
-            self.not_granting(now);
+            self.mark_not_granting(now);
         }
     }
 
     /// The grantor does not grant now.
-    pub fn not_granting(&mut self, now: Tick) {
+    pub fn mark_not_granting(&mut self, now: Tick) {
         self.silent_until = now + SILENT_MS;
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// How many hosts may spend shares.
-    pub fn most_hosts(&self) -> usize {
+    pub fn max_hosts(&self) -> usize {
         self.hosts.most
     }
 }
--- a/crates/quota/src/grantor.rs
+++ b/crates/quota/src/grantor.rs
@@ -8,11 +8,12 @@
 
 /// What the grantor says to one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum QuotaAnswer {
     /// It is within the quota.
     Granted {
         /// Whether the organisation stays far below its quota.
-        is_calm: bool,
+        #[serde(rename = "is_calm")]
+        is_below_quota: bool,
     },
     /// It is beyond the quota.
     Refused {
@@ -80,7 +81,7 @@
     }
 
     /// A host asked; this one itself counts as well.
-    pub fn note_asker(&mut self, now: Tick, host: &Name) {
+    pub fn record_request(&mut self, now: Tick, host: &Name) {
         match self.askers.get_mut(host) {
             Some(at) => *at = now,
             None => {
@@ -91,7 +92,7 @@
 
     /// Whether a grantor whose lease ran out because the store is away may go on: nearly all of `hosts` still ask it, so
     /// that hardly any can have another one.
-    pub fn may_go_on(&mut self, now: Tick, hosts: usize) -> bool {
+    pub fn may_continue(&mut self, now: Tick, hosts: usize) -> bool {
         self.askers.retain(|_, at| now.since(*at) <= ASKED_MS);
         let has_just_granted = self.granted.is_some_and(|at| now.since(at) <= PAUSE_MS);
         has_just_granted && self.askers.len() as f64 >= hosts as f64 * OUTAGE_SHARE
@@ -100,24 +101,24 @@
     /// Whether `organisation` may spend `cost` now; takes it if so.
     ///
     /// A request is granted while anything is left: the last one may overdraw, and is paid for by the next.
-    pub fn spend(&mut self, now: Tick, organisation: &Name, cost: u32) -> Answer {
+    pub fn spend(&mut self, now: Tick, organisation: &Name, cost: u32) -> QuotaAnswer {
         if !self.is_granting {
-            return Answer::NotGranting;
+            return QuotaAnswer::NotGranting;
         }
         let Some(bucket) = self.buckets.get_mut(organisation) else {
-            return Answer::Granted { is_calm: true };
+            return QuotaAnswer::Granted { is_below_quota: true };
         };
         if bucket.level(now) <= 0.0 {
             // Told one after the other, up to eight seconds ahead, those that come back late took the room of new ones
             // that could be in time: worth 0.52 instead of 0.59 on a day in which one organisation sends six times its usual.
-            return Answer::Refused { retry_ms: bucket.wait_ms(now, f64::from(cost)) };
+            return QuotaAnswer::Refused { retry_ms: bucket.wait_ms(now, f64::from(cost)) };
         }
         bucket.take(f64::from(cost));
-        Answer::Granted { is_calm: bucket.is_half_full(now) }
+        QuotaAnswer::Granted { is_below_quota: bucket.is_half_full(now) }
     }
 
     /// What was granted did not run.
-    pub fn give_back(&mut self, organisation: &Name, cost: u32) {
+    pub fn refund(&mut self, organisation: &Name, cost: u32) {
         if let Some(bucket) = self.buckets.get_mut(organisation) {
             bucket.give_back(f64::from(cost));
         }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -6,14 +6,14 @@
 //! clock, no socket.
 #![deny(missing_docs, unsafe_code)]
 
-mod asker;
 mod bucket;
+mod client;
 mod contact;
 mod grantor;
 
-pub use asker::{Ask, Asker, Decision};
-pub use contact::Contact;
-pub use grantor::{Answer, Grantor};
+pub use client::{Authority, Decision, QuotaClient};
+pub use contact::GrantorContact;
+pub use grantor::{Grantor, QuotaAnswer};
 
 /// What the operators allow beyond a quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/quota/tests/alone.rs
+++ b/crates/quota/tests/alone.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 use vanetally_ports::{Quota, QuotaUnit};
-use vanetally_quota::{Answer, Ask, Asker, Bounds, Decision};
+use vanetally_quota::{Authority, Bounds, Decision, QuotaAnswer, QuotaClient};
 use vanetally_types::{Name, Tick};
 
 const START: Tick = Tick(1_000_000);
@@ -18,22 +18,22 @@
     HashMap::from([("o".into(), Quota { unit, rate: RATE, burst: RATE })])
 }
 
-fn hosts(count: usize) -> Vec<Asker> {
+fn hosts(count: usize) -> Vec<QuotaClient> {
     let host = |seed| {
-        let mut asker = Asker::new(BOUNDS, seed);
-        asker.set_hosts(START - 1_000, HOSTS);
-        asker.configure(START, &quotas());
-        asker
+        let mut client = QuotaClient::new(BOUNDS, seed);
+        client.set_hosts(START - 1_000, HOSTS);
+        client.configure(START, &quotas());
+        client
     };
     (0..count as u64).map(host).collect()
 }
 
 /// Each host gets a request of `COST` each `every_ms`; what all of them let go without a grantor.
-fn press(hosts: &mut [Asker], from: Tick, millis: u64, every_ms: u64) -> f64 {
+fn press(hosts: &mut [QuotaClient], from: Tick, millis: u64, every_ms: u64) -> f64 {
     let mut spent = 0.0;
     for ms in (0..millis).step_by(every_ms as usize) {
-        for asker in hosts.iter_mut() {
-            if asker.decide_alone(from + ms, &"o".into(), COST) == Decision::Granted {
+        for client in hosts.iter_mut() {
+            if client.decide_locally(from + ms, &"o".into(), COST) == Decision::Granted {
                 spent += f64::from(COST);
             }
         }
@@ -64,8 +64,13 @@
 #[test]
 fn calm_organisation() {
     let mut hosts = hosts(HOSTS);
-    for asker in &mut hosts {
-        asker.answered(START, &"o".into(), COST, Answer::Granted { is_calm: true });
+    for client in &mut hosts {
+        client.handle_answer(
+            START,
+            &"o".into(),
+            COST,
+            QuotaAnswer::Granted { is_below_quota: true },
+        );
     }
     // One request of each host in 2 s: 69 times 1,500 tokens, half of the rate.
     let asked = HOSTS as f64 * f64::from(COST);
@@ -83,11 +88,16 @@
 #[test]
 fn calm_and_small() {
     let mut hosts = hosts(HOSTS);
-    for asker in &mut hosts {
+    for client in &mut hosts {
         let unit = QuotaUnit::Tokens { default_tokens: 200 };
         let quota = Quota { unit, rate: 36_000.0, burst: 36_000.0 };
-        asker.configure(START, &HashMap::from([("o".into(), quota)]));
-        asker.answered(START, &"o".into(), COST, Answer::Granted { is_calm: true });
+        client.configure(START, &HashMap::from([("o".into(), quota)]));
+        client.handle_answer(
+            START,
+            &"o".into(),
+            COST,
+            QuotaAnswer::Granted { is_below_quota: true },
+        );
     }
     let spent = press(&mut hosts, START + 3_000, 2_300, 4_000);
     let asked = HOSTS as f64 * f64::from(COST);
@@ -99,8 +109,13 @@
 #[test]
 fn calm_no_more() {
     let mut hosts = hosts(HOSTS);
-    for asker in &mut hosts {
-        asker.answered(START, &"o".into(), COST, Answer::Granted { is_calm: true });
+    for client in &mut hosts {
+        client.handle_answer(
+            START,
+            &"o".into(),
+            COST,
+            QuotaAnswer::Granted { is_below_quota: true },
+        );
     }
     let gap_ms = 2_300;
     let spent = press(&mut hosts, START, gap_ms, 86);
@@ -110,28 +125,36 @@
 
 #[test]
 fn silent_grantor() {
-    let mut asker = hosts(1).remove(0);
+    let mut client = hosts(1).remove(0);
     let organisation: Name = "o".into();
-    assert_eq!(asker.ask(START, &organisation), Ask::Alone, "nobody grants yet");
-    asker.set_grantor(Some("h1".into()));
-    assert_eq!(asker.ask(START, &organisation), Ask::Host("h1".into()));
-    let _ = asker.unanswered(START, &"h1".into(), &organisation, COST);
-    assert_eq!(asker.ask(START + 100, &organisation), Ask::Alone);
-    assert_eq!(asker.ask(START + 300, &organisation), Ask::Host("h1".into()), "asked again");
-    let _ = asker.unanswered(START + 300, &"h1".into(), &organisation, COST);
-    asker.set_grantor(Some("h2".into()));
-    assert_eq!(asker.ask(START + 301, &organisation), Ask::Host("h2".into()), "its successor");
+    assert_eq!(client.authority(START, &organisation), Authority::Local, "nobody grants yet");
+    client.set_grantor(Some("h1".into()));
+    assert_eq!(client.authority(START, &organisation), Authority::Grantor("h1".into()));
+    let _ = client.handle_no_answer(START, &"h1".into(), &organisation, COST);
+    assert_eq!(client.authority(START + 100, &organisation), Authority::Local);
+    assert_eq!(
+        client.authority(START + 300, &organisation),
+        Authority::Grantor("h1".into()),
+        "asked again"
+    );
+    let _ = client.handle_no_answer(START + 300, &"h1".into(), &organisation, COST);
+    client.set_grantor(Some("h2".into()));
+    assert_eq!(
+        client.authority(START + 301, &organisation),
+        Authority::Grantor("h2".into()),
+        "its successor"
+    );
 }
 
 #[test]
 fn costs() {
-    let mut asker = hosts(1).remove(0);
-    assert_eq!(asker.cost(&"o".into(), Some(1_630)), Some(1_630));
-    assert_eq!(asker.cost(&"o".into(), None), Some(200), "a request that states no tokens");
-    assert_eq!(asker.cost(&"other".into(), None), None, "no quota");
-    assert_eq!(asker.ask(START, &"other".into()), Ask::Nobody);
-    asker.configure(START, &HashMap::new());
-    assert_eq!(asker.cost(&"o".into(), None), None, "the quota was taken away");
+    let mut client = hosts(1).remove(0);
+    assert_eq!(client.cost(&"o".into(), Some(1_630)), Some(1_630));
+    assert_eq!(client.cost(&"o".into(), None), Some(200), "a request that states no tokens");
+    assert_eq!(client.cost(&"other".into(), None), None, "no quota");
+    assert_eq!(client.authority(START, &"other".into()), Authority::Unlimited);
+    client.configure(START, &HashMap::new());
+    assert_eq!(client.cost(&"o".into(), None), None, "the quota was taken away");
 }
 
 /// The store forgets the keys of all hosts while the grantor is lost: each host knows only itself, and lives on with all
@@ -139,7 +162,7 @@
 #[test]
 fn others_forgotten() {
     let mut hosts = hosts(HOSTS);
-    hosts.iter_mut().for_each(|asker| asker.set_hosts(START, 1));
+    hosts.iter_mut().for_each(|client| client.set_hosts(START, 1));
     let spent = press(&mut hosts, START, 8_000, 86);
     assert!(spent <= RATE * 9.0 + BEYOND, "{spent}");
 }
@@ -147,9 +170,9 @@
 /// A host that has just started knows of no other one.
 #[test]
 fn just_started() {
-    let mut asker = Asker::new(BOUNDS, 1);
-    asker.set_hosts(START, 1);
-    asker.configure(START, &quotas());
-    let spent = press(std::slice::from_mut(&mut asker), START, 8_000, 10);
+    let mut client = QuotaClient::new(BOUNDS, 1);
+    client.set_hosts(START, 1);
+    client.configure(START, &quotas());
+    let spent = press(std::slice::from_mut(&mut client), START, 8_000, 10);
     assert!(spent <= (RATE * 8.0 * 0.3 + BEYOND) / 8.0 + f64::from(COST), "{spent}");
 }
--- a/crates/quota/tests/grants.rs
+++ b/crates/quota/tests/grants.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use std::collections::HashMap;
 use vanetally_ports::{Quota, QuotaUnit};
-use vanetally_quota::{Answer, Grantor};
+use vanetally_quota::{Grantor, QuotaAnswer};
 use vanetally_types::{Name, Tick};
 
 const START: Tick = Tick(1_000_000);
@@ -26,7 +26,7 @@
     let mut granted = Vec::new();
     for ms in (0..millis).step_by(10) {
         let now = from + ms;
-        if let Answer::Granted { .. } = grantor.spend(now, &"o".into(), 1_000) {
+        if let QuotaAnswer::Granted { .. } = grantor.spend(now, &"o".into(), 1_000) {
             granted.push((now, 1_000));
         }
     }
@@ -51,13 +51,13 @@
     let mut grantor = grantor(START, RATE);
     let now = START + 1_000;
     let refused = (0..20).find_map(|_| match grantor.spend(now, &"o".into(), 1_000) {
-        Answer::Refused { retry_ms } => Some(retry_ms),
+        QuotaAnswer::Refused { retry_ms } => Some(retry_ms),
         _ => None,
     });
     let retry_ms = refused.expect("the quota is spent");
     assert!((50..=300).contains(&retry_ms), "{retry_ms}");
     let later = grantor.spend(now + retry_ms, &"o".into(), 1_000);
-    assert!(matches!(later, Answer::Granted { .. }), "{later:?}");
+    assert!(matches!(later, QuotaAnswer::Granted { .. }), "{later:?}");
 }
 
 /// The holder of the lease is killed and another one takes over: what both grant keeps to the quota.
@@ -76,7 +76,7 @@
 fn no_lease_no_grant() {
     let mut grantor = grantor(START, RATE);
     grantor.set_granting(START + 10, false);
-    assert_eq!(grantor.spend(START + 20, &"o".into(), 1), Answer::NotGranting);
+    assert_eq!(grantor.spend(START + 20, &"o".into(), 1), QuotaAnswer::NotGranting);
 }
 
 /// The store is away for all: the lease can't be renewed, nobody else can take it, and all hosts go on asking.
@@ -84,11 +84,11 @@
 fn store_away_for_all() {
     let mut grantor = grantor(START, RATE);
     let hosts: Vec<Name> = (0..20).map(|number| format!("h{number}").as_str().into()).collect();
-    hosts.iter().for_each(|host| grantor.note_asker(START, host));
-    assert!(grantor.may_go_on(START + 1_500, 20));
-    assert!(grantor.may_go_on(START + 1_500, 22));
-    assert!(!grantor.may_go_on(START + 1_500, 23), "three may have another grantor");
-    assert!(!grantor.may_go_on(START + 2_001, 20), "they ask no more");
+    hosts.iter().for_each(|host| grantor.record_request(START, host));
+    assert!(grantor.may_continue(START + 1_500, 20));
+    assert!(grantor.may_continue(START + 1_500, 22));
+    assert!(!grantor.may_continue(START + 1_500, 23), "three may have another grantor");
+    assert!(!grantor.may_continue(START + 2_001, 20), "they ask no more");
 }
 
 /// One that never held the lease grants nothing, whoever asks.
@@ -96,8 +96,8 @@
 fn asked_by_mistake() {
     let mut grantor = Grantor::default();
     grantor.configure(START, quota(RATE));
-    grantor.note_asker(START, &"h1".into());
-    assert!(!grantor.may_go_on(START, 1));
+    grantor.record_request(START, &"h1".into());
+    assert!(!grantor.may_continue(START, 1));
 }
 
 #[test]
@@ -105,13 +105,13 @@
     let mut grantor = grantor(START, RATE);
     let now = START + 1_000;
     let mut count = 0;
-    while let Answer::Granted { .. } = grantor.spend(now, &"o".into(), 1_000) {
+    while let QuotaAnswer::Granted { .. } = grantor.spend(now, &"o".into(), 1_000) {
         count += 1;
     }
     assert_eq!(count, 10);
-    grantor.give_back(&"o".into(), 1_000);
-    assert!(matches!(grantor.spend(now, &"o".into(), 1_000), Answer::Granted { .. }));
-    assert!(matches!(grantor.spend(now, &"o".into(), 1_000), Answer::Refused { .. }));
+    grantor.refund(&"o".into(), 1_000);
+    assert!(matches!(grantor.spend(now, &"o".into(), 1_000), QuotaAnswer::Granted { .. }));
+    assert!(matches!(grantor.spend(now, &"o".into(), 1_000), QuotaAnswer::Refused { .. }));
 }
 
 /// A quota that is lowered binds what is left of the earlier one at once.
@@ -128,7 +128,7 @@
 fn unlimited_organisation() {
     let mut grantor = grantor(START, RATE);
     let answer = grantor.spend(START, &"other".into(), 1_000_000);
-    assert_eq!(answer, Answer::Granted { is_calm: true });
+    assert_eq!(answer, QuotaAnswer::Granted { is_below_quota: true });
 }
 
 proptest! {
@@ -140,7 +140,7 @@
         let mut granted: Vec<(Tick, u32)> = Vec::new();
         for (pause, cost) in asked {
             now = now + pause;
-            if let Answer::Granted { .. } = grantor.spend(now, &"o".into(), cost) {
+            if let QuotaAnswer::Granted { .. } = grantor.spend(now, &"o".into(), cost) {
                 granted.push((now, cost));
             }
         }
