--- a/crates/bench/benches/decisions.rs
+++ b/crates/bench/benches/decisions.rs
@@ -2,7 +2,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use std::{collections::BTreeMap, hint::black_box, sync::Arc, time::Duration};
-use vanetally_claim::{Ask, Event as SlotEvent, Guards, Id, Slot, Ticket};
+use vanetally_claim::{ClaimRequest, Event as SlotEvent, Guards, Id, Slot, Ticket};
 use vanetally_core::{Core, Event, Frame, Options};
 use vanetally_member::Listed;
 use vanetally_pacing::{Pacer, Pacers, Prefix, Prompt, SendSlot};
@@ -100,27 +100,27 @@
     for ids in [100_u64, 1_000, 4_000, 12_000] {
         let me = HostId::new("entry-1", 1);
         let options = vanetally_claim::Options {
-            horizon: u64::MAX / 2,
-            pace: 0,
-            patience: 1_000,
-            most: usize::MAX,
+            retention_ms: u64::MAX / 2,
+            write_interval_ms: 0,
+            wait_limit_ms: 1_000,
+            max_ids: usize::MAX,
             guards: Guards::ON,
         };
         let mut slot = Slot::new(me.clone(), options);
-        slot.handle(NOW, SlotEvent::Take { deputy: None });
-        slot.handle(NOW, SlotEvent::Wrote { version: 1 });
+        slot.handle(NOW, SlotEvent::TakeOver { backup: None });
+        slot.handle(NOW, SlotEvent::Written { version: 1 });
         let mut next = 0_u64;
         let mut ask = |slot: &mut Slot| {
             next += 1;
             let ticket = Ticket { entry: me.clone(), number: next };
-            let ask = Ask { id: Id(u128::from(next % ids)), deadline: NOW.0, ticket };
-            slot.handle(NOW, SlotEvent::Ask(ask))
+            let ask = ClaimRequest { id: Id(u128::from(next % ids)), deadline: NOW.0, ticket };
+            slot.handle(NOW, SlotEvent::Request(ask))
         };
         for _ in 0..ids {
             ask(&mut slot);
         }
-        slot.handle(NOW, SlotEvent::Wrote { version: 2 });
-        slot.handle(NOW, SlotEvent::Wrote { version: 3 });
+        slot.handle(NOW, SlotEvent::Written { version: 2 });
+        slot.handle(NOW, SlotEvent::Written { version: 3 });
         let bytes = serde_json::to_vec(slot.record().expect("a record")).map_or(0, |b| b.len());
         println!("claim ids={ids} record_bytes={bytes}");
         group.bench_function(BenchmarkId::new("ask", ids), |b| b.iter(|| ask(&mut slot)));
@@ -276,7 +276,7 @@
         );
     }
     let ticket = Ticket { entry: me, number: 1_000_000 };
-    let ask = Frame::Ask(Ask { id: Id(u128::MAX), deadline: NOW.0, ticket });
+    let ask = Frame::Ask(ClaimRequest { id: Id(u128::MAX), deadline: NOW.0, ticket });
     println!("bytes frame=ask value={}", size(&ask));
     let revision = Arc::new(vanetally_config::Revision::default());
     println!("bytes frame=empty-config value={}", size(&Frame::Config(revision)));
--- a/crates/check/src/claims.rs
+++ b/crates/check/src/claims.rs
@@ -7,7 +7,8 @@
 use crate::{Steps, World};
 use std::collections::{BTreeMap, BTreeSet};
 use vanetally_claim::{
-    Action, Ask, Event, Finish, Guards, Id, Message, Record, Reply, Role, Slot, Stored, Ticket,
+    Action, ClaimRequest, Event, Guards, Id, Message, Outcome, Record, Reply, Role, Slot, Ticket,
+    VersionedRecord,
 };
 use vanetally_types::{HostId, Tick};
 
@@ -45,8 +46,8 @@
 enum Flight {
     Message { to: HostId, from: HostId, message: Message },
     Put { host: usize, from: HostId, base: u64, record: Record, waits: bool },
-    Got { host: usize, from: HostId, stored: Option<Stored>, take: bool },
-    Finished { host: usize, key: u8, ticket: Ticket, finish: Finish },
+    Got { host: usize, from: HostId, stored: Option<VersionedRecord>, take: bool },
+    Finished { host: usize, key: u8, ticket: Ticket, outcome: Outcome },
 }
 
 /// The world.
@@ -56,7 +57,7 @@
     slots: Vec<Slot>,
     ids: Vec<HostId>,
     flights: BTreeSet<Flight>,
-    cell: Option<Stored>,
+    cell: Option<VersionedRecord>,
     version: u64,
     up: bool,
     /// Attempts that were granted and may run or have run: id, attempt, granting host.
@@ -78,13 +79,13 @@
         let record = Record {
             epoch: 1,
             holder: ids[0].clone(),
-            deputy: ids.get(1).cloned(),
+            backup: ids.get(1).cloned(),
             seq: 1,
             claims: BTreeMap::new(),
-            forgotten: 0,
-            doubts: BTreeMap::new(),
+            expired_until: 0,
+            unresolved: BTreeMap::new(),
         };
-        let cell = Some(Stored { version: 1, record });
+        let cell = Some(VersionedRecord { version: 1, record });
         let mut slots: Vec<Slot> = ids.iter().map(|id| slot(id, options)).collect();
         for slot in &mut slots {
             slot.handle(NOW, Event::Read(cell.clone()));
@@ -164,14 +165,14 @@
                 }
                 self.event(host, Event::Read(stored));
                 if take && self.slots[host].role() == Role::Other {
-                    let deputy = (host + 1) % self.ids.len();
-                    let deputy = Some(self.ids[deputy].clone());
-                    self.event(host, Event::Take { deputy });
+                    let backup = (host + 1) % self.ids.len();
+                    let backup = Some(self.ids[backup].clone());
+                    self.event(host, Event::TakeOver { backup });
                 }
             }
-            Flight::Finished { host, key, ticket, finish } => {
+            Flight::Finished { host, key, ticket, outcome } => {
                 let id = Id(u128::from(key));
-                self.event(host, Event::Finished { id, ticket, finish });
+                self.event(host, Event::Finished { id, ticket, outcome });
             }
         }
     }
@@ -181,14 +182,14 @@
         let done = current == base;
         if done {
             self.version += 1;
-            self.cell = Some(Stored { version: self.version, record });
+            self.cell = Some(VersionedRecord { version: self.version, record });
         }
         if !waits || self.ids[host] != *from {
             return;
         }
         let event = match done {
-            true => Event::Wrote { version: self.version },
-            false => Event::WriteRefused(self.cell.clone()),
+            true => Event::Written { version: self.version },
+            false => Event::WriteConflict(self.cell.clone()),
         };
         self.event(host, event);
     }
@@ -207,13 +208,13 @@
         late.flights.remove(flight);
         let (from, record) = (from.clone(), record.clone());
         late.fly(Flight::Put { host, from, base, record, waits: false });
-        late.event(host, Event::WriteLost);
+        late.event(host, Event::WriteUnconfirmed);
         worlds.push(("is late", late));
         if self.up && self.options.losses > 0 {
             let mut lost = self.clone();
             lost.options.losses -= 1;
             lost.arrive_silently(flight);
-            lost.event(host, Event::WriteLost);
+            lost.event(host, Event::WriteUnconfirmed);
             worlds.push(("takes effect unheard", lost));
         }
         worlds
@@ -230,7 +231,10 @@
         self.options.asks -= 1;
         self.next_ticket += 1;
         let ticket = Ticket { entry: HostId::new("entry", 1), number: self.next_ticket };
-        self.event(host, Event::Ask(Ask { id: Id(u128::from(key)), deadline: DEADLINE, ticket }));
+        self.event(
+            host,
+            Event::Request(ClaimRequest { id: Id(u128::from(key)), deadline: DEADLINE, ticket }),
+        );
     }
 
     /// A granted attempt turns out not to have run; its entry host tells the granting host.
@@ -239,7 +243,7 @@
         self.granted.remove(&(key, number));
         self.freed.insert(number);
         let ticket = Ticket { entry: HostId::new("entry", 1), number };
-        self.fly(Flight::Finished { host, key, ticket, finish: Finish::NotRun });
+        self.fly(Flight::Finished { host, key, ticket, outcome: Outcome::NotRun });
     }
 
     fn crash(&mut self, host: usize) {
@@ -297,7 +301,7 @@
             let holder = self.cell.as_ref().map(|c| c.record.holder.clone());
             add(&|| format!("{name} hears of epoch {epoch}"), &|w| {
                 if let Some(holder) = holder.clone() {
-                    w.event(host, Event::Heard { epoch, holder });
+                    w.event(host, Event::EpochAnnounced { epoch, holder });
                 }
             });
         }
@@ -306,10 +310,10 @@
 
 fn slot(id: &HostId, options: Options) -> Slot {
     let options = vanetally_claim::Options {
-        horizon: HORIZON,
-        pace: 0,
-        patience: HORIZON,
-        most: 10,
+        retention_ms: HORIZON,
+        write_interval_ms: 0,
+        wait_limit_ms: HORIZON,
+        max_ids: 10,
         guards: options.guards,
     };
     Slot::new(id.clone(), options)
--- a/crates/check/tests/claims.rs
+++ b/crates/check/tests/claims.rs
@@ -53,8 +53,8 @@
 #[rstest]
 #[case::record_first(Options { guards: Guards { record_first: false, ..Guards::ON }, ..SMALL })]
 #[case::promise(Options { guards: Guards { promise: false, ..Guards::ON }, ..OUTAGE })]
-#[case::bar(Options { guards: Guards { bar: false, ..Guards::ON }, reads: 1, losses: 0, ..SMALL })]
-#[case::doubt(Options { guards: Guards { doubt: false, ..Guards::ON }, hosts: 3, ..OUTAGE })]
+#[case::bar(Options { guards: Guards { takeover_bar: false, ..Guards::ON }, reads: 1, losses: 0, ..SMALL })]
+#[case::doubt(Options { guards: Guards { unresolved: false, ..Guards::ON }, hosts: 3, ..OUTAGE })]
 #[case::ticket(Options { guards: Guards { ticket: false, ..Guards::ON }, not_run: 1, doubles: 1, asks: 3, ticks: 0, ..SMALL })]
 #[case::term(Options { guards: Guards { term: false, ..Guards::ON }, ..TWO_SPELLS })]
 fn guard_matters(#[case] options: Options) {
--- a/crates/check/tests/walks.rs
+++ b/crates/check/tests/walks.rs
@@ -96,7 +96,7 @@
 #[test]
 fn guard_matters() {
     // The runs reach deep enough to notice a missing guard.
-    let guards = ClaimGuards { doubt: false, ..ClaimGuards::ON };
+    let guards = ClaimGuards { unresolved: false, ..ClaimGuards::ON };
     let options = claims::Options { guards, ..claims() };
     let mut pick = 1_usize;
     let mut draw = || {
--- a/crates/claim/src/deputy.rs
+++ b/crates/claim/src/backup.rs
@@ -1,4 +1,4 @@
-//! The deputy's promise and messages between hosts.
+//! The backup's promise and messages between hosts.
 
 use crate::{
     Action, Message, Slot,
@@ -9,10 +9,12 @@
 impl Slot {
     pub(crate) fn message(&mut self, from: HostId, message: Message, out: &mut Vec<Action>) {
         match message {
-            Message::AskMemory { epoch, term } => self.ask_memory(from, epoch, term, out),
+            Message::RequestPromise { epoch, term } => {
+                self.promise_requested(from, epoch, term, out)
+            }
             Message::Promise { epoch, term, given } => self.promise(&from, epoch, term, given, out),
-            Message::MemoryOver { epoch, term } => self.memory_over(epoch, term),
-            Message::Farewell { claims, running, answers } => {
+            Message::ReleasePromise { epoch, term } => self.release_promise(epoch, term),
+            Message::Handover { claims, running, answers } => {
                 if self.role != Role::Holder {
                     return;
                 }
@@ -25,19 +27,19 @@
                 for (id, answer) in answers {
                     self.learn(id, 0, State::Ran(Some(answer)));
                 }
-                if self.doubts.remove(&from).is_some() {
+                if self.unresolved.remove(&from).is_some() {
                     self.stale = true;
                 }
                 // The earlier holder may forget only what is written down.
                 let unwritten = claims.iter().any(|(id, _)| self.unrecorded.contains(id));
-                let doubted = self.record().is_none_or(|r| r.doubts.contains_key(&from));
-                if !self.options.guards.farewell || !(unwritten || doubted) {
-                    out.push(Action::Send { to: from, message: Message::FarewellSeen });
+                let doubted = self.record().is_none_or(|r| r.unresolved.contains_key(&from));
+                if !self.options.guards.handover || !(unwritten || doubted) {
+                    out.push(Action::Send { to: from, message: Message::HandoverAck });
                 }
             }
-            Message::FarewellSeen => {
-                if self.farewell.as_ref().is_some_and(|(to, _)| *to == from) {
-                    self.farewell = None;
+            Message::HandoverAck => {
+                if self.handover.as_ref().is_some_and(|(to, _)| *to == from) {
+                    self.handover = None;
                 }
             }
         }
@@ -55,9 +57,10 @@
         }
     }
 
-    fn ask_memory(&mut self, from: HostId, epoch: u64, term: u64, out: &mut Vec<Action>) {
+    fn promise_requested(&mut self, from: HostId, epoch: u64, term: u64, out: &mut Vec<Action>) {
         let known = self.record().map_or(0, |r| r.epoch);
-        let barred = self.options.guards.bar && self.barred.is_some_and(|(e, _)| epoch <= e);
+        let barred =
+            self.options.guards.takeover_bar && self.barred.is_some_and(|(e, _)| epoch <= e);
         let given = !barred && epoch >= known && matches!(self.role, Role::Other);
         if given && self.promised.is_none_or(|p| p < (epoch, term)) {
             self.promised = Some((epoch, term));
@@ -65,7 +68,7 @@
         out.push(Action::Send { to: from, message: Message::Promise { epoch, term, given } });
     }
 
-    fn memory_over(&mut self, epoch: u64, term: u64) {
+    fn release_promise(&mut self, epoch: u64, term: u64) {
         let over = |(e, t): (u64, u64)| e == epoch && (t <= term || !self.options.guards.term);
         if self.promised.is_some_and(over) {
             self.promised = None;
@@ -97,8 +100,8 @@
         }
         self.term += 1;
         let records = [self.stored.as_ref().map(|s| &s.record), self.lost.as_ref()];
-        let deputies = records.into_iter().flatten().filter_map(|r| r.deputy.clone());
-        self.mode = Mode::Asking(deputies.collect());
+        let backups = records.into_iter().flatten().filter_map(|r| r.backup.clone());
+        self.mode = Mode::Asking(backups.collect());
         if !self.options.guards.promise {
             self.mode = Mode::Asking(Default::default());
         }
@@ -114,7 +117,7 @@
             return;
         };
         for to in missing {
-            let message = Message::AskMemory { epoch, term: self.term };
+            let message = Message::RequestPromise { epoch, term: self.term };
             out.push(Action::Send { to: to.clone(), message });
         }
     }
--- a/crates/claim/src/holder.rs
+++ b/crates/claim/src/holder.rs
@@ -1,7 +1,7 @@
 //! The holder's part: granting, remembering, writing.
 
 use crate::{
-    Action, Ask, Finish, Id, Record, Reply, Slot, Ticket,
+    Action, ClaimRequest, Id, Outcome, Record, Reply, Slot, Ticket,
     slot::{Claim, Mode, Role, State},
 };
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 const FORGET_EVERY: u64 = 5_000;
 
 impl Slot {
-    pub(crate) fn ask(&mut self, now: Tick, ask: Ask, out: &mut Vec<Action>) {
+    pub(crate) fn ask(&mut self, now: Tick, ask: ClaimRequest, out: &mut Vec<Action>) {
         match self.judge(now, &ask) {
             Some(reply) => out.push(Action::Reply { ticket: ask.ticket, id: ask.id, reply }),
             None => self.wait(ask),
@@ -22,7 +22,7 @@
     }
 
     /// The reply that can be given at once; `None` when the attempt has to wait.
-    fn judge(&mut self, now: Tick, ask: &Ask) -> Option<Reply> {
+    fn judge(&mut self, now: Tick, ask: &ClaimRequest) -> Option<Reply> {
         if self.role != Role::Holder {
             let holder = self.record().map(|r| r.holder.clone());
             return Some(Reply::NotHolder(holder.filter(|h| *h != self.me)));
@@ -31,7 +31,7 @@
             return self.judge_new(now, ask);
         };
         match &claim.state {
-            State::Ran(Some(answer)) => Some(Reply::Kept(answer.clone())),
+            State::Ran(Some(answer)) => Some(Reply::Replay(answer.clone())),
             State::Ran(None) => Some(Reply::AlreadyRan),
             State::Unknown => Some(Reply::MayHaveRun),
             State::Running(ticket) if *ticket == ask.ticket => Some(Reply::Grant),
@@ -43,12 +43,12 @@
         }
     }
 
-    fn judge_new(&mut self, now: Tick, ask: &Ask) -> Option<Reply> {
-        if ask.deadline <= self.forgotten || self.is_doubtful(ask.deadline) {
+    fn judge_new(&mut self, now: Tick, ask: &ClaimRequest) -> Option<Reply> {
+        if ask.deadline <= self.expired_until || self.is_doubtful(ask.deadline) {
             return Some(Reply::MayHaveRun);
         }
-        if self.claims.len() >= self.options.most {
-            return Some(Reply::Later(RETRY_MILLIS));
+        if self.claims.len() >= self.options.max_ids {
+            return Some(Reply::RetryAfter(RETRY_MILLIS));
         }
         let at_once = self.mode == Mode::Memory || !self.options.guards.record_first;
         let ticket = ask.ticket.clone();
@@ -65,10 +65,10 @@
     /// Whether an earlier holder may have granted an unknown id with this deadline.
     fn is_doubtful(&self, deadline: u64) -> bool {
         let covers = |until: &Option<u64>| until.is_none_or(|u| deadline <= u);
-        self.options.guards.doubt && self.doubts.values().any(covers)
+        self.options.guards.unresolved && self.unresolved.values().any(covers)
     }
 
-    fn wait(&mut self, ask: Ask) {
+    fn wait(&mut self, ask: ClaimRequest) {
         let Some(claim) = self.claims.get_mut(&ask.id) else {
             return;
         };
@@ -82,13 +82,13 @@
         &mut self,
         id: Id,
         ticket: Ticket,
-        finish: Finish,
+        outcome: Outcome,
         out: &mut Vec<Action>,
     ) {
         if self.role == Role::Other {
             let holder = self.record().map(|r| r.holder.clone());
             if let Some(to) = holder.filter(|h| *h != self.me) {
-                out.push(Action::Forward { to, id, ticket, finish });
+                out.push(Action::Forward { to, id, ticket, outcome });
             }
             return;
         }
@@ -102,10 +102,10 @@
         }
         let last = matches!(&claim.state, State::Running(t) if *t == ticket);
         let unknown = claim.state == State::Unknown;
-        match finish {
-            Finish::Ran(answer) if last || unknown => claim.state = State::Ran(answer),
-            Finish::NotRun if last || !checks => claim.state = State::Free,
-            Finish::Unknown if last => claim.state = State::Unknown,
+        match outcome {
+            Outcome::Ran(answer) if last || unknown => claim.state = State::Ran(answer),
+            Outcome::NotRun if last || !checks => claim.state = State::Free,
+            Outcome::Unknown if last => claim.state = State::Unknown,
             _ => return,
         }
         self.answer_waiters(id, out);
@@ -134,7 +134,7 @@
         };
         for ticket in std::mem::take(&mut claim.waiters) {
             let reply = match &claim.state {
-                State::Ran(Some(answer)) => Reply::Kept(answer.clone()),
+                State::Ran(Some(answer)) => Reply::Replay(answer.clone()),
                 State::Ran(None) => Reply::AlreadyRan,
                 State::Free => {
                     claim.state = State::Running(ticket.clone());
@@ -180,7 +180,7 @@
     pub(crate) fn tick(&mut self, now: Tick, out: &mut Vec<Action>) {
         self.held_back = false;
         self.repeat_asking(out);
-        if let Some((to, message)) = &self.farewell {
+        if let Some((to, message)) = &self.handover {
             out.push(Action::Send { to: to.clone(), message: message.clone() });
         }
         if self.role != Role::Holder {
@@ -194,17 +194,18 @@
     }
 
     fn refuse_late(&mut self, now: Tick, out: &mut Vec<Action>) {
-        let patience = self.options.patience;
+        let wait_limit_ms = self.options.wait_limit_ms;
         let mut late = Vec::new();
         // Ids that wait to be written are among those that the record lacks.
         for id in &self.unrecorded {
             let state = self.claims.get(id).map(|c| &c.state);
-            if matches!(state, Some(State::Pending(_, since)) if now.since(*since) > patience) {
+            if matches!(state, Some(State::Pending(_, since)) if now.since(*since) > wait_limit_ms)
+            {
                 late.push(*id);
             }
         }
         for id in late {
-            self.refuse_pending(id, Reply::Later(RETRY_MILLIS), out);
+            self.refuse_pending(id, Reply::RetryAfter(RETRY_MILLIS), out);
         }
     }
 
@@ -224,39 +225,39 @@
     }
 
     fn forget(&mut self, now: Tick) {
-        let horizon = self.options.horizon;
-        let over = |deadline: u64| deadline.saturating_add(horizon) < now.0;
+        let retention_ms = self.options.retention_ms;
+        let over = |deadline: u64| deadline.saturating_add(retention_ms) < now.0;
         let unrecorded = &self.unrecorded;
-        let mut forgotten = self.forgotten;
+        let mut expired_until = self.expired_until;
         self.claims.retain(|id, claim| {
             let waits = matches!(claim.state, State::Pending(..) | State::Running(_));
             if waits || unrecorded.contains(id) || !over(claim.deadline) {
                 return true;
             }
-            forgotten = forgotten.max(claim.deadline);
+            expired_until = expired_until.max(claim.deadline);
             false
         });
-        self.forgotten = forgotten;
-        self.doubts.retain(|_, until| until.is_none_or(|u| u >= now.0));
+        self.expired_until = expired_until;
+        self.unresolved.retain(|_, until| until.is_none_or(|u| u >= now.0));
     }
 
     /// The record as it should stand, under `epoch` and `holder`.
-    pub(crate) fn draft(&self, epoch: u64, holder: HostId, deputy: Option<HostId>) -> Record {
+    pub(crate) fn draft(&self, epoch: u64, holder: HostId, backup: Option<HostId>) -> Record {
         let seqs = [self.stored.as_ref().map(|s| s.record.seq), self.lost.as_ref().map(|r| r.seq)];
         let claims: BTreeMap<Id, u64> =
             self.claims.iter().map(|(id, claim)| (*id, claim.deadline)).collect();
         Record {
             epoch,
             holder,
-            deputy,
+            backup,
             seq: 1 + seqs.into_iter().flatten().max().unwrap_or(0),
             claims,
-            forgotten: self.forgotten,
-            doubts: self.doubts.clone(),
+            expired_until: self.expired_until,
+            unresolved: self.unresolved.clone(),
         }
     }
 
-    /// Writes when there is something to write and the pace allows it.
+    /// Writes when there is something to write and the write_interval_ms allows it.
     pub(crate) fn step(&mut self, now: Tick, out: &mut Vec<Action>) {
         let quiet = self.writing.is_some() || self.held_back || now < self.next_write;
         if quiet {
@@ -271,18 +272,18 @@
                 if !due && !memory {
                     return;
                 }
-                // The deputy stays while promises count on it.
-                let deputy =
-                    if memory { stored.record.deputy.clone() } else { self.deputy.clone() };
-                self.draft(epoch, self.me.clone(), deputy)
+                // The backup stays while promises count on it.
+                let backup =
+                    if memory { stored.record.backup.clone() } else { self.backup.clone() };
+                self.draft(epoch, self.me.clone(), backup)
             }
-            (Role::Releasing, Some((heir, deputy))) => {
-                self.draft(epoch + 1, heir.clone(), deputy.clone())
+            (Role::Releasing, Some((heir, backup))) => {
+                self.draft(epoch + 1, heir.clone(), backup.clone())
             }
             _ => return,
         };
         self.stale = false;
-        self.next_write = now + self.options.pace;
+        self.next_write = now + self.options.write_interval_ms;
         self.writing = Some(record.clone());
         out.push(Action::Write { base, record });
     }
--- a/crates/claim/src/record.rs
+++ b/crates/claim/src/record.rs
@@ -37,7 +37,8 @@
     /// HTTP status.
     pub status: u16,
     /// Content type.
-    pub kind: String,
+    #[serde(rename = "kind")]
+    pub content_type: String,
     /// Hash of the request that it answers, so that another request under the same id is noticed.
     pub fingerprint: u64,
     /// Body as the first caller got it.
@@ -92,18 +93,20 @@
     /// The host that grants.
     pub holder: HostId,
     /// The host whose promise the holder needs before it grants from memory.
-    pub deputy: Option<HostId>,
+    #[serde(rename = "deputy")]
+    pub backup: Option<HostId>,
     /// Grows with each write; with the holder it tells a writer its own write.
     pub seq: u64,
     /// Ids that may have been granted, with their deadlines in Unix milliseconds.
     #[serde(with = "ids")]
     pub claims: BTreeMap<Id, u64>,
     /// Ids with deadlines up to this one may have been dropped from `claims`.
-    pub forgotten: u64,
+    #[serde(rename = "forgotten")]
+    pub expired_until: u64,
     /// Earlier holders that may have granted ids which stand nowhere. `Some`: that holder has
     /// ended, and no id with a later deadline can be one of its own.
-    #[serde(with = "pairs")]
-    pub doubts: BTreeMap<HostId, Option<u64>>,
+    #[serde(rename = "doubts", with = "pairs")]
+    pub unresolved: BTreeMap<HostId, Option<u64>>,
 }
 
 /// Ids as hexadecimal text, since JSON has no 128-bit numbers.
@@ -132,8 +135,8 @@
 
     type Doubts = BTreeMap<HostId, Option<u64>>;
 
-    pub fn serialize<S: Serializer>(doubts: &Doubts, s: S) -> Result<S::Ok, S::Error> {
-        s.collect_seq(doubts)
+    pub fn serialize<S: Serializer>(unresolved: &Doubts, s: S) -> Result<S::Ok, S::Error> {
+        s.collect_seq(unresolved)
     }
 
     pub fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<Doubts, D::Error> {
@@ -144,7 +147,7 @@
 
 /// A record with the version that the platform gave it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Stored {
+pub struct VersionedRecord {
     /// The platform's version, for compare-and-swap.
     pub version: u64,
     /// The record.
--- a/crates/claim/src/slot.rs
+++ b/crates/claim/src/slot.rs
@@ -1,6 +1,6 @@
 //! A slot as one host sees it: its types and the dispatch of events.
 
-use crate::{Answer, Id, Record, Stored, Ticket};
+use crate::{Answer, Id, Record, Ticket, VersionedRecord};
 use serde::{Deserialize, Serialize};
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,7 +10,7 @@
 
 /// What an entry host asks of a slot's holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
-pub struct Ask {
+pub struct ClaimRequest {
     /// The request.
     pub id: Id,
     /// Its deadline in Unix milliseconds.
@@ -21,7 +21,7 @@
 
 /// How a granted attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
-pub enum Finish {
+pub enum Outcome {
     /// It ran; the answer is kept unless it was too large or broke off.
     Ran(Option<Arc<Answer>>),
     /// It certainly did not run: the id may be granted again.
@@ -36,13 +36,15 @@
     /// Run it. Counts once for a ticket, however often it arrives.
     Grant,
     /// It ran before; this was the answer.
-    Kept(Arc<Answer>),
+    #[serde(rename = "Kept")]
+    Replay(Arc<Answer>),
     /// It ran before; the answer is not kept.
     AlreadyRan,
     /// An earlier attempt may have run. This one was not granted.
     MayHaveRun,
     /// Not granted, nothing known to have run; ask again after so many milliseconds.
-    Later(u64),
+    #[serde(rename = "Later")]
+    RetryAfter(u64),
     /// This host does not hold the slot.
     NotHolder(Option<HostId>),
 }
@@ -50,14 +52,15 @@
 /// Between hosts, about one slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
 pub enum Message {
-    /// Holder to deputy: promise not to take over as if nothing was granted from memory.
-    AskMemory {
+    /// Holder to backup: promise not to take over as if nothing was granted from memory.
+    #[serde(rename = "AskMemory")]
+    RequestPromise {
         /// The record's epoch.
         epoch: u64,
         /// Counts the holder's spells of granting from memory.
         term: u64,
     },
-    /// Deputy to holder: the promise, or its refusal.
+    /// Backup to holder: the promise, or its refusal.
     Promise {
         /// The epoch that was asked for.
         epoch: u64,
@@ -66,15 +69,17 @@
         /// Whether it is given.
         given: bool,
     },
-    /// Holder to deputy: everything granted in this term is recorded.
-    MemoryOver {
+    /// Holder to backup: everything granted in this term is recorded.
+    #[serde(rename = "MemoryOver")]
+    ReleasePromise {
         /// The record's epoch.
         epoch: u64,
         /// The term that ended.
         term: u64,
     },
     /// Earlier holder to the present one: it grants no more, and this is what it knows.
-    Farewell {
+    #[serde(rename = "Farewell")]
+    Handover {
         /// Ids that it may have granted, with deadlines.
         claims: Vec<(Id, u64)>,
         /// Attempts that run now.
@@ -82,15 +87,16 @@
         /// Answers that it kept.
         answers: Vec<(Id, Arc<Answer>)>,
     },
-    /// Present holder to the earlier one: the farewell arrived.
-    FarewellSeen,
+    /// Present holder to the earlier one: the handover arrived.
+    #[serde(rename = "FarewellSeen")]
+    HandoverAck,
 }
 
 /// What happens to a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// An entry host asks.
-    Ask(Ask),
+    Request(ClaimRequest),
     /// A granted attempt ended.
     Finished {
         /// The request.
@@ -98,43 +104,43 @@
         /// The attempt.
         ticket: Ticket,
         /// How.
-        finish: Finish,
+        outcome: Outcome,
     },
     /// An entry host can't be reached: nothing more is to be expected of its attempts soon.
     Unreachable(HostId),
     /// It is proved that this process has ended.
     Ended(HostId),
     /// The record as read; `None` when there is none.
-    Read(Option<Stored>),
+    Read(Option<VersionedRecord>),
     /// The last write took effect and has this version.
-    Wrote {
+    Written {
         /// The platform's version.
         version: u64,
     },
     /// It is unknown whether the last write took effect.
-    WriteLost,
+    WriteUnconfirmed,
     /// The last write did not take effect; this is the record.
-    WriteRefused(Option<Stored>),
+    WriteConflict(Option<VersionedRecord>),
     /// A peer tells of a record with this epoch and holder.
-    Heard {
+    EpochAnnounced {
         /// The epoch.
         epoch: u64,
         /// The holder.
         holder: HostId,
     },
-    /// Take the slot over, with this deputy.
-    Take {
-        /// The deputy to name.
-        deputy: Option<HostId>,
+    /// Take the slot over, with this backup.
+    TakeOver {
+        /// The backup to name.
+        backup: Option<HostId>,
     },
-    /// Name another deputy.
-    Deputy(Option<HostId>),
+    /// Name another backup.
+    SetBackup(Option<HostId>),
     /// Hand the slot over for a planned stop.
     Release {
         /// The next holder.
         to: HostId,
-        /// Its deputy.
-        deputy: Option<HostId>,
+        /// Its backup.
+        backup: Option<HostId>,
     },
     /// A message of another host.
     Message {
@@ -182,7 +188,7 @@
         /// The attempt.
         ticket: Ticket,
         /// How it ended.
-        finish: Finish,
+        outcome: Outcome,
     },
 }
 
@@ -191,12 +197,12 @@
 pub struct Guards {
     /// While the platform answers, an id is granted only once it is written.
     pub record_first: bool,
-    /// The holder grants from memory only with the deputy's promise.
+    /// The holder grants from memory only with the backup's promise.
     pub promise: bool,
-    /// A deputy that has begun to take over promises no more.
-    pub bar: bool,
+    /// A backup that has begun to take over promises no more.
+    pub takeover_bar: bool,
     /// A successor without proof refuses ids that it does not know.
-    pub doubt: bool,
+    pub unresolved: bool,
     /// "Not run" counts only for the attempt that was granted last.
     pub ticket: bool,
     /// A promise ends only with the term that it was given for.
@@ -204,7 +210,7 @@
     /// A record of an older epoch than one seen before is never followed.
     pub epoch: bool,
     /// An earlier holder keeps what it knows until that is written down.
-    pub farewell: bool,
+    pub handover: bool,
 }
 
 impl Guards {
@@ -212,12 +218,12 @@
     pub const ON: Guards = Guards {
         record_first: true,
         promise: true,
-        bar: true,
-        doubt: true,
+        takeover_bar: true,
+        unresolved: true,
         ticket: true,
         term: true,
         epoch: true,
-        farewell: true,
+        handover: true,
     };
 }
 
@@ -226,13 +232,13 @@
 pub struct Options {
     /// How long past its deadline an id is remembered, in milliseconds; no deadline lies further
     /// ahead than this.
-    pub horizon: u64,
+    pub retention_ms: u64,
     /// Least time between two writes, in milliseconds.
-    pub pace: u64,
+    pub write_interval_ms: u64,
     /// How long an attempt waits for the record or a promise, in milliseconds.
-    pub patience: u64,
+    pub wait_limit_ms: u64,
     /// Most ids remembered at once.
-    pub most: usize,
+    pub max_ids: usize,
     /// The model check's switches.
     pub guards: Guards,
 }
@@ -302,7 +308,7 @@
     pub(crate) me: HostId,
     pub(crate) options: Options,
     pub(crate) role: Role,
-    pub(crate) stored: Option<Stored>,
+    pub(crate) stored: Option<VersionedRecord>,
     pub(crate) mode: Mode,
     /// Counts this host's spells of granting from memory.
     pub(crate) term: u64,
@@ -311,9 +317,9 @@
     pub(crate) unrecorded: BTreeSet<Id>,
     /// The record differs from what it should say in something else than ids.
     pub(crate) stale: bool,
-    pub(crate) forgotten: u64,
-    pub(crate) doubts: BTreeMap<HostId, Option<u64>>,
-    pub(crate) deputy: Option<HostId>,
+    pub(crate) expired_until: u64,
+    pub(crate) unresolved: BTreeMap<HostId, Option<u64>>,
+    pub(crate) backup: Option<HostId>,
     pub(crate) writing: Option<Record>,
     /// A write of which it is unknown whether it took effect.
     pub(crate) lost: Option<Record>,
@@ -323,10 +329,10 @@
     /// The next holder while a hand-over goes on.
     pub(crate) heir: Option<(HostId, Option<HostId>)>,
     /// What the present holder has not confirmed yet.
-    pub(crate) farewell: Option<(HostId, Message)>,
-    /// As deputy: the promise given, epoch and term.
+    pub(crate) handover: Option<(HostId, Message)>,
+    /// As backup: the promise given, epoch and term.
     pub(crate) promised: Option<(u64, u64)>,
-    /// As deputy: the epoch and version that this host tried to replace; no promise for that
+    /// As backup: the epoch and version that this host tried to replace; no promise for that
     /// epoch while the attempt may still take effect.
     pub(crate) barred: Option<(u64, u64)>,
     /// The highest epoch that any peer told of, with its holder.
@@ -346,16 +352,16 @@
             claims: BTreeMap::new(),
             unrecorded: BTreeSet::new(),
             stale: false,
-            forgotten: 0,
-            doubts: BTreeMap::new(),
-            deputy: None,
+            expired_until: 0,
+            unresolved: BTreeMap::new(),
+            backup: None,
             writing: None,
             lost: None,
             next_write: Tick::default(),
             next_forget: Tick::default(),
             held_back: false,
             heir: None,
-            farewell: None,
+            handover: None,
             promised: None,
             barred: None,
             highest: None,
@@ -394,31 +400,31 @@
     }
 
     /// Earlier holders for whose sake unknown ids are refused.
-    pub fn doubts(&self) -> impl Iterator<Item = &HostId> {
-        self.doubts.keys()
+    pub fn unresolved_holders(&self) -> impl Iterator<Item = &HostId> {
+        self.unresolved.keys()
     }
 
-    /// Whether a farewell is still to be confirmed.
-    pub fn is_leaving(&self) -> bool {
-        self.role == Role::Releasing || self.farewell.is_some()
+    /// Whether a handover is still to be confirmed.
+    pub fn is_handing_over(&self) -> bool {
+        self.role == Role::Releasing || self.handover.is_some()
     }
 
     /// Takes an event and says what to do.
     pub fn handle(&mut self, now: Tick, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         match event {
-            Event::Ask(ask) => self.ask(now, ask, &mut out),
-            Event::Finished { id, ticket, finish } => self.finished(id, ticket, finish, &mut out),
+            Event::Request(ask) => self.ask(now, ask, &mut out),
+            Event::Finished { id, ticket, outcome } => self.finished(id, ticket, outcome, &mut out),
             Event::Unreachable(host) => self.unreachable(&host, &mut out),
             Event::Ended(host) => self.ended(now, &host, &mut out),
             Event::Read(stored) => self.read(stored, &mut out),
-            Event::Wrote { version } => self.wrote(version, &mut out),
-            Event::WriteLost => self.write_lost(&mut out),
-            Event::WriteRefused(stored) => self.write_refused(stored, &mut out),
-            Event::Heard { epoch, holder } => self.heard(epoch, holder, &mut out),
-            Event::Take { deputy } => self.take(deputy, &mut out),
-            Event::Deputy(deputy) => self.name_deputy(deputy),
-            Event::Release { to, deputy } => self.release(to, deputy),
+            Event::Written { version } => self.wrote(version, &mut out),
+            Event::WriteUnconfirmed => self.write_lost(&mut out),
+            Event::WriteConflict(stored) => self.write_refused(stored, &mut out),
+            Event::EpochAnnounced { epoch, holder } => self.heard(epoch, holder, &mut out),
+            Event::TakeOver { backup } => self.take(backup, &mut out),
+            Event::SetBackup(backup) => self.set_backup(backup),
+            Event::Release { to, backup } => self.release(to, backup),
             Event::Message { from, message } => self.message(from, message, &mut out),
             Event::Tick => self.tick(now, &mut out),
         }
--- a/crates/claim/src/succession.rs
+++ b/crates/claim/src/succession.rs
@@ -1,7 +1,7 @@
 //! How a slot changes hands, and what answers of the platform mean.
 
 use crate::{
-    Action, Id, Message, Record, Reply, Slot, Stored,
+    Action, Id, Message, Record, Reply, Slot, VersionedRecord,
     slot::{Claim, Mode, Role, State},
 };
 use vanetally_types::{HostId, Tick};
@@ -11,13 +11,13 @@
 
 impl Slot {
     /// Begins to take the slot over from the record as last read.
-    pub(crate) fn take(&mut self, deputy: Option<HostId>, out: &mut Vec<Action>) {
+    pub(crate) fn take(&mut self, backup: Option<HostId>, out: &mut Vec<Action>) {
         if self.role != Role::Other || self.writing.is_some() {
             return;
         }
-        let deputy = deputy.filter(|d| *d != self.me);
+        let backup = backup.filter(|d| *d != self.me);
         let (base, epoch) = self.stored.as_ref().map_or((0, 0), |s| (s.version, s.record.epoch));
-        let record = self.succeed(deputy);
+        let record = self.succeed(backup);
         self.barred = Some((epoch, base));
         self.role = Role::Taking;
         self.writing = Some(record.clone());
@@ -25,37 +25,37 @@
     }
 
     /// The record that makes this host the successor of the holder last known.
-    fn succeed(&self, deputy: Option<HostId>) -> Record {
+    fn succeed(&self, backup: Option<HostId>) -> Record {
         let mut next = match &self.stored {
             None => self.draft(0, self.me.clone(), None),
             Some(stored) => stored.record.clone(),
         };
         let promised = self.promised.is_some_and(|(epoch, _)| epoch == next.epoch);
-        let proved = next.deputy.as_ref() == Some(&self.me) && !promised;
+        let proved = next.backup.as_ref() == Some(&self.me) && !promised;
         if !proved && next.holder != self.me {
-            next.doubts.insert(next.holder.clone(), None);
+            next.unresolved.insert(next.holder.clone(), None);
         }
         if let Some((epoch, holder)) = &self.highest
             && *epoch > next.epoch
         {
             // The platform was restored to an older state: what `holder` granted is not there.
             next.epoch = *epoch;
-            next.doubts.insert(holder.clone(), None);
+            next.unresolved.insert(holder.clone(), None);
         }
-        if let Some((_, Message::Farewell { claims, .. })) = &self.farewell {
+        if let Some((_, Message::Handover { claims, .. })) = &self.handover {
             // What this host granted before is known here and nowhere else yet.
             next.claims.extend(claims.iter().copied());
-            next.doubts.remove(&self.me);
+            next.unresolved.remove(&self.me);
         }
         next.epoch += 1;
         next.holder = self.me.clone();
-        next.deputy = deputy;
+        next.backup = backup;
         next.seq += 1;
         next
     }
 
     /// Follows `stored` as a host that does not hold the slot.
-    fn follow(&mut self, stored: Stored) {
+    fn follow(&mut self, stored: VersionedRecord) {
         if self.barred.is_some_and(|(_, version)| stored.version != version) {
             self.barred = None;
         }
@@ -63,7 +63,7 @@
     }
 
     /// Goes on from `stored` as its holder: what it lacks is to be written.
-    fn rebase(&mut self, stored: Stored) {
+    fn rebase(&mut self, stored: VersionedRecord) {
         let recorded = &stored.record.claims;
         let lacking = self.claims.keys().filter(|id| !recorded.contains_key(id));
         self.unrecorded = lacking.copied().collect();
@@ -72,7 +72,7 @@
     }
 
     /// Starts to hold the slot by the record `stored`.
-    fn hold(&mut self, stored: Stored) {
+    fn hold(&mut self, stored: VersionedRecord) {
         let record = &stored.record;
         for (id, deadline) in &record.claims {
             let claim = Claim { deadline: *deadline, state: State::Unknown, waiters: Vec::new() };
@@ -80,9 +80,9 @@
         }
         self.role = Role::Holder;
         self.mode = Mode::Recorded;
-        self.forgotten = self.forgotten.max(record.forgotten);
-        self.doubts = record.doubts.clone();
-        self.deputy = record.deputy.clone();
+        self.expired_until = self.expired_until.max(record.expired_until);
+        self.unresolved = record.unresolved.clone();
+        self.backup = record.backup.clone();
         self.lost = None;
         self.heir = None;
         self.stored = Some(stored);
@@ -91,16 +91,16 @@
 
     /// Takes back what this host granted when it held the slot before.
     fn recall(&mut self) {
-        let Some((_, Message::Farewell { claims, .. })) = self.farewell.take() else { return };
+        let Some((_, Message::Handover { claims, .. })) = self.handover.take() else { return };
         for (id, deadline) in claims {
             self.learn(id, deadline, State::Unknown);
         }
-        if self.doubts.remove(&self.me).is_some() {
+        if self.unresolved.remove(&self.me).is_some() {
             self.stale = true;
         }
     }
 
-    pub(crate) fn read(&mut self, stored: Option<Stored>, out: &mut Vec<Action>) {
+    pub(crate) fn read(&mut self, stored: Option<VersionedRecord>, out: &mut Vec<Action>) {
         if self.writing.is_some() {
             return;
         }
@@ -130,11 +130,11 @@
         let Some(record) = self.writing.take() else {
             return;
         };
-        self.confirm(Stored { version, record }, out);
+        self.confirm(VersionedRecord { version, record }, out);
     }
 
     /// The record `stored` is known to stand, and this host wrote it.
-    fn confirm(&mut self, stored: Stored, out: &mut Vec<Action>) {
+    fn confirm(&mut self, stored: VersionedRecord, out: &mut Vec<Action>) {
         self.lost = None;
         match self.role {
             Role::Taking => self.hold(stored),
@@ -144,19 +144,19 @@
         }
     }
 
-    fn recorded(&mut self, stored: Stored, out: &mut Vec<Action>) {
+    fn recorded(&mut self, stored: VersionedRecord, out: &mut Vec<Action>) {
         let claims = &stored.record.claims;
         self.unrecorded.retain(|id| !claims.contains_key(id));
         let claims = claims.clone();
-        let (epoch, deputy) = (stored.record.epoch, stored.record.deputy.clone());
+        let (epoch, backup) = (stored.record.epoch, stored.record.backup.clone());
         self.stored = Some(stored);
         self.grant_pending(|id| claims.contains_key(id), out);
         if self.mode == Mode::Recorded || !self.unrecorded.is_empty() {
             return;
         }
         self.mode = Mode::Recorded;
-        if let Some(to) = deputy {
-            let message = Message::MemoryOver { epoch, term: self.term };
+        if let Some(to) = backup {
+            let message = Message::ReleasePromise { epoch, term: self.term };
             out.push(Action::Send { to, message });
         }
     }
@@ -176,7 +176,7 @@
         }
     }
 
-    pub(crate) fn write_refused(&mut self, stored: Option<Stored>, out: &mut Vec<Action>) {
+    pub(crate) fn write_refused(&mut self, stored: Option<VersionedRecord>, out: &mut Vec<Action>) {
         let Some(wrote) = self.writing.take() else {
             return;
         };
@@ -204,12 +204,12 @@
     }
 
     /// The platform was restored to an older state: this holder's record goes over it.
-    fn write_over(&mut self, old: Stored) {
+    fn write_over(&mut self, old: VersionedRecord) {
         let Some(stored) = &self.stored else { return };
         let mut record = stored.record.clone();
         record.claims = old.record.claims;
         record.seq = record.seq.max(old.record.seq);
-        self.rebase(Stored { version: old.version, record });
+        self.rebase(VersionedRecord { version: old.version, record });
     }
 
     /// The platform has no record: it was restored to an older state.
@@ -244,21 +244,21 @@
 
     /// Stops holding the slot, tells the present holder what this host knows, and sends those
     /// who wait there.
-    fn depose(&mut self, stored: Stored, out: &mut Vec<Action>) {
+    fn depose(&mut self, stored: VersionedRecord, out: &mut Vec<Action>) {
         let holder = stored.record.holder.clone();
         let pending: Vec<Id> = self.ids_where(|s| matches!(s, State::Pending(..)));
         for id in pending {
             self.refuse_pending(id, Reply::NotHolder(Some(holder.clone())), out);
         }
-        let message = self.farewell_message();
+        let message = self.handover_message();
         self.turn_waiters_away(&holder, out);
         out.push(Action::Send { to: holder.clone(), message: message.clone() });
-        self.farewell = Some((holder, message));
+        self.handover = Some((holder, message));
         self.role = Role::Other;
         self.mode = Mode::Recorded;
         self.claims.clear();
         self.unrecorded.clear();
-        self.doubts.clear();
+        self.unresolved.clear();
         self.lost = None;
         self.heir = None;
         self.stale = false;
@@ -269,7 +269,7 @@
         self.claims.iter().filter(|(_, c)| test(&c.state)).map(|(id, _)| *id).collect()
     }
 
-    fn farewell_message(&self) -> Message {
+    fn handover_message(&self) -> Message {
         let mut running = Vec::new();
         let mut answers = Vec::new();
         for (id, claim) in &self.claims {
@@ -280,7 +280,7 @@
             }
         }
         let claims = self.claims.iter().map(|(id, c)| (*id, c.deadline)).collect();
-        Message::Farewell { claims, running, answers }
+        Message::Handover { claims, running, answers }
     }
 
     fn turn_waiters_away(&mut self, holder: &HostId, out: &mut Vec<Action>) {
@@ -295,31 +295,31 @@
     /// A process is proved to have ended: it grants no more and runs nothing more.
     pub(crate) fn ended(&mut self, now: Tick, host: &HostId, out: &mut Vec<Action>) {
         self.unreachable(host, out);
-        if let Some(until) = self.doubts.get_mut(host)
+        if let Some(until) = self.unresolved.get_mut(host)
             && until.is_none()
         {
-            *until = Some(now.0.saturating_add(self.options.horizon + CLOCK_SKEW));
+            *until = Some(now.0.saturating_add(self.options.retention_ms + CLOCK_SKEW));
             self.stale = true;
         }
-        if self.farewell.as_ref().is_some_and(|(to, _)| to == host) {
-            self.farewell = None;
+        if self.handover.as_ref().is_some_and(|(to, _)| to == host) {
+            self.handover = None;
         }
-        // A deputy that has ended may have taken the slot over before: its end is no promise.
+        // A backup that has ended may have taken the slot over before: its end is no promise.
     }
 
-    pub(crate) fn name_deputy(&mut self, deputy: Option<HostId>) {
-        let deputy = deputy.filter(|d| *d != self.me);
-        if self.role == Role::Holder && self.deputy != deputy {
-            self.deputy = deputy;
+    pub(crate) fn set_backup(&mut self, backup: Option<HostId>) {
+        let backup = backup.filter(|d| *d != self.me);
+        if self.role == Role::Holder && self.backup != backup {
+            self.backup = backup;
             self.stale = true;
         }
     }
 
-    pub(crate) fn release(&mut self, to: HostId, deputy: Option<HostId>) {
+    pub(crate) fn release(&mut self, to: HostId, backup: Option<HostId>) {
         let idle = self.writing.is_none() && self.mode == Mode::Recorded;
         if self.role == Role::Holder && idle && to != self.me {
             self.role = Role::Releasing;
-            self.heir = Some((to.clone(), deputy.filter(|d| *d != to)));
+            self.heir = Some((to.clone(), backup.filter(|d| *d != to)));
         }
     }
 }
--- a/crates/core/src/dump.rs
+++ b/crates/core/src/dump.rs
@@ -60,9 +60,9 @@
                 "slot": number, "role": slot.role(),
                 "mode": (slot.role() == Role::Holder).then_some(mode),
                 "epoch": head.map(|h| h.0), "holder": head.map(|h| h.1.to_string()),
-                "deputy": slot.record().and_then(|r| r.deputy.as_ref()).map(|d| d.to_string()),
+                "deputy": slot.record().and_then(|r| r.backup.as_ref()).map(|d| d.to_string()),
                 "ids": ids, "unrecorded": unrecorded,
-                "doubts": slot.doubts().map(|h| h.to_string()).collect::<Vec<_>>(),
+                "doubts": slot.unresolved_holders().map(|h| h.to_string()).collect::<Vec<_>>(),
             }));
         }
         Value::Array(rows)
--- a/crates/core/src/frame.rs
+++ b/crates/core/src/frame.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, sync::Arc};
-use vanetally_claim::{Ask, Finish, Id, Message, Reply, Ticket};
+use vanetally_claim::{ClaimRequest, Id, Message, Outcome, Reply, Ticket};
 use vanetally_config::Revision;
 use vanetally_ledger::Wanted;
 use vanetally_member::Listed;
@@ -58,7 +58,7 @@
     Want(BTreeMap<Name, Wanted>),
     /// May this run?
     #[serde(rename = "a")]
-    Ask(Ask),
+    Ask(ClaimRequest),
     /// The answer to an ask.
     #[serde(rename = "r")]
     Reply {
@@ -77,7 +77,7 @@
         /// The attempt.
         ticket: Ticket,
         /// How.
-        finish: Finish,
+        finish: Outcome,
     },
     /// The end of an attempt is known.
     #[serde(rename = "fs")]
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -5,7 +5,7 @@
     collections::{BTreeMap, BTreeSet},
     sync::Arc,
 };
-use vanetally_claim::{Finish, Id, Slot, Ticket};
+use vanetally_claim::{Id, Outcome, Slot, Ticket};
 use vanetally_config::{Keeper, Revision};
 use vanetally_ledger::Ledger;
 use vanetally_member::{Group, Listed, Members};
@@ -69,7 +69,7 @@
     pub(crate) slot_reads: BTreeMap<u16, Tick>,
     pub(crate) slot_due: BTreeSet<u16>,
     pub(crate) attempts: BTreeMap<u64, Attempt>,
-    pub(crate) unacked: BTreeMap<Ticket, (Id, Finish, Tick, Tick)>,
+    pub(crate) unacked: BTreeMap<Ticket, (Id, Outcome, Tick, Tick)>,
     // Runners.
     pub(crate) groups: Vec<Group>,
     pub(crate) group_heads: BTreeMap<u16, Head>,
@@ -94,10 +94,10 @@
     /// A core at its start.
     pub fn new(now: Tick, options: Options) -> Self {
         let slot_options = vanetally_claim::Options {
-            horizon: options.horizon,
-            pace: SLOT_PACE,
-            patience: SLOT_PATIENCE,
-            most: MOST_IDS,
+            retention_ms: options.horizon,
+            write_interval_ms: SLOT_PACE,
+            wait_limit_ms: SLOT_PATIENCE,
+            max_ids: MOST_IDS,
             guards: vanetally_claim::Guards::ON,
         };
         let me = options.me.clone();
@@ -278,7 +278,7 @@
     fn is_empty_handed(&self) -> bool {
         let idle = self.requests() == (0, 0) && !self.has_fresh_finishes();
         let alone = self.reachable_peers().is_empty();
-        let held = |s: &Slot| s.role() != vanetally_claim::Role::Other || s.is_leaving();
+        let held = |s: &Slot| s.role() != vanetally_claim::Role::Other || s.is_handing_over();
         let steward = |g: &Group| g.role() != vanetally_member::Role::Other;
         idle && (alone || !(self.slots.iter().any(held) || self.groups.iter().any(steward)))
     }
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -2,7 +2,7 @@
 
 use crate::{Action, Arrival, Core, Frame, Refused, Why};
 use std::sync::Arc;
-use vanetally_claim::{Answer, Ask, Finish, Id, Reply, Ticket, slot_of};
+use vanetally_claim::{Answer, ClaimRequest, Id, Outcome, Reply, Ticket, slot_of};
 use vanetally_route::{Action as Do, End, Event as Route, Reason, Refusal, Request};
 use vanetally_types::{HostId, Tick, Verdict};
 
@@ -60,9 +60,9 @@
     fn refused(&mut self, id: u64, refusal: Refusal) {
         if let Some(attempt) = self.attempts.remove(&id) {
             let finish = match refusal.verdict {
-                Verdict::NotRun => Finish::NotRun,
-                Verdict::MayHaveRun => Finish::Unknown,
-                Verdict::Ran => Finish::Ran(None),
+                Verdict::NotRun => Outcome::NotRun,
+                Verdict::MayHaveRun => Outcome::Unknown,
+                Verdict::Ran => Outcome::Ran(None),
             };
             self.finish(attempt.id, id, finish);
         }
@@ -94,7 +94,7 @@
         let (id, deadline, tries) = (attempt.id, attempt.request.deadline, attempt.tries);
         let slot = slot_of(id, self.options.slots);
         let holder = at.or_else(|| self.slot_heads.get(&slot).map(|h| h.1.clone()));
-        let ask = Ask { id, deadline: deadline.0, ticket: self.ticket(number) };
+        let ask = ClaimRequest { id, deadline: deadline.0, ticket: self.ticket(number) };
         let serves = |h: &HostId| self.members.is_reachable(self.now, h);
         match holder {
             _ if tries > MOST_TRIES => self.give_up(number),
@@ -114,7 +114,7 @@
         let Some(attempt) = self.attempts.remove(&number) else {
             return;
         };
-        self.finish(attempt.id, number, Finish::NotRun);
+        self.finish(attempt.id, number, Outcome::NotRun);
         // Another attempt with this id may have run elsewhere.
         self.refuse(number, Why::IdUndecided, Verdict::MayHaveRun, Some(UNDECIDED));
     }
@@ -126,7 +126,7 @@
         }
         let Some(attempt) = self.attempts.get_mut(&number) else {
             if reply == Reply::Grant && !self.unacked.contains_key(&ticket) {
-                self.finish(id, number, Finish::NotRun);
+                self.finish(id, number, Outcome::NotRun);
             }
             return;
         };
@@ -139,7 +139,7 @@
                 let request = attempt.request.clone();
                 self.route(request);
             }
-            Reply::Kept(answer) => {
+            Reply::Replay(answer) => {
                 self.attempts.remove(&number);
                 self.out.push(Action::Replay(number, answer));
             }
@@ -147,7 +147,7 @@
             Reply::MayHaveRun => {
                 self.decline(number, Why::IdUncertain, Verdict::MayHaveRun, None);
             }
-            Reply::Later(millis) => {
+            Reply::RetryAfter(millis) => {
                 self.decline(number, Why::IdUndecided, Verdict::MayHaveRun, Some(millis));
             }
             Reply::NotHolder(Some(holder)) if holder != from => self.ask(number, Some(holder)),
@@ -161,7 +161,7 @@
     }
 
     /// Tells the slot's holder how an attempt ended, until it has heard.
-    fn finish(&mut self, id: Id, number: u64, finish: Finish) {
+    fn finish(&mut self, id: Id, number: u64, finish: Outcome) {
         let ticket = self.ticket(number);
         let until = self.now + self.options.horizon;
         self.unacked.insert(ticket.clone(), (id, finish, self.now, until));
@@ -182,7 +182,8 @@
             let ticket = ticket.clone();
             return self.send(&holder.name, Frame::Finished { id, ticket, finish });
         }
-        let event = vanetally_claim::Event::Finished { id, ticket: ticket.clone(), finish };
+        let event =
+            vanetally_claim::Event::Finished { id, ticket: ticket.clone(), outcome: finish };
         self.unacked.remove(ticket);
         self.slot_event(slot, event);
     }
@@ -205,9 +206,9 @@
             return;
         };
         let finish = match (granted, end) {
-            (true, End::Done) => Finish::Ran(answer),
-            (true, _) => Finish::Unknown,
-            (false, _) => Finish::NotRun,
+            (true, End::Done) => Outcome::Ran(answer),
+            (true, _) => Outcome::Unknown,
+            (false, _) => Outcome::NotRun,
         };
         self.finish(attempt.id, id, finish);
     }
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -2,7 +2,8 @@
 
 use crate::{Core, Frame, Head, Key, Stored};
 use vanetally_claim::{
-    Action as Do, Ask, Event as Happens, Finish, Id, Message, Record, Role, Ticket, slot_of,
+    Action as Do, ClaimRequest, Event as Happens, Id, Message, Outcome, Record, Role, Ticket,
+    slot_of,
 };
 use vanetally_types::{HostId, Name, hash64, rendezvous_rank};
 
@@ -49,7 +50,7 @@
                 self.send(&to, Frame::Reply { ticket, id, reply });
             }
             Do::Send { to, message } => self.send(&to.name, Frame::Slot(number, message)),
-            Do::Forward { to, id, ticket, finish } => {
+            Do::Forward { to, id, ticket, outcome: finish } => {
                 self.send(&to.name, Frame::Finished { id, ticket, finish });
             }
         }
@@ -66,7 +67,7 @@
     pub(crate) fn heard_slot(&mut self, number: u16, head: Head) {
         let (epoch, holder) = head.clone();
         self.note_slot(number, head);
-        self.slot_event(number, Happens::Heard { epoch, holder });
+        self.slot_event(number, Happens::EpochAnnounced { epoch, holder });
     }
 
     pub(crate) fn slot_message(&mut self, from: HostId, number: u16, message: Message) {
@@ -80,18 +81,18 @@
     }
 
     /// An entry host asks a slot that is perhaps held here.
-    pub(crate) fn ask_here(&mut self, ask: Ask) {
+    pub(crate) fn ask_here(&mut self, ask: ClaimRequest) {
         let number = slot_of(ask.id, self.options.slots);
-        self.slot_event(number, Happens::Ask(ask));
+        self.slot_event(number, Happens::Request(ask));
     }
 
-    pub(crate) fn finish_here(&mut self, id: Id, ticket: Ticket, finish: Finish) {
+    pub(crate) fn finish_here(&mut self, id: Id, ticket: Ticket, finish: Outcome) {
         let number = slot_of(id, self.options.slots);
         let held = self.slots[usize::from(number)].role() == Role::Holder;
         if held {
             self.send(&ticket.entry.name.clone(), Frame::FinishSeen(ticket.clone()));
         }
-        self.slot_event(number, Happens::Finished { id, ticket, finish });
+        self.slot_event(number, Happens::Finished { id, ticket, outcome: finish });
     }
 
     pub(crate) fn slot_read(&mut self, number: u16, value: Option<Option<Stored>>) {
@@ -101,7 +102,7 @@
         self.slot_event(number, Happens::Read(stored));
         if self.slot_due.remove(&number) && self.should_take(number, absent) {
             let deputy = self.next_for(number);
-            self.slot_event(number, Happens::Take { deputy });
+            self.slot_event(number, Happens::TakeOver { backup: deputy });
         }
     }
 
@@ -111,9 +112,9 @@
         result: Option<Result<u64, Option<Stored>>>,
     ) {
         let event = match result {
-            None => Happens::WriteLost,
-            Some(Ok(version)) => Happens::Wrote { version },
-            Some(Err(stored)) => Happens::WriteRefused(stored.and_then(parse)),
+            None => Happens::WriteUnconfirmed,
+            Some(Ok(version)) => Happens::Written { version },
+            Some(Err(stored)) => Happens::WriteConflict(stored.and_then(parse)),
         };
         self.slot_event(number, event);
     }
@@ -144,7 +145,7 @@
             return false;
         }
         let record = slot.record();
-        let deputy = record.and_then(|r| r.deputy.as_ref());
+        let deputy = record.and_then(|r| r.backup.as_ref());
         match deputy.filter(|d| self.members.is_current(self.now, d)) {
             Some(deputy) => *deputy == self.options.me,
             None => self.ranked(number).first() == Some(&self.options.me.name),
@@ -194,14 +195,14 @@
                 let ranked = self.ranked(number);
                 let second = ranked.iter().filter(|n| **n != to.name);
                 let deputy = second.filter_map(|n| self.members.current(n)).next();
-                self.slot_event(number, Happens::Release { to, deputy });
+                self.slot_event(number, Happens::Release { to, backup: deputy });
             }
             return;
         }
-        let deputy = slot.record().and_then(|r| r.deputy.clone());
+        let deputy = slot.record().and_then(|r| r.backup.clone());
         let sound = deputy.as_ref().is_some_and(|d| self.members.is_current(self.now, d));
         if !sound && heir.is_some() {
-            self.slot_event(number, Happens::Deputy(heir));
+            self.slot_event(number, Happens::SetBackup(heir));
         }
         if self.now >= self.next_judge {
             self.judge_doubts(number);
@@ -212,7 +213,7 @@
     /// Ends doubts about holders that operators state to be destroyed.
     fn judge_doubts(&mut self, number: u16) {
         let slot = &self.slots[usize::from(number)];
-        let doubts: Vec<HostId> = slot.doubts().cloned().collect();
+        let doubts: Vec<HostId> = slot.unresolved_holders().cloned().collect();
         for host in doubts {
             if self.is_stated_gone(&host) || self.members.has_ended(&host) {
                 self.slot_event(number, Happens::Ended(host));
@@ -231,7 +232,7 @@
     }
 }
 
-fn parse(stored: Stored) -> Option<vanetally_claim::Stored> {
+fn parse(stored: Stored) -> Option<vanetally_claim::VersionedRecord> {
     let record: Record = serde_json::from_slice(&stored.bytes).ok()?;
-    Some(vanetally_claim::Stored { version: stored.version, record })
+    Some(vanetally_claim::VersionedRecord { version: stored.version, record })
 }
--- a/crates/core/tests/decoders.rs
+++ b/crates/core/tests/decoders.rs
@@ -1,7 +1,7 @@
 //! Whatever bytes arrive, decoders answer without a panic, and what is sent is read again.
 
 use proptest::{prelude::*, test_runner::RngSeed};
-use vanetally_claim::{Ask, Id, Record as SlotRecord, Ticket};
+use vanetally_claim::{ClaimRequest, Id, Record as SlotRecord, Ticket};
 use vanetally_config::{Catalog, Millis, Revision, Settings, Size, jsonc};
 use vanetally_core::Frame;
 use vanetally_ledger::{Order, Record as RunnerRecord, Report};
@@ -24,7 +24,7 @@
         Frame::PullConfig,
         Frame::Config(Default::default()),
         Frame::Demand([("m".into(), (1, 2))].into()),
-        Frame::Ask(Ask { id: Id(u128::MAX), deadline: 5, ticket: ticket.clone() }),
+        Frame::Ask(ClaimRequest { id: Id(u128::MAX), deadline: 5, ticket: ticket.clone() }),
         Frame::FinishSeen(ticket),
     ]
 }
--- a/crates/daemon/src/front.rs
+++ b/crates/daemon/src/front.rs
@@ -327,7 +327,7 @@
         let text = "this Idempotency-Key belongs to another request";
         return refuse(exchange, &Refusal::new(422, "idempotency_key_reused", text));
     }
-    let reply = Reply::new(answer.status, &answer.kind, answer.body.clone())
+    let reply = Reply::new(answer.status, &answer.content_type, answer.body.clone())
         .with("X-Verdict", Verdict::Ran.as_str())
         .with("X-Replayed", "true");
     exchange.answer(reply);
--- a/crates/daemon/src/proxy.rs
+++ b/crates/daemon/src/proxy.rs
@@ -121,7 +121,7 @@
         }
         let fingerprint = self.job.fingerprint;
         let (kind, body) = (kind.to_owned(), body.to_vec());
-        Some(Arc::new(Answer { status, kind, fingerprint, body }))
+        Some(Arc::new(Answer { status, content_type: kind, fingerprint, body }))
     }
 
     /// A service's answer: as a whole if it is small, else piece by piece.
