--- a/crates/bench/benches/decisions.rs
+++ b/crates/bench/benches/decisions.rs
@@ -6,7 +6,7 @@
 use vanetally_core::{Core, Event, Frame, Options};
 use vanetally_member::Listed;
 use vanetally_pacing::{Pacer, Pacers, Prefix, Prompt, SendSlot};
-use vanetally_plan::{Entry, Input, Runner, Site};
+use vanetally_plan::{Entry, Input, PlacementBuilder, Runner};
 use vanetally_route::{End, Event as Route, Phase, Request, Router, Seen, Upstream};
 use vanetally_types::{HostId, Name, Tick};
 
@@ -159,9 +159,14 @@
     group.sample_size(10);
     for runners in RUNNERS {
         let input = input(runners);
-        let options = vanetally_plan::Options { price: 5.0, horizon: 60.0, target: 0.7, budget: 4 };
+        let options = vanetally_plan::Options {
+            move_price: 5.0,
+            horizon_s: 60.0,
+            target_utilization: 0.7,
+            max_loads: 4,
+        };
         group.bench_function(BenchmarkId::from_parameter(runners), |b| {
-            b.iter(|| Site::from_input(&input, options).place());
+            b.iter(|| PlacementBuilder::from_input(&input, options).build());
         });
     }
     group.finish();
--- a/crates/core/src/planning.rs
+++ b/crates/core/src/planning.rs
@@ -5,7 +5,7 @@
 use vanetally_config::{Catalog, catalog, catalog::is_leaving};
 use vanetally_ledger::{Want, Wanted};
 use vanetally_member::group_of;
-use vanetally_plan::{Entry, Input, Pace, Runner};
+use vanetally_plan::{Entry, Input, Runner, StoreLimits};
 use vanetally_route::{Phase, Seen};
 use vanetally_types::{Name, Tick, hash64, rendezvous};
 
@@ -83,11 +83,14 @@
         let revision = self.keeper.current().clone();
         let catalog = &revision.catalog;
         let input = self.plan_input(catalog);
-        let pace = Pace { loads_per_10s: catalog.store.loads_per_10s, slots: catalog.store.slots };
+        let limits = StoreLimits {
+            loads_per_10s: catalog.store.loads_per_10s,
+            concurrent_loads: catalog.store.slots,
+        };
         let phases = self.seen.values().flat_map(|s| s.entries.values());
         let loading = phases.filter(|p| **p == Phase::Loading).count();
         let price = f64::from(catalog.move_price);
-        self.planner.plan(self.now, &input, pace, loading, price);
+        self.planner.plan(self.now, &input, limits, loading, price);
         self.tell_stewards(catalog, &input);
     }
 
@@ -130,7 +133,7 @@
             let kept = seen.entries.iter().filter(|(_, p)| **p != Phase::Closing);
             kept.map(|(name, _)| name.clone()).collect()
         };
-        let entries = match self.planner.placed(&runner.name) {
+        let entries = match self.planner.planned(&runner.name) {
             Some(placed) if usable => placed.clone(),
             _ => present(),
         };
@@ -163,7 +166,7 @@
             .collect();
         let mut by_host: BTreeMap<Name, BTreeMap<Name, Wanted>> = BTreeMap::new();
         for runner in input.runners.iter().filter(|r| r.usable) {
-            let Some(placed) = self.planner.placed(&runner.name) else {
+            let Some(placed) = self.planner.planned(&runner.name) else {
                 continue;
             };
             let pairs = placed.iter().filter_map(|e| Some((e.clone(), sizes.get(e)?.clone())));
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -9,5 +9,5 @@
 mod planner;
 
 pub use demand::{Demand, Estimate};
-pub use place::{Entry, Input, Options, Placement, Runner, Site};
-pub use planner::{Pace, Planner};
+pub use place::{Entry, Input, Options, Placement, PlacementBuilder, Runner};
+pub use planner::{Planner, StoreLimits};
--- a/crates/plan/src/place.rs
+++ b/crates/plan/src/place.rs
@@ -56,20 +56,20 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
     /// Expected requests within deadline that a move must gain.
-    pub price: f64,
+    pub move_price: f64,
     /// How long a move is expected to pay, in seconds.
-    pub horizon: f64,
+    pub horizon_s: f64,
     /// Share of a runner's slots above which it is overloaded.
-    pub target: f64,
+    pub target_utilization: f64,
     /// Most loads to add in this plan.
-    pub budget: usize,
+    pub max_loads: usize,
 }
 
 /// What each runner should hold.
 pub type Placement = BTreeMap<Name, BTreeSet<Name>>;
 
 /// A placement being made.
-pub struct Site<'a> {
+pub struct PlacementBuilder<'a> {
     input: &'a Input,
     options: Options,
     by_id: BTreeMap<&'a Name, usize>,
@@ -82,7 +82,7 @@
     adds: usize,
 }
 
-impl<'a> Site<'a> {
+impl<'a> PlacementBuilder<'a> {
     /// Starts from what the runners hold.
     pub fn from_input(input: &'a Input, options: Options) -> Self {
         let by_id: BTreeMap<&Name, usize> =
@@ -174,7 +174,7 @@
     }
 
     /// Makes the placement.
-    pub fn place(mut self) -> Placement {
+    pub fn build(mut self) -> Placement {
         self.place_missing();
         self.relieve();
         self.insure();
@@ -287,7 +287,7 @@
     /// Adds replicas where runners are overloaded and it pays.
     fn relieve(&mut self) {
         let mut given_up: BTreeSet<usize> = BTreeSet::new();
-        while self.adds < self.options.budget {
+        while self.adds < self.options.max_loads {
             let Some(hot) = self.hottest(&given_up) else {
                 break;
             };
@@ -301,7 +301,7 @@
         let over = |&at: &usize| {
             self.input.runners[at].usable
                 && !given_up.contains(&at)
-                && self.busy(at) > self.options.target
+                && self.busy(at) > self.options.target_utilization
         };
         let all = (0..self.load.len()).filter(over);
         all.max_by(|&a, &b| self.busy(a).total_cmp(&self.busy(b)))
@@ -334,8 +334,8 @@
         let rate = |e: usize| self.input.entries[e].rate;
         single.sort_by(|&a, &b| rate(b).total_cmp(&rate(a)).then(a.cmp(&b)));
         for entry in single {
-            let gain = rate_of_loss(self.input.entries[entry].rate, self.options.horizon);
-            if self.adds >= self.options.budget || gain <= self.options.price {
+            let gain = rate_of_loss(self.input.entries[entry].rate, self.options.horizon_s);
+            if self.adds >= self.options.max_loads || gain <= self.options.move_price {
                 return;
             }
             if let Some(at) = self.free_place(entry) {
@@ -359,25 +359,26 @@
         open.min_by(|&a, &b| self.busy(a).total_cmp(&self.busy(b)).then(a.cmp(&b)))
     }
 
-    /// Requests that a replica of `entry` on `at` saves from a busy `hot` over the horizon.
+    /// Requests that a replica of `entry` on `at` saves from a busy `hot` over the horizon_s.
     fn gain(&self, entry: usize, hot: usize, at: usize) -> f64 {
         let e = &self.input.entries[entry];
         if e.load <= 0.0 {
             return 0.0;
         }
         let shift = self.value(entry) / (self.replicas[entry].len() + 1) as f64;
-        let over = (self.busy(hot) - self.options.target) * self.input.runners[hot].slots;
+        let over =
+            (self.busy(hot) - self.options.target_utilization) * self.input.runners[hot].slots;
         // Half of the difference evens both out.
         let room = (self.busy(hot) - self.busy(at)) / 2.0 * self.input.runners[at].slots;
         let slots = shift.min(over).min(room.max(0.0));
-        slots * (e.rate / e.load) * self.options.horizon
+        slots * (e.rate / e.load) * self.options.horizon_s
     }
 
     fn cost(&self, entry: usize, at: usize) -> f64 {
         let need = self.need(entry, at);
         let loads = if need > i128::from(self.input.entries[entry].size) { 2 } else { 1 };
         let victims = self.victims(at, need, entry).map_or(0, |v| v.len());
-        self.options.price * (loads + victims) as f64
+        self.options.move_price * (loads + victims) as f64
     }
 
     fn finish(self) -> Placement {
@@ -388,13 +389,13 @@
     }
 }
 
-/// Requests that a second replica is expected to save: those of the horizon, by the share of
+/// Requests that a second replica is expected to save: those of the horizon_s, by the share of
 /// moves that a loss makes worth it.
-fn rate_of_loss(rate: f64, horizon: f64) -> f64 {
-    rate * horizon * LOSS_SHARE
+fn rate_of_loss(rate: f64, horizon_s: f64) -> f64 {
+    rate * horizon_s * LOSS_SHARE
 }
 
-/// How likely the loss of the only replica is taken to be within the horizon. Far above the real
+/// How likely the loss of the only replica is taken to be within the horizon_s. Far above the real
 /// rate: a lost entry is out for the whole time that the weight store needs for all lost ones.
 const LOSS_SHARE: f64 = 0.25;
 
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -1,15 +1,15 @@
-//! The planner: demand over time, the last placement, and the pace of moves.
+//! The planner: demand over time, the last placement, and the limits of moves.
 
-use crate::{Demand, Input, Options, Placement, Site};
+use crate::{Demand, Input, Options, Placement, PlacementBuilder};
 use vanetally_types::{Name, Tick};
 
 /// Limits of the weight store and weights of the plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct StoreLimits {
     /// Loads started in 10 seconds.
     pub loads_per_10s: u32,
     /// Loads at once.
-    pub slots: u32,
+    pub concurrent_loads: u32,
 }
 
 /// Keeps demand and makes placements no faster than the weight store allows.
@@ -38,7 +38,7 @@
 
 impl Planner {
     /// What the last plan says that `runner` should hold.
-    pub fn placed(&self, runner: &Name) -> Option<&std::collections::BTreeSet<Name>> {
+    pub fn planned(&self, runner: &Name) -> Option<&std::collections::BTreeSet<Name>> {
         self.placement.get(runner)
     }
 
@@ -52,23 +52,23 @@
         &mut self,
         now: Tick,
         input: &Input,
-        pace: Pace,
+        limits: StoreLimits,
         loading: usize,
-        price: f64,
+        move_price: f64,
     ) -> &Placement {
-        let rate = f64::from(pace.loads_per_10s) / 10_000.0;
-        let most = f64::from(pace.slots.min(BURST.max(pace.loads_per_10s / 10)));
+        let rate = f64::from(limits.loads_per_10s) / 10_000.0;
+        let most = f64::from(limits.concurrent_loads.min(BURST.max(limits.loads_per_10s / 10)));
         self.tokens = (self.tokens + now.since(self.at) as f64 * rate).min(most);
         self.at = now;
-        let slots = (pace.slots as usize).saturating_sub(loading);
+        let slots = (limits.concurrent_loads as usize).saturating_sub(loading);
         let options = Options {
-            price,
-            horizon: HORIZON_SECONDS,
-            target: TARGET,
-            budget: (self.tokens as usize).min(slots),
+            move_price,
+            horizon_s: HORIZON_SECONDS,
+            target_utilization: TARGET,
+            max_loads: (self.tokens as usize).min(slots),
         };
         let before: usize = input.runners.iter().map(|r| r.entries.len()).sum();
-        let placement = Site::from_input(input, options).place();
+        let placement = PlacementBuilder::from_input(input, options).build();
         let after: usize = placement.values().map(|held| held.len()).sum();
         self.tokens = (self.tokens - after.saturating_sub(before) as f64).max(0.0);
         self.placement = placement;
--- a/crates/plan/tests/placement.rs
+++ b/crates/plan/tests/placement.rs
@@ -2,10 +2,11 @@
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use std::collections::BTreeSet;
-use vanetally_plan::{Demand, Entry, Input, Options, Placement, Runner, Site};
+use vanetally_plan::{Demand, Entry, Input, Options, Placement, PlacementBuilder, Runner};
 use vanetally_types::{Name, Tick};
 
-const OPTIONS: Options = Options { price: 5.0, horizon: 60.0, target: 0.7, budget: 10 };
+const OPTIONS: Options =
+    Options { move_price: 5.0, horizon_s: 60.0, target_utilization: 0.7, max_loads: 10 };
 
 fn entry(n: usize, size: u64, load: f64, runners: usize) -> Entry {
     Entry {
@@ -31,7 +32,7 @@
 }
 
 fn place(input: &Input) -> Placement {
-    Site::from_input(input, OPTIONS).place()
+    PlacementBuilder::from_input(input, OPTIONS).build()
 }
 
 fn replicas(placement: &Placement, entry: &str) -> usize {
@@ -75,10 +76,10 @@
 
 #[test]
 fn price_holds() {
-    let input = |price| {
+    let input = |move_price| {
         let entries = vec![entry(0, 30, 9.0, 2)];
         let input = Input { entries, runners: vec![runner(0, &["m0"]), runner(1, &[])] };
-        Site::from_input(&input, Options { price, ..OPTIONS }).place()
+        PlacementBuilder::from_input(&input, Options { move_price, ..OPTIONS }).build()
     };
     assert_eq!(replicas(&input(1.0), "m0"), 2, "a cheap move pays");
     assert_eq!(replicas(&input(10_000.0), "m0"), 1, "a dear one does not");
