--- a/crates/bench/benches/fleet.rs
+++ b/crates/bench/benches/fleet.rs
@@ -249,7 +249,7 @@
     for runners in RUNNERS {
         let mut now = NOW;
         let mut holder =
-            Placement::new(placement::Options { holder: "front-1".into(), window_ms: 5_000 });
+            Placement::new(placement::Options { holder: "front-1".into(), load_window_ms: 5_000 });
         holder.handle(now, placement::Event::Configured(configuration(models(runners))));
         for number in 0..runners {
             let (id, state) = (runner(number), state(number, models(runners)));
@@ -259,7 +259,8 @@
         for number in 0..runners {
             let report = Report { models: held(number, models(runners)), ..Report::default() };
             let (runner, asked) = (runner(number), now);
-            let reported = placement::Event::Reported { runner, asked, report: Some(report) };
+            let reported =
+                placement::Event::Reported { runner, requested_at: asked, report: Some(report) };
             holder.handle(now, reported);
         }
         group.bench_function(BenchmarkId::from_parameter(runners), |b| {
--- a/crates/check/src/orders.rs
+++ b/crates/check/src/orders.rs
@@ -6,7 +6,7 @@
 
 use crate::{Steps, World};
 use std::collections::{BTreeMap, BTreeSet};
-use vanetally_placement::{Tenure, TenureAction, TenureEvent, TenureOptions};
+use vanetally_placement::{OrderLease, OrderLeaseAction, OrderLeaseEvent, OrderLeaseOptions};
 use vanetally_ports::{Era, FencingToken, LeaseId, Revision};
 use vanetally_types::{Name, Tick};
 
@@ -51,7 +51,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Host {
-    tenure: Tenure,
+    tenure: OrderLease,
     is_paused: bool,
     /// The key that it saw last and in which era, once it saw.
     seen: Option<(Era, Option<Key>)>,
@@ -162,15 +162,15 @@
         }
     }
 
-    fn tell(&mut self, host: usize, event: TenureEvent) {
+    fn tell(&mut self, host: usize, event: OrderLeaseEvent) {
         let now = self.now;
         let actions = self.hosts[host].tenure.handle(now, event);
         for action in actions {
             let call = match action {
-                TenureAction::Grant { .. } => Call::Grant,
-                TenureAction::Take { lease } => Call::Take(lease),
-                TenureAction::Renew { lease } => Call::Renew(lease),
-                TenureAction::End { lease } => Call::End(lease),
+                OrderLeaseAction::Grant { .. } => Call::Grant,
+                OrderLeaseAction::WriteKey { lease } => Call::Take(lease),
+                OrderLeaseAction::Renew { lease } => Call::Renew(lease),
+                OrderLeaseAction::End { lease } => Call::End(lease),
             };
             let life = self.hosts[host].life;
             self.flights.insert(Flight { host, life, sent: now, call, is_given_up: false });
@@ -189,13 +189,13 @@
         over.into_iter().for_each(|lease| self.store.end(lease));
         for host in 0..self.hosts.len() {
             if !self.hosts[host].is_paused {
-                self.tell(host, TenureEvent::Tick);
+                self.tell(host, OrderLeaseEvent::Tick);
             }
         }
     }
 
     /// The store carries the call out; what it answers.
-    fn carry_out(&mut self, flight: Flight) -> Option<TenureEvent> {
+    fn carry_out(&mut self, flight: Flight) -> Option<OrderLeaseEvent> {
         let until = self.now + TTL_MS;
         match flight.call {
             Call::Grant => {
@@ -203,7 +203,7 @@
                 self.next_lease += 1;
                 self.store.leases.insert(lease.id, until);
                 let ttl_ms = if self.options.covered { TTL_MS } else { FOREVER_MS };
-                Some(TenureEvent::Granted { sent: flight.sent, lease, ttl_ms })
+                Some(OrderLeaseEvent::Granted { sent: flight.sent, lease, ttl_ms })
             }
             Call::Take(lease) => Some(self.take(flight.host, lease)),
             Call::Renew(lease) => {
@@ -211,10 +211,10 @@
                 let is_there = end.map(|end| *end = until).is_some();
                 Some(match is_there {
                     _ if self.options.knows_leases && lease.era != self.told_era() => {
-                        TenureEvent::RenewFailed
+                        OrderLeaseEvent::RenewFailed
                     }
-                    true => TenureEvent::Renewed { sent: flight.sent },
-                    false => TenureEvent::LeaseOver,
+                    true => OrderLeaseEvent::Renewed { sent: flight.sent },
+                    false => OrderLeaseEvent::LeaseExpired,
                 })
             }
             Call::End(lease) => {
@@ -225,19 +225,19 @@
     }
 
     /// A key that was written under a lease of an era that is over is removed.
-    fn take(&mut self, host: usize, lease: LeaseId) -> TenureEvent {
+    fn take(&mut self, host: usize, lease: LeaseId) -> OrderLeaseEvent {
         if self.store.key.is_some() || !self.store.leases.contains_key(&lease.id) {
-            return TenureEvent::NotTaken;
+            return OrderLeaseEvent::KeyNotWritten;
         }
         self.store.number += 1;
         if lease.era != self.told_era() {
             self.store.remove();
-            return TenureEvent::NotTaken;
+            return OrderLeaseEvent::KeyNotWritten;
         }
         let number = self.store.number;
         self.store.key = Some(Key { host, lease: lease.id, number });
         let era = if self.options.tokens_rise { self.told_era() } else { Era(0) };
-        TenureEvent::Taken(Revision::new(era, number))
+        OrderLeaseEvent::KeyWritten(Revision::new(era, number))
     }
 
     /// The era that hosts are told.
@@ -279,9 +279,9 @@
     /// The sender hears nothing; the call is still to be done.
     fn given_up(&self, flight: Flight) -> Option<Self> {
         let event = match flight.call {
-            Call::Grant => TenureEvent::GrantFailed,
-            Call::Take(_) => TenureEvent::NotTaken,
-            Call::Renew(_) => TenureEvent::RenewFailed,
+            Call::Grant => OrderLeaseEvent::GrantFailed,
+            Call::Take(_) => OrderLeaseEvent::KeyNotWritten,
+            Call::Renew(_) => OrderLeaseEvent::RenewFailed,
             Call::End(_) => return None,
         };
         let mut next = self.clone();
@@ -293,9 +293,9 @@
     }
 }
 
-fn tenure(options: Options, now: Tick) -> Tenure {
+fn tenure(options: Options, now: Tick) -> OrderLease {
     let resettle_ms = if options.resettles { TURNS_MS } else { 0 };
-    Tenure::new(now, TenureOptions { ttl_ms: TTL_MS, settle_ms: 0, resettle_ms })
+    OrderLease::new(now, OrderLeaseOptions { ttl_ms: TTL_MS, settle_ms: 0, resettle_ms })
 }
 
 fn name(host: usize) -> Name {
@@ -368,12 +368,12 @@
         if is_return {
             let own = key.filter(|key| key.host == host);
             let own = own.map(|key| Revision::new(era, key.number));
-            self.tell(host, TenureEvent::Returned { era, own });
+            self.tell(host, OrderLeaseEvent::StoreRestored { era, own_key: own });
         } else {
             let now = self.now;
             self.hosts[host].tenure.set_era(now, era);
         }
-        self.tell(host, TenureEvent::HolderSeen(key.map(|key| name(key.host))));
+        self.tell(host, OrderLeaseEvent::HolderSeen(key.map(|key| name(key.host))));
     }
 
     fn host_steps(&self, host: usize, steps: &mut Steps<Self>) {
--- a/crates/gateway/src/hub.rs
+++ b/crates/gateway/src/hub.rs
@@ -29,7 +29,9 @@
 };
 use vanetally_limit::News;
 use vanetally_link::peer::Links;
-use vanetally_placement::{self as placement, Placement, Tenure, TenureEvent, TenureOptions};
+use vanetally_placement::{
+    self as placement, OrderLease, OrderLeaseEvent, OrderLeaseOptions, Placement,
+};
 use vanetally_ports::{Configuration, Era, Ports, Refusal, UpstreamState};
 use vanetally_quarantine::{ContentHash, CrashEvidence};
 use vanetally_types::{Incarnation, Name, Tick};
@@ -94,7 +96,7 @@
     /// Whether the decisions know that the store has answered.
     has_store: Cell<bool>,
     pub placement: RefCell<Placement>,
-    pub tenure: RefCell<Tenure>,
+    pub tenure: RefCell<OrderLease>,
     pub holder: RefCell<Option<Name>>,
     pub peers: RefCell<BTreeMap<Name, HostEntry>>,
     /// Hosts whose keys a copy of the store lacks, and until when they are waited for.
@@ -154,13 +156,15 @@
             grace_ms: bounds.grace_ms,
             revoke_ms: bounds.revoke_ms,
         };
-        let tenure = TenureOptions {
+        let tenure = OrderLeaseOptions {
             ttl_ms: ORDER_TTL_MS.max(settings.store.min_ttl_ms),
             settle_ms: SETTLE_MS,
             resettle_ms: bounds.order_lease_ms + SETTLE_MS,
         };
-        let placement =
-            placement::Options { holder: settings.host.clone(), window_ms: bounds.load_window_ms };
+        let placement = placement::Options {
+            holder: settings.host.clone(),
+            load_window_ms: bounds.load_window_ms,
+        };
         let clock = Clock::starting_at(clock::ORIGIN);
         Rc::new(Self {
             clock,
@@ -173,7 +177,7 @@
             dispatch: RefCell::new(Dispatch::new(clock.now(), options)),
             has_store: Cell::new(false),
             placement: RefCell::new(Placement::new(placement)),
-            tenure: RefCell::new(Tenure::new(clock.now(), tenure)),
+            tenure: RefCell::new(OrderLease::new(clock.now(), tenure)),
             holder: RefCell::new(None),
             peers: RefCell::new(BTreeMap::new()),
             lapsed: RefCell::default(),
@@ -381,7 +385,7 @@
             self.request_event(dispatch::Event::StoreAnswered);
         }
         self.request_event(dispatch::Event::Tick);
-        self.tenure_event(TenureEvent::Tick);
+        self.tenure_event(OrderLeaseEvent::Tick);
         self.review_lapsed();
         self.follow_tick();
         self.probe_store();
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -48,7 +48,11 @@
             PeerMessage::Ended { upstream, is_good } => self.told_end(from, &upstream, is_good),
             PeerMessage::Want { service, model, adapter, is_crowded } => {
                 let subject = ModelRef { model, adapter };
-                self.placement_event(placement::Event::Wanted { service, subject, is_crowded });
+                self.placement_event(placement::Event::Requested {
+                    service,
+                    subject,
+                    is_saturated: is_crowded,
+                });
             }
             PeerMessage::Placed { ref runner, ref model, ref adapter, is_present } => {
                 self.pass_on_placed(from, &message);
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -8,7 +8,7 @@
 };
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use vanetally_dispatch::{self as dispatch, Presence};
-use vanetally_placement::{self as placement, Basis, TenureEvent};
+use vanetally_placement::{self as placement, KnownState, OrderLeaseEvent};
 use vanetally_ports::{Era, FormatError, Item, ModelRef, Order, OrderOutcome};
 use vanetally_types::{Incarnation, Name};
 
@@ -26,7 +26,11 @@
             holder.as_deref().unwrap_or("-")
         );
         if is_holder {
-            self.placement_event(placement::Event::Wanted { service, subject, is_crowded });
+            self.placement_event(placement::Event::Requested {
+                service,
+                subject,
+                is_saturated: is_crowded,
+            });
         } else if let Some(holder) = holder {
             let ModelRef { model, adapter } = subject;
             self.send(&holder, &PeerMessage::Want { service, model, adapter, is_crowded });
@@ -41,7 +45,7 @@
         *self.holder.borrow_mut() = holder.clone();
         self.quotas.borrow_mut().asker.set_grantor(holder.clone());
         self.limits.borrow_mut().contact.set_grantor(holder.clone());
-        self.tenure_event(TenureEvent::HolderSeen(holder));
+        self.tenure_event(OrderLeaseEvent::HolderSeen(holder));
     }
 
     /// The store came back from a copy, in which `key` names the holder.
@@ -49,7 +53,7 @@
         let own = key.filter(|key| holder_name(key).as_ref() == Some(&self.settings.host));
         let own = own.map(|key| key.revision);
         let was_holder = self.tenure.borrow().is_holding(self.clock.now());
-        self.tenure_event(TenureEvent::Returned { era, own });
+        self.tenure_event(OrderLeaseEvent::StoreRestored { era, own_key: own });
         if was_holder {
             let is_kept = self.tenure.borrow().is_holding(self.clock.now());
             log::warn!("event=order_key_returned era={era} kept={is_kept}");
@@ -57,7 +61,7 @@
     }
 
     /// Tells the tenure what happened, and makes the calls that it asks for.
-    pub(crate) fn tenure_event(self: &Rc<Self>, event: TenureEvent) {
+    pub(crate) fn tenure_event(self: &Rc<Self>, event: OrderLeaseEvent) {
         let now = self.clock.now();
         let actions = self.tenure.borrow_mut().handle(now, event);
         for action in actions {
@@ -82,10 +86,10 @@
 
     fn place(self: &Rc<Self>, action: placement::Action) {
         match action {
-            placement::Action::Order { order, address, basis } => {
-                tokio::task::spawn_local(give_order(self.clone(), order, address, basis));
+            placement::Action::Order { order, address, known } => {
+                tokio::task::spawn_local(give_order(self.clone(), order, address, known));
             }
-            placement::Action::AskReport { runner, address } => {
+            placement::Action::RequestReport { runner, address } => {
                 tokio::task::spawn_local(ask_report(self.clone(), runner, address));
             }
             placement::Action::Announce { runner, subject, is_present, delay_ms } => {
@@ -97,7 +101,7 @@
                     hub.announce(runner, subject, is_present);
                 });
             }
-            placement::Action::Resign => self.tenure_event(TenureEvent::Fenced),
+            placement::Action::Resign => self.tenure_event(OrderLeaseEvent::Fenced),
         }
     }
 
@@ -139,11 +143,11 @@
     }
 }
 
-async fn give_order(hub: Rc<Hub>, order: Order, address: SocketAddr, basis: Basis) {
+async fn give_order(hub: Rc<Hub>, order: Order, address: SocketAddr, known: KnownState) {
     if hub.rests(&order.runner, ORDER).await {
         // Its token and what it rests on may be out of date by now.
         let outcome = OrderOutcome::NotSent;
-        return hub.placement_event(placement::Event::Ordered { order, outcome });
+        return hub.placement_event(placement::Event::OrderAnswered { order, outcome });
     }
     log::info!(
         "event=order_sent runner={} operation={} model={} adapter={} count={} token={} \
@@ -154,9 +158,9 @@
         order.subject.adapter.as_deref().unwrap_or("-"),
         order.orders_before,
         order.token,
-        basis.models.join(","),
-        basis.adapters,
-        basis.report_age_ms
+        known.models.join(","),
+        known.adapters,
+        known.report_age_ms
     );
     let request = hub.ports.engine.order_request(&order);
     let outcome = match call::call(&hub.control, address, request, ORDER).await {
@@ -175,13 +179,17 @@
         outcome.as_str()
     );
     telemetry::ordered(outcome);
-    hub.placement_event(placement::Event::Ordered { order, outcome });
+    hub.placement_event(placement::Event::OrderAnswered { order, outcome });
 }
 
 async fn ask_report(hub: Rc<Hub>, runner: Incarnation, address: SocketAddr) {
     if hub.rests(&runner, REPORT).await {
         let asked = hub.clock.now();
-        return hub.placement_event(placement::Event::Reported { runner, asked, report: None });
+        return hub.placement_event(placement::Event::Reported {
+            runner,
+            requested_at: asked,
+            report: None,
+        });
     }
     let asked = hub.clock.now();
     let request = hub.ports.engine.report_request(&runner);
@@ -205,5 +213,9 @@
             log::info!("event=report_of_another runner={runner} born={born}");
         }
     }
-    hub.placement_event(placement::Event::Reported { runner, asked, report: report.ok() });
+    hub.placement_event(placement::Event::Reported {
+        runner,
+        requested_at: asked,
+        report: report.ok(),
+    });
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -14,7 +14,7 @@
 use vanetally_fanout::{HostIncarnation, Patch, Path, StoreState};
 use vanetally_limit::{Answer as Permit, Question};
 use vanetally_pacing::{Prompt, SlotReply};
-use vanetally_placement::TenureEvent;
+use vanetally_placement::OrderLeaseEvent;
 use vanetally_ports::{Change, Item, Revision};
 use vanetally_quarantine::{ContentHash, CrashReport, Quarantine};
 use vanetally_quota::Answer;
@@ -330,7 +330,7 @@
     }
 
     fn lost(&self) {
-        self.hub.tenure_event(TenureEvent::StoreLost);
+        self.hub.tenure_event(OrderLeaseEvent::StoreLost);
     }
 }
 
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -28,7 +28,7 @@
     time::{interval, sleep},
 };
 use vanetally_link::peer::{self, Links};
-use vanetally_placement::TenureEvent;
+use vanetally_placement::OrderLeaseEvent;
 use vanetally_ports::{Change, Ports};
 use vanetally_types::{HostId, Name};
 
@@ -239,7 +239,7 @@
     log::info!("event=stop_begun open_requests={}", hub.open_requests());
     hub.stage.send_replace(Stage::Leaving);
     hub.request_event(vanetally_dispatch::Event::Stopping);
-    hub.tenure_event(TenureEvent::Stop);
+    hub.tenure_event(OrderLeaseEvent::Stop);
     while hub.clock.now() < after(CLOSE_SHARE) {
         sleep(TICK).await;
     }
--- a/crates/gateway/src/upkeep.rs
+++ b/crates/gateway/src/upkeep.rs
@@ -20,7 +20,7 @@
     fn log_placement(&self) {
         let summary = self.placement.borrow().summary(self.clock.now());
         let models = summary.iter().map(|model| {
-            let (load, holding, coming) = (model.load, model.holding, model.coming);
+            let (load, holding, coming) = (model.load, model.holders, model.loading);
             format!("{}:{load:.2}:{holding}+{coming}", model.model)
         });
         let runners = self.placement.borrow().runners();
@@ -28,8 +28,8 @@
         let obstacles = obstacles.map(|(why, count)| format!("{}:{count}", why.as_str()));
         log::info!(
             "event=placement open={} making_room={} obstacles={} free_places={} models={}",
-            runners.open,
-            runners.making_room,
+            runners.available,
+            runners.evicting,
             obstacles.collect::<Vec<_>>().join(","),
             runners.free_places,
             models.collect::<Vec<_>>().join(",")
--- a/crates/placement/src/adapters.rs
+++ b/crates/placement/src/adapters.rs
@@ -1,6 +1,6 @@
 //! Adapters that hosts miss are brought to a runner that holds their model.
 
-use crate::{Action, Placement, Room, machine::announce};
+use crate::{Action, Fit, Placement, machine::announce};
 use vanetally_ports::{EngineSpec, FencingToken, ModelRef, Operation, Subject};
 use vanetally_types::{Incarnation, Name, Tick};
 
@@ -44,7 +44,8 @@
         {
             return;
         }
-        let Some(runner) = self.runner_for_adapter(service, engine, &subject, Room::Full) else {
+        let Some(runner) = self.runner_for_adapter(service, engine, &subject, Fit::NeedsEviction)
+        else {
             return;
         };
         let victim =
@@ -70,7 +71,7 @@
         subject: Subject,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let runner = self.runner_for_adapter(service, engine, &subject, Room::Fits);
+        let runner = self.runner_for_adapter(service, engine, &subject, Fit::Fits);
         let Some(runner) = runner else {
             return false;
         };
@@ -120,7 +121,7 @@
         service: &Name,
         engine: &EngineSpec,
         subject: &Subject,
-        room: Room,
+        room: Fit,
     ) -> Option<Incarnation> {
         let fitting = self.ledgers.iter().filter(|(runner, ledger)| {
             let closing = Subject { model: subject.model.clone(), adapter: None };
--- a/crates/placement/src/capacity.rs
+++ b/crates/placement/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Room for weights and adapters on a runner.
+//! Fit for weights and adapters on a runner.
 
 use crate::Ledger;
 use std::collections::BTreeMap;
@@ -7,16 +7,16 @@
 
 /// Whether something fits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Room {
+pub enum Fit {
     /// It fits.
     Fits,
     /// It would fit if something made way.
-    Full,
+    NeedsEviction,
     /// It never fits there.
     Never,
 }
 
-/// Room for weights on a runner of one service.
+/// Fit for weights on a runner of one service.
 pub(crate) struct Capacity<'a> {
     engine: &'a EngineSpec,
     /// Megabytes for models: what adapters may need is kept back.
--- a/crates/placement/src/census.rs
+++ b/crates/placement/src/census.rs
@@ -37,7 +37,7 @@
     pub idle_ms: u64,
     pub replicas: Replicas,
     /// Whether callers wait though it is held.
-    pub is_crowded: bool,
+    pub is_saturated: bool,
     /// Whether its holders have no place for an adapter that is missed.
     pub is_cramped: bool,
     /// Open runners that have a copy of their own, as indices.
@@ -143,7 +143,7 @@
             load: basis.demand.model_load(basis.now, basis.service, name),
             idle_ms: basis.now.since(basis.demand.model_last(basis.service, name)),
             replicas: Replicas::default(),
-            is_crowded: basis.crowded.contains_key(&(basis.service.clone(), name.clone())),
+            is_saturated: basis.crowded.contains_key(&(basis.service.clone(), name.clone())),
             is_cramped: basis.cramped.contains_key(&(basis.service.clone(), name.clone())),
             at_hand: Vec::new(),
         }
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -12,7 +12,7 @@
     /// This host, as runners are told.
     pub holder: Name,
     /// Window of the weight store's rate, in milliseconds.
-    pub window_ms: u64,
+    pub load_window_ms: u64,
 }
 
 /// Requests for one model or adapter at one host, since its last sample.
@@ -53,25 +53,25 @@
     /// A host told what is asked of it.
     Demand(Vec<DemandSample>),
     /// A host misses a model or an adapter.
-    Wanted {
+    Requested {
         /// The service.
         service: Name,
         /// What is missing.
         subject: ModelRef,
         /// Whether it is held, and one more copy is wanted.
-        is_crowded: bool,
+        is_saturated: bool,
     },
     /// A runner told what it holds.
     Reported {
         /// The runner.
         runner: Incarnation,
         /// When it was asked.
-        asked: Tick,
+        requested_at: Tick,
         /// What it said; none if it did not answer.
         report: Option<Report>,
     },
     /// A runner answered an order.
-    Ordered {
+    OrderAnswered {
         /// The order.
         order: Order,
         /// The answer.
@@ -85,7 +85,7 @@
 
 /// What was believed of a runner when an order was given to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Basis {
+pub struct KnownState {
     /// Models that are there or on their way.
     pub models: Vec<Name>,
     /// Adapters that are there or on their way.
@@ -104,10 +104,10 @@
         /// Where the runner listens.
         address: SocketAddr,
         /// What the order rests on.
-        basis: Basis,
+        known: KnownState,
     },
     /// Ask a runner for its report.
-    AskReport {
+    RequestReport {
         /// The runner.
         runner: Incarnation,
         /// Where it listens.
@@ -124,6 +124,6 @@
         /// Not before this many milliseconds have passed.
         delay_ms: u64,
     },
-    /// A runner has seen a higher token: the tenure is over.
+    /// A runner has seen a higher token: the order_lease is over.
     Resign,
 }
--- a/crates/placement/src/ledger.rs
+++ b/crates/placement/src/ledger.rs
@@ -1,6 +1,6 @@
 //! What one runner holds, fetches and may be about to fetch.
 
-use crate::{Basis, Obstacle, Room, capacity::Capacity, strays::Strays};
+use crate::{Fit, KnownState, Obstacle, capacity::Capacity, strays::Strays};
 use std::collections::{BTreeMap, BTreeSet};
 use vanetally_ports::{EngineSpec, HeldModel, Operation, Order, Report, Subject, UpstreamState};
 use vanetally_types::{Name, Tick};
@@ -37,7 +37,7 @@
     at_hand: BTreeSet<Name>,
     asked: Option<Tick>,
     /// Whether a report is needed before the next order.
-    is_doubtful: bool,
+    needs_report: bool,
     /// Whether what the runner announces now can't be read.
     is_unreadable: bool,
     last_report: Tick,
@@ -109,7 +109,7 @@
             strays: Strays::default(),
             at_hand: state.at_hand.iter().cloned().collect(),
             asked: None,
-            is_doubtful: true,
+            needs_report: true,
             is_unreadable: false,
             last_report: Tick(0),
             answered: None,
@@ -129,7 +129,7 @@
             .as_ref()
             .is_some_and(|loading| state.models.iter().any(|held| held.name == loading.model));
         if state.orders_taken > count || has_arrived {
-            self.is_doubtful = true;
+            self.needs_report = true;
         }
         self.state = state;
         if !self.is_known() {
@@ -199,13 +199,13 @@
         if !report.at_hand.is_empty() {
             self.at_hand = report.at_hand.iter().cloned().collect();
         }
-        self.is_doubtful = false;
+        self.needs_report = false;
         true
     }
 
     /// Whether a report should be asked for now; notes that it is.
     pub fn try_ask(&mut self, now: Tick) -> bool {
-        let is_due = self.is_doubtful
+        let is_due = self.needs_report
             || self.has_unknown_order
             || self.pending.as_ref().is_some_and(|(_, sent)| now.since(*sent) > ORDER_TIMEOUT_MS)
             || self.loading.as_ref().is_some_and(|loading| now >= loading.due)
@@ -234,8 +234,8 @@
             Some(Obstacle::Unreadable)
         } else if self.pending.is_some() {
             Some(Obstacle::Unanswered)
-        } else if self.count.is_none() || self.is_doubtful {
-            Some(Obstacle::Doubtful)
+        } else if self.count.is_none() || self.needs_report {
+            Some(Obstacle::NeedsReport)
         } else if self.has_unknown_order {
             Some(Obstacle::UnknownOrder)
         } else if self.loading.is_some() {
@@ -302,7 +302,7 @@
     /// The order was not taken, and never will be.
     pub fn order_refused(&mut self, order: &Order) {
         self.close(order);
-        self.is_doubtful = true;
+        self.needs_report = true;
     }
 
     /// The order was answered.
@@ -321,7 +321,7 @@
 
     /// The next report has to tell how things stand.
     pub(crate) fn doubt(&mut self) {
-        self.is_doubtful = true;
+        self.needs_report = true;
     }
 
     /// Whether the runner holds the model's weights, and keeps them.
@@ -411,26 +411,26 @@
     }
 
     /// Whether the model's weights fit beside all that is there or on its way.
-    pub fn room_for_model(&self, engine: &EngineSpec, model: &Name) -> Room {
+    pub fn room_for_model(&self, engine: &EngineSpec, model: &Name) -> Fit {
         let Some(spec) = engine.models.get(model) else {
-            return Room::Never;
+            return Fit::Never;
         };
         let capacity = Capacity::of(engine);
         if spec.weights_mb > capacity.models_mb {
-            return Room::Never;
+            return Fit::Never;
         }
         let fits = spec.weights_mb <= capacity.free_mb(self);
-        if fits { Room::Fits } else { Room::Full }
+        if fits { Fit::Fits } else { Fit::NeedsEviction }
     }
 
     /// Whether one more adapter fits beside all that are there or on their way.
-    pub fn room_for_adapter(&self, engine: &EngineSpec) -> Room {
+    pub fn room_for_adapter(&self, engine: &EngineSpec) -> Fit {
         let strays = self.strays.adapter_count(self.count);
         let taken = self.adapters().count() + self.coming.len() + strays;
         match (taken < engine.max_adapters as usize, self.coming.len() < MOST_COMING) {
-            (true, true) => Room::Fits,
-            (_, true) => Room::Full,
-            (_, false) => Room::Never,
+            (true, true) => Fit::Fits,
+            (_, true) => Fit::NeedsEviction,
+            (_, false) => Fit::Never,
         }
     }
 
@@ -440,8 +440,8 @@
     }
 
     /// What is believed now.
-    pub fn basis(&self, now: Tick) -> Basis {
-        Basis {
+    pub fn known_state(&self, now: Tick) -> KnownState {
+        KnownState {
             models: self.models().cloned().collect(),
             adapters: self.adapter_count(),
             report_age_ms: now.since(self.last_report),
@@ -450,7 +450,7 @@
 
     /// Whether a load of weights was ordered and no answer came: it may begin at any moment.
     pub(crate) fn has_lost_load(&self) -> bool {
-        self.is_doubtful && self.open_load().is_some()
+        self.needs_report && self.open_load().is_some()
     }
 
     /// The load of weights whose answer is not known.
--- a/crates/placement/src/load_limit.rs
+++ b/crates/placement/src/load_limit.rs
@@ -5,7 +5,7 @@
 
 /// Loads that began, or may yet begin, within a sliding window.
 #[derive(Clone, Debug)]
-pub struct Ceiling {
+pub struct LoadLimit {
     window_ms: u64,
     most: usize,
     begun: VecDeque<Tick>,
@@ -13,8 +13,8 @@
 
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-impl Ceiling {
-    /// A ceiling of `per_second` loads over windows of `window_ms`, of which `begun` may have begun
+impl LoadLimit {
+    /// A load_limit of `per_second` loads over windows of `window_ms`, of which `begun` may have begun
     /// just now; all of them if that is not known.
     pub fn new(now: Tick, per_second: f64, window_ms: u64, begun: Option<usize>) -> Self {
         let most = (per_second * window_ms as f64 / MILLIS_PER_SECOND) as usize;
--- a/crates/placement/src/machine.rs
+++ b/crates/placement/src/machine.rs
@@ -1,7 +1,7 @@
 //! The state machine of the holder of orders.
 
 use crate::{
-    Action, Ceiling, Event, Ledger, Options, Reservation, demand::DemandTable, strays::Strays,
+    Action, Event, Ledger, LoadLimit, Options, Reservation, demand::DemandTable, strays::Strays,
 };
 use std::{
     collections::{BTreeMap, HashMap, btree_map::Entry},
@@ -28,7 +28,7 @@
     last_token: Option<FencingToken>,
     /// When the next round of the plan may begin.
     round_at: Tick,
-    pub(crate) ceilings: HashMap<Name, Ceiling>,
+    pub(crate) load_limits: HashMap<Name, LoadLimit>,
     pub(crate) wanted: BTreeMap<(Name, ModelRef), Tick>,
     /// Models of which all replicas are taken while callers wait, and when that was last told.
     pub(crate) crowded: BTreeMap<(Name, Name), Tick>,
@@ -82,7 +82,7 @@
             token_since: Tick(0),
             last_token: None,
             round_at: Tick(0),
-            ceilings: HashMap::new(),
+            load_limits: HashMap::new(),
             wanted: BTreeMap::new(),
             crowded: BTreeMap::new(),
             cramped: BTreeMap::new(),
@@ -109,7 +109,7 @@
             Event::Demand(samples) => {
                 samples.iter().for_each(|sample| self.demand.add(now, sample));
             }
-            Event::Wanted { service, subject, is_crowded: true } => {
+            Event::Requested { service, subject, is_saturated: true } => {
                 if subject.adapter.is_none() {
                     self.crowded.insert((service, subject.model), now);
                 } else if let Entry::Vacant(entry) =
@@ -119,7 +119,7 @@
                     self.order_wanted(now, &service, &subject, true, &mut actions);
                 }
             }
-            Event::Wanted { service, subject, is_crowded: false } => {
+            Event::Requested { service, subject, is_saturated: false } => {
                 self.demand.touch(now, &service, &subject, 0.0);
                 self.tell_present(now, &service, &subject, &mut actions);
                 let last = self.wanted.insert((service.clone(), subject.clone()), now);
@@ -128,10 +128,12 @@
                     self.order_wanted(now, &service, &subject, false, &mut actions);
                 }
             }
-            Event::Reported { runner, asked, report } => {
-                self.reported(now, &runner, asked, report, &mut actions);
+            Event::Reported { runner, requested_at, report } => {
+                self.reported(now, &runner, requested_at, report, &mut actions);
+            }
+            Event::OrderAnswered { order, outcome } => {
+                self.ordered(now, &order, outcome, &mut actions)
             }
-            Event::Ordered { order, outcome } => self.ordered(now, &order, outcome, &mut actions),
             Event::Token(token) => self.set_token(now, token),
             Event::Tick => self.tick(now, &mut actions),
         }
@@ -205,7 +207,7 @@
         self.closing.clear();
         self.reserved.clear();
         // An earlier holder may have begun loads: the books are in doubt.
-        self.ceilings.clear();
+        self.load_limits.clear();
         self.token_since = now;
         for ledger in self.ledgers.values_mut() {
             ledger.begin_anew(now);
@@ -244,7 +246,7 @@
             let is_engine = service.is_some_and(|service| service.engine.is_some());
             if is_engine && !ledger.state.draining && ledger.try_ask(now) {
                 let address = ledger.state.address;
-                actions.push(Action::AskReport { runner: runner.clone(), address });
+                actions.push(Action::RequestReport { runner: runner.clone(), address });
             }
         }
     }
@@ -273,7 +275,7 @@
         now: Tick,
         service: &Name,
         subject: &ModelRef,
-        is_crowded: bool,
+        is_saturated: bool,
         actions: &mut Vec<Action>,
     ) {
         let (Some(token), Some(configuration)) = (self.token, self.configuration.clone()) else {
@@ -284,7 +286,7 @@
             return;
         };
         let subject = Subject { model: subject.model.clone(), adapter: subject.adapter.clone() };
-        match (&subject.adapter, is_crowded) {
+        match (&subject.adapter, is_saturated) {
             (Some(_), true) => {
                 // Without room for one more, the present copies have to do.
                 self.copy_adapter(now, token, service, engine, subject, actions);
@@ -342,12 +344,12 @@
             holder: self.options.holder.clone(),
             token,
         };
-        let basis = ledger.basis(now);
+        let known = ledger.known_state(now);
         ledger.order_sent(now, order.clone());
         if operation == Operation::Unload && order.subject.adapter.is_some() {
             actions.push(announce(runner, &order.subject, false, 0));
         }
-        actions.push(Action::Order { order, address: ledger.state.address, basis });
+        actions.push(Action::Order { order, address: ledger.state.address, known });
     }
 
     fn ordered(
--- a/crates/placement/src/obstacle.rs
+++ b/crates/placement/src/obstacle.rs
@@ -10,7 +10,7 @@
     /// An order to it was not answered.
     Unanswered,
     /// A report is needed first.
-    Doubtful,
+    NeedsReport,
     /// It carries out an order that is not known here.
     UnknownOrder,
     /// Weights come.
@@ -26,7 +26,7 @@
             Self::Leaving => "leaving",
             Self::Unreadable => "unreadable",
             Self::Unanswered => "unanswered",
-            Self::Doubtful => "doubtful",
+            Self::NeedsReport => "doubtful",
             Self::UnknownOrder => "unknown_order",
             Self::Loading => "loading",
             Self::Unloading => "unloading",
--- a/crates/placement/src/order_lease.rs
+++ b/crates/placement/src/order_lease.rs
@@ -13,9 +13,9 @@
 use vanetally_ports::{Era, FencingToken, LeaseId, Revision};
 use vanetally_types::{Name, Tick};
 
-/// Lengths of a tenure.
+/// Lengths of a order_lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct TenureOptions {
+pub struct OrderLeaseOptions {
     /// How long the store keeps the key after the last renewal, in milliseconds.
     pub ttl_ms: u64,
     /// How long a holder waits before its first order, in milliseconds.
@@ -25,19 +25,19 @@
     pub resettle_ms: u64,
 }
 
-/// Something that happened to the tenure.
+/// Something that happened to the order_lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum TenureEvent {
+pub enum OrderLeaseEvent {
     /// The store tells who holds the key now.
     HolderSeen(Option<Name>),
     /// The store can't be asked: what it told before may be old.
     StoreLost,
     /// The store came back from a copy: all that it told before may be gone.
-    Returned {
+    StoreRestored {
         /// The era that began.
         era: Era,
         /// Where the key that the copy has was written, if it names this host.
-        own: Option<Revision>,
+        own_key: Option<Revision>,
     },
     /// A lease was granted; the call was sent at `sent`.
     Granted {
@@ -51,9 +51,9 @@
     /// No lease was granted.
     GrantFailed,
     /// The key was written under the lease.
-    Taken(Revision),
+    KeyWritten(Revision),
     /// The key was not written, or it is not known.
-    NotTaken,
+    KeyNotWritten,
     /// The lease was renewed; the call was sent at `sent`.
     Renewed {
         /// When the call was sent.
@@ -62,7 +62,7 @@
     /// The renewal was not answered.
     RenewFailed,
     /// The lease is over.
-    LeaseOver,
+    LeaseExpired,
     /// A runner has seen a higher token.
     Fenced,
     /// The host stops.
@@ -73,14 +73,14 @@
 
 /// A call to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum TenureAction {
+pub enum OrderLeaseAction {
     /// Ask for a lease.
     Grant {
         /// Its length in milliseconds.
         ttl_ms: u64,
     },
     /// Write the key under the lease, if nobody holds it.
-    Take {
+    WriteKey {
         /// The lease.
         lease: LeaseId,
     },
@@ -134,8 +134,8 @@
 
 /// Whether this host is the holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Tenure {
-    options: TenureOptions,
+pub struct OrderLease {
+    options: OrderLeaseOptions,
     state: State,
     /// Who holds the key, as far as the store told; `None` until it did.
     holder: Option<Option<Name>>,
@@ -164,10 +164,10 @@
 /// After the store's return the one that held the key tries first, for this long, in milliseconds.
 const FORMER_MS: u64 = 250;
 
-impl Tenure {
+impl OrderLease {
     /// A process that starts at `now` and knows nothing yet: an earlier life of this host may have
     /// been the holder until just before.
-    pub fn new(now: Tick, options: TenureOptions) -> Self {
+    pub fn new(now: Tick, options: OrderLeaseOptions) -> Self {
         Self {
             options,
             state: State::Following,
@@ -212,27 +212,31 @@
     }
 
     /// Takes in what happened; tells which calls to make.
-    pub fn handle(&mut self, now: Tick, event: TenureEvent) -> Vec<TenureAction> {
+    pub fn handle(&mut self, now: Tick, event: OrderLeaseEvent) -> Vec<OrderLeaseAction> {
         match event {
-            TenureEvent::HolderSeen(holder) => self.holder_seen(now, holder),
-            TenureEvent::StoreLost => self.holder = None,
-            TenureEvent::Returned { era, own } => return self.store_returned(now, era, own),
-            TenureEvent::Granted { sent, lease, ttl_ms } => {
+            OrderLeaseEvent::HolderSeen(holder) => self.holder_seen(now, holder),
+            OrderLeaseEvent::StoreLost => self.holder = None,
+            OrderLeaseEvent::StoreRestored { era, own_key } => {
+                return self.store_returned(now, era, own_key);
+            }
+            OrderLeaseEvent::Granted { sent, lease, ttl_ms } => {
                 return self.granted(now, sent, lease, ttl_ms);
             }
-            TenureEvent::GrantFailed => self.retry_later(now),
-            TenureEvent::Taken(revision) => self.taken(now, revision),
-            TenureEvent::NotTaken | TenureEvent::LeaseOver | TenureEvent::Fenced => {
+            OrderLeaseEvent::GrantFailed => self.retry_later(now),
+            OrderLeaseEvent::KeyWritten(revision) => self.taken(now, revision),
+            OrderLeaseEvent::KeyNotWritten
+            | OrderLeaseEvent::LeaseExpired
+            | OrderLeaseEvent::Fenced => {
                 return self.leave(now);
             }
-            TenureEvent::Renewed { sent } => self.renewed(sent),
-            TenureEvent::RenewFailed => self.renew_again(now),
-            TenureEvent::Stop => {
+            OrderLeaseEvent::Renewed { sent } => self.renewed(sent),
+            OrderLeaseEvent::RenewFailed => self.renew_again(now),
+            OrderLeaseEvent::Stop => {
                 let actions = self.leave(now);
                 self.state = State::Stopped;
                 return actions;
             }
-            TenureEvent::Tick => return self.tick(now),
+            OrderLeaseEvent::Tick => return self.tick(now),
         }
         Vec::new()
     }
@@ -246,7 +250,12 @@
     }
 
     /// The key, if it is still there, is this host's own only if nobody else can have had it since.
-    fn store_returned(&mut self, now: Tick, era: Era, own: Option<Revision>) -> Vec<TenureAction> {
+    fn store_returned(
+        &mut self,
+        now: Tick,
+        era: Era,
+        own_key: Option<Revision>,
+    ) -> Vec<OrderLeaseAction> {
         let State::Holding(holding) = &mut self.state else {
             self.set_era(now, era);
             self.next_try = self.next_try.max(now + FORMER_MS + self.rank * RANK_MS);
@@ -256,7 +265,7 @@
             return Vec::new();
         }
         let is_covered = now < holding.covered;
-        let is_there = own.is_some_and(|own| own.number == holding.taken.number);
+        let is_there = own_key.is_some_and(|key| key.number == holding.taken.number);
         let former = Former { era: holding.lease.era, covered: holding.covered };
         let lease = LeaseId::new(era, holding.lease.id);
         if is_there && is_covered {
@@ -269,15 +278,21 @@
         self.set_era(now, era);
         self.next_try = now;
         if is_there {
-            return vec![TenureAction::End { lease }];
+            return vec![OrderLeaseAction::End { lease }];
         }
         self.former = Some(former);
         Vec::new()
     }
 
-    fn granted(&mut self, now: Tick, sent: Tick, lease: LeaseId, ttl_ms: u64) -> Vec<TenureAction> {
+    fn granted(
+        &mut self,
+        now: Tick,
+        sent: Tick,
+        lease: LeaseId,
+        ttl_ms: u64,
+    ) -> Vec<OrderLeaseAction> {
         if self.state != State::Granting {
-            return vec![TenureAction::End { lease }];
+            return vec![OrderLeaseAction::End { lease }];
         }
         if lease.era < self.era {
             self.retry_later(now);
@@ -286,7 +301,7 @@
         self.set_era(now, lease.era);
         self.options.ttl_ms = ttl_ms;
         self.state = State::Taking { lease, covered: self.covered_from(sent) };
-        vec![TenureAction::Take { lease }]
+        vec![OrderLeaseAction::WriteKey { lease }]
     }
 
     fn covered_from(&self, sent: Tick) -> Tick {
@@ -307,7 +322,7 @@
 
     /// When nobody that held the key before `now` can act any more.
     fn settled_from(&mut self, now: Tick) -> Tick {
-        let TenureOptions { ttl_ms, settle_ms, resettle_ms } = self.options;
+        let OrderLeaseOptions { ttl_ms, settle_ms, resettle_ms } = self.options;
         if self.has_held {
             self.clear_from = now + resettle_ms;
         }
@@ -340,12 +355,12 @@
     }
 
     /// Gives up what is held or tried.
-    fn leave(&mut self, now: Tick) -> Vec<TenureAction> {
+    fn leave(&mut self, now: Tick) -> Vec<OrderLeaseAction> {
         self.next_try = now + RETRY_MS + self.rank * RANK_MS;
         self.former = None;
         match std::mem::replace(&mut self.state, State::Following) {
             State::Taking { lease, .. } | State::Holding(Holding { lease, .. }) => {
-                vec![TenureAction::End { lease }]
+                vec![OrderLeaseAction::End { lease }]
             }
             State::Stopped => {
                 self.state = State::Stopped;
@@ -355,15 +370,15 @@
         }
     }
 
-    fn tick(&mut self, now: Tick) -> Vec<TenureAction> {
+    fn tick(&mut self, now: Tick) -> Vec<OrderLeaseAction> {
         match &mut self.state {
             State::Following if self.holder == Some(None) && now >= self.next_try => {
                 self.state = State::Granting;
-                vec![TenureAction::Grant { ttl_ms: self.options.ttl_ms }]
+                vec![OrderLeaseAction::Grant { ttl_ms: self.options.ttl_ms }]
             }
             State::Holding(holding) if holding.renew_at.is_some_and(|at| now >= at) => {
                 holding.renew_at = None;
-                vec![TenureAction::Renew { lease: holding.lease }]
+                vec![OrderLeaseAction::Renew { lease: holding.lease }]
             }
             _ => Vec::new(),
         }
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -35,7 +35,7 @@
 
 /// A model and what one more replica of it gains, ordered by that; those for which callers wait come first.
 struct Need {
-    is_crowded: bool,
+    is_saturated: bool,
     gain: f64,
     model: usize,
 }
@@ -56,7 +56,7 @@
 
 impl Ord for Need {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        let waits = self.is_crowded.cmp(&other.is_crowded);
+        let waits = self.is_saturated.cmp(&other.is_saturated);
         let gains = waits.then_with(|| self.gain.total_cmp(&other.gain));
         gains.then_with(|| other.model.cmp(&self.model))
     }
@@ -131,9 +131,9 @@
     }
 
     fn lacks(&self, index: usize, but: usize) -> bool {
-        let Model { load, replicas, is_crowded, is_cramped, .. } = &self.models[index];
+        let Model { load, replicas, is_saturated, is_cramped, .. } = &self.models[index];
         let planned = replicas.planned.saturating_sub(but);
-        let crowded = if *is_crowded { worth::wanted_crowded(*replicas) } else { 0 };
+        let crowded = if *is_saturated { worth::wanted_crowded(*replicas) } else { 0 };
         let cramped = if *is_cramped { replicas.held + 1 } else { 0 };
         let wanted = worth::wanted(*load).max(crowded).max(cramped).min(self.runner_count);
         planned < wanted
@@ -143,10 +143,10 @@
         if !self.lacks(index, 0) {
             return None;
         }
-        let Model { load, idle_ms, replicas, is_crowded, is_cramped, .. } = &self.models[index];
+        let Model { load, idle_ms, replicas, is_saturated, is_cramped, .. } = &self.models[index];
         let gain = worth::gain(*load, *idle_ms, *replicas);
         let gain = if *is_cramped { gain.max(worth::CRAMPED_GAIN) } else { gain };
-        (gain > 0.0).then_some(Need { is_crowded: *is_crowded, gain, model: index })
+        (gain > 0.0).then_some(Need { is_saturated: *is_saturated, gain, model: index })
     }
 
     /// At most `most` steps, with at most `from_store` loads from the weight store among them.
@@ -158,11 +158,11 @@
         let most_busy = |share: f64| (self.runner_count as f64 * share).ceil() as usize;
         let (usual, crowded) = (most_busy(MOST_BUSY), most_busy(MOST_BUSY_CROWDED));
         while steps.len() < most
-            && let Some(Need { is_crowded, gain, model }) = needs.pop()
+            && let Some(Need { is_saturated, gain, model }) = needs.pop()
         {
             // A model that is nowhere is brought in any case.
             let is_extra = self.models[model].replicas.planned > 0;
-            let limit = if is_crowded { crowded } else { usual };
+            let limit = if is_saturated { crowded } else { usual };
             if is_extra && busy + steps.len() >= limit {
                 continue;
             }
--- a/crates/placement/src/summary.rs
+++ b/crates/placement/src/summary.rs
@@ -12,21 +12,21 @@
     /// Runner-seconds a second that are asked for.
     pub load: f64,
     /// Runners that hold it.
-    pub holding: usize,
+    pub holders: usize,
     /// Runners that are getting it.
-    pub coming: usize,
+    pub loading: usize,
 }
 
 /// Runners that can and can't be given orders about weights.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunnerSummary {
     /// Those that can.
-    pub open: usize,
+    pub available: usize,
     /// Those on which room is being made.
-    pub making_room: usize,
+    pub evicting: usize,
     /// Those that can't, by the reason.
     pub obstacles: BTreeMap<Obstacle, usize>,
-    /// Room for how many more of the smallest models there is on all of them.
+    /// Fit for how many more of the smallest models there is on all of them.
     pub free_places: usize,
 }
 
@@ -52,11 +52,11 @@
             engine.models.keys().map(|model| {
                 let (holding, coming) = counts.get(&(service, model)).copied().unwrap_or_default();
                 let load = self.demand.model_load(now, service, model);
-                ModelSummary { model: model.clone(), load, holding, coming }
+                ModelSummary { model: model.clone(), load, holders: holding, loading: coming }
             })
         });
         let models: Vec<ModelSummary> = models.collect();
-        models.into_iter().filter(|one| one.load > LEAST_LOAD || one.coming > 0).collect()
+        models.into_iter().filter(|one| one.load > LEAST_LOAD || one.loading > 0).collect()
     }
 
     /// Which runners can be given orders, and why others can't.
@@ -72,9 +72,9 @@
             match ledger.obstacle() {
                 Some(obstacle) => *summary.obstacles.entry(obstacle).or_default() += 1,
                 None if is_making_room || self.reserved.contains_key(name) => {
-                    summary.making_room += 1;
+                    summary.evicting += 1;
                 }
-                None => summary.open += 1,
+                None => summary.available += 1,
             }
             let least = engine.models.values().map(|spec| spec.weights_mb).fold(f64::MAX, f64::min);
             let free_mb = Capacity::of(engine).free_mb(ledger).max(0.0);
--- a/crates/placement/src/weights.rs
+++ b/crates/placement/src/weights.rs
@@ -1,7 +1,7 @@
 //! Weights come and go as the plan says, within the weight store's rate.
 
 use crate::{
-    Action, Ceiling, Placement, Room,
+    Action, Fit, LoadLimit, Placement,
     census::Basis,
     machine::announce,
     plan::{Round, Step},
@@ -15,11 +15,11 @@
 
 /// Steps of one round of the plan.
 const MOST_STEPS: usize = 16;
-/// Room that could not be made within this time is given up, in milliseconds: an unload waits for
+/// Fit that could not be made within this time is given up, in milliseconds: an unload waits for
 /// its runs.
 const RESERVED_MS: u64 = 10_000;
 
-/// Room that is being made on a runner.
+/// Fit that is being made on a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Reservation {
     /// The model that it is for.
@@ -62,14 +62,14 @@
     /// How many more loads from the weight store may begin.
     fn store_room(&mut self, now: Tick, service: &Name, engine: &EngineSpec) -> usize {
         let unsettled = self.ledgers.values().filter(|l| l.has_lost_load()).count();
-        let window = self.options.window_ms;
-        if !self.ceilings.contains_key(service)
-            && let Some(ceiling) = self.first_ceiling(now, service, engine, window)
+        let window = self.options.load_window_ms;
+        if !self.load_limits.contains_key(service)
+            && let Some(load_limit) = self.initial_load_limit(now, service, engine, window)
         {
-            self.ceilings.insert(service.clone(), ceiling);
+            self.load_limits.insert(service.clone(), load_limit);
         }
-        let ceiling = self.ceilings.get_mut(service);
-        ceiling.map_or(0, |ceiling| ceiling.room(now, unsettled))
+        let load_limit = self.load_limits.get_mut(service);
+        load_limit.map_or(0, |load_limit| load_limit.room(now, unsettled))
     }
 
     /// Orders the loads for which room was made; gives up the room that is not needed any more.
@@ -100,9 +100,9 @@
                 continue;
             }
             let is_open = ledger.next_count().is_some();
-            let has_room = ledger.room_for_model(engine, &model) == Room::Fits;
+            let has_room = ledger.room_for_model(engine, &model) == Fit::Fits;
             let is_at_hand = ledger.has_at_hand(&model);
-            // Room that was not made, or is not needed any more, is given up.
+            // Fit that was not made, or is not needed any more, is given up.
             let is_failed = is_open && !has_room;
             if is_failed || !is_needed || now.since(since) > RESERVED_MS {
                 self.reserved.remove(&runner);
@@ -116,17 +116,17 @@
         }
     }
 
-    /// The ceiling of a new holder; none while too few runners have reported.
+    /// The load_limit of a new holder; none while too few runners have reported.
     ///
     /// What an earlier holder began is seen from the runners: where loads from the weight store take
     /// longer than its window, those of the window are still under way.
-    fn first_ceiling(
+    fn initial_load_limit(
         &self,
         now: Tick,
         service: &Name,
         engine: &EngineSpec,
         window_ms: u64,
-    ) -> Option<Ceiling> {
+    ) -> Option<LoadLimit> {
         let own = || self.ledgers.values().filter(|l| l.state.service == *service);
         let silent = own().filter(|ledger| !ledger.is_known() && !ledger.state.draining).count();
         if silent > 0 && now.since(self.token_since) < REPORTS_MS {
@@ -136,7 +136,7 @@
         let outlasts = shortest * MILLIS_PER_SECOND > (window_ms + REPORTS_MS) as f64;
         let begun = own().filter(|ledger| ledger.has_unknown_order()).count() + silent;
         let begun = outlasts.then_some(begun);
-        Some(Ceiling::new(now, engine.loads_per_s, window_ms, begun))
+        Some(LoadLimit::new(now, engine.loads_per_s, window_ms, begun))
     }
 
     /// Carries a step out, or begins to.
@@ -156,9 +156,9 @@
             return;
         }
         if step.from_store
-            && let Some(ceiling) = self.ceilings.get_mut(service)
+            && let Some(load_limit) = self.load_limits.get_mut(service)
         {
-            ceiling.begin(now);
+            load_limit.begin(now);
         }
         self.order(now, token, &step.runner, Operation::Load, step.subject, actions);
     }
--- a/crates/placement/tests/crowding.rs
+++ b/crates/placement/tests/crowding.rs
@@ -24,7 +24,7 @@
 
 impl Fleet {
     fn new() -> Self {
-        let options = Options { holder: "front-1".into(), window_ms: 5_000 };
+        let options = Options { holder: "front-1".into(), load_window_ms: 5_000 };
         let mut fleet = Self {
             placement: Placement::new(options),
             now: START,
@@ -41,7 +41,7 @@
         for number in 0..RUNNERS {
             let report = Report { models: held(number), ..Report::default() };
             let (runner, asked) = (runner(number), fleet.now);
-            fleet.tell(Event::Reported { runner, asked, report: Some(report) });
+            fleet.tell(Event::Reported { runner, requested_at: asked, report: Some(report) });
         }
         fleet.orders.clear();
         fleet
@@ -54,14 +54,14 @@
                 if let Action::Order { order, .. } = action {
                     *self.taken.entry(order.runner.clone()).or_default() += 1;
                     self.orders.push(order.clone());
-                    events.push(Event::Ordered { order, outcome: OrderOutcome::Accepted });
+                    events.push(Event::OrderAnswered { order, outcome: OrderOutcome::Accepted });
                 }
             }
         }
     }
 
     /// Plays so long; `rising` is how much of the demand for the hot model comes on top, each second.
-    fn play(&mut self, millis: u64, rising: f64, is_crowded: bool) {
+    fn play(&mut self, millis: u64, rising: f64, is_saturated: bool) {
         for step in 0..millis / 100 {
             self.now = self.now + 100;
             let seconds = (step as f64) / 10.0;
@@ -70,9 +70,9 @@
                 sample(number, load)
             };
             self.tell(Event::Demand((0..MODELS).map(sample).collect()));
-            if is_crowded && step % 3 == 0 {
+            if is_saturated && step % 3 == 0 {
                 let subject = ModelRef { model: HOT.into(), adapter: None };
-                self.tell(Event::Wanted { service: "llm".into(), subject, is_crowded: true });
+                self.tell(Event::Requested { service: "llm".into(), subject, is_saturated: true });
             }
             self.tell(Event::Tick);
         }
--- a/crates/placement/tests/lives.rs
+++ b/crates/placement/tests/lives.rs
@@ -31,7 +31,7 @@
 /// The life `of` was asked, and `report` came.
 fn answer(holder: &mut Holder, of: u64, report: Report) {
     let asked = holder.now;
-    holder.tell(Event::Reported { runner: life(of), asked, report: Some(report) });
+    holder.tell(Event::Reported { runner: life(of), requested_at: asked, report: Some(report) });
 }
 
 fn by(born: u64, report: Report) -> Report {
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -259,7 +259,7 @@
     assert_eq!(holder.loads("m3")[0].runner, runner);
 }
 
-/// Room that is being made is given up when the model has come elsewhere.
+/// Fit that is being made is given up when the model has come elsewhere.
 #[test]
 fn needless_room_given_up() {
     let mut holder = Holder::new(&[("r1", &["m1", "m2"]), ("r2", &["m1", "m4"])]);
@@ -379,7 +379,7 @@
     holder.asked.clear();
     holder.pass(20);
     assert!(holder.asked.is_empty(), "nothing is in doubt: {:?}", holder.asked);
-    assert!(holder.placement.summary(holder.now).iter().all(|one| one.holding == 2));
+    assert!(holder.placement.summary(holder.now).iter().all(|one| one.holders == 2));
 }
 
 /// Another holder may have changed everything in between.
@@ -404,7 +404,7 @@
     holder.tell(Event::Tick);
     holder.demand("m1", 300);
     let summary = holder.placement.summary(holder.now);
-    assert_eq!(summary.iter().map(|one| one.holding).collect::<Vec<_>>(), [3]);
+    assert_eq!(summary.iter().map(|one| one.holders).collect::<Vec<_>>(), [3]);
     holder.report("r3", report(&["m1"], 4));
     holder.want("m1", None);
     holder.pass(ROUND_MS);
@@ -425,7 +425,7 @@
     let subject = ModelRef { model: "m1".into(), adapter: Some("a1".into()) };
     for _ in 0..3 {
         let subject = subject.clone();
-        holder.tell(Event::Wanted { service: "llm".into(), subject, is_crowded: true });
+        holder.tell(Event::Requested { service: "llm".into(), subject, is_saturated: true });
     }
     let copies: Vec<&Order> =
         holder.orders.iter().filter(|o| o.subject.adapter.is_some()).collect();
@@ -440,7 +440,7 @@
         holder.pass(20);
         holder.report("r4", report(&["m1", "m4"], 0));
         let subject = subject.clone();
-        holder.tell(Event::Wanted { service: "llm".into(), subject, is_crowded: true });
+        holder.tell(Event::Requested { service: "llm".into(), subject, is_saturated: true });
     }
     let copies = holder.orders.iter().filter(|o| o.subject.adapter.is_some()).count();
     assert_eq!(copies, 1, "{:?}", holder.orders);
--- a/crates/placement/tests/stray_walk.rs
+++ b/crates/placement/tests/stray_walk.rs
@@ -134,7 +134,7 @@
             let mut report = report(&self.models(), self.count);
             report.born = Some(self.born);
             let asked = self.holder.now;
-            self.holder.tell(Event::Reported { runner, asked, report: Some(report) });
+            self.holder.tell(Event::Reported { runner, requested_at: asked, report: Some(report) });
         }
     }
 
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -27,7 +27,7 @@
 impl Holder {
     /// A holder that knows the configuration and no runner.
     pub fn configured() -> Self {
-        let options = Options { holder: "front-1".into(), window_ms: 5_000 };
+        let options = Options { holder: "front-1".into(), load_window_ms: 5_000 };
         let mut holder = Self {
             placement: Placement::new(options),
             now: START,
@@ -58,7 +58,7 @@
         for action in self.placement.handle(self.now, event) {
             match action {
                 Action::Order { order, .. } => self.orders.push(order),
-                Action::AskReport { runner, .. } => self.asked.push(runner),
+                Action::RequestReport { runner, .. } => self.asked.push(runner),
                 Action::Resign => self.resigned = true,
                 Action::Announce { .. } => {}
             }
@@ -67,16 +67,20 @@
 
     pub fn report(&mut self, runner: &str, report: Report) {
         let asked = self.now;
-        self.tell(Event::Reported { runner: runner.into(), asked, report: Some(report) });
+        self.tell(Event::Reported {
+            runner: runner.into(),
+            requested_at: asked,
+            report: Some(report),
+        });
     }
 
     pub fn answer(&mut self, order: Order, outcome: OrderOutcome) {
-        self.tell(Event::Ordered { order, outcome });
+        self.tell(Event::OrderAnswered { order, outcome });
     }
 
     pub fn want(&mut self, model: &str, adapter: Option<&str>) {
         let subject = ModelRef { model: model.into(), adapter: adapter.map(Name::from) };
-        self.tell(Event::Wanted { service: "llm".into(), subject, is_crowded: false });
+        self.tell(Event::Requested { service: "llm".into(), subject, is_saturated: false });
     }
 
     pub fn demand(&mut self, model: &str, work_ms: u32) {
--- a/crates/placement/tests/told_again.rs
+++ b/crates/placement/tests/told_again.rs
@@ -13,7 +13,7 @@
 /// The announcements that follow when a host misses `subject`.
 fn told(holder: &mut Holder, subject: &ModelRef) -> Vec<(String, bool)> {
     let service = "llm".into();
-    let event = Event::Wanted { service, subject: subject.clone(), is_crowded: false };
+    let event = Event::Requested { service, subject: subject.clone(), is_saturated: false };
     let actions = holder.placement.handle(holder.now, event);
     let own = actions.into_iter().filter_map(|action| match action {
         Action::Announce { runner, subject: about, is_present, .. } if about == *subject => {
