--- a/crates/placement/src/adapters.rs
+++ b/crates/placement/src/adapters.rs
@@ -5,7 +5,7 @@
 use vanetally_types::{Incarnation, Name, Tick};
 
 /// Least idle time of an adapter that makes way, in milliseconds.
-const ADAPTER_IDLE_MS: u64 = 1_000;
+const MIN_ADAPTER_IDLE_MS: u64 = 1_000;
 
 impl Placement {
     /// Orders adapters that hosts miss.
@@ -17,7 +17,7 @@
         engine: &EngineSpec,
         actions: &mut Vec<Action>,
     ) {
-        let missing = self.wanted.keys().filter(|(of, _)| of == service);
+        let missing = self.requested.keys().filter(|(of, _)| of == service);
         let missing: Vec<Subject> = missing
             .filter_map(|(_, subject)| {
                 let adapter = Some(subject.adapter.clone()?);
@@ -39,7 +39,7 @@
         subject: Subject,
         actions: &mut Vec<Action>,
     ) {
-        if self.is_somewhere(service, &subject)
+        if self.is_placed(service, &subject)
             || self.copy_adapter(now, token, service, engine, subject.clone(), actions)
         {
             return;
@@ -49,14 +49,14 @@
             return;
         };
         let victim =
-            self.spare_adapter(&runner).or_else(|| self.idle_adapter(now, service, &runner));
+            self.replicated_adapter(&runner).or_else(|| self.idle_adapter(now, service, &runner));
         match victim {
             Some(victim) => {
                 self.order(now, token, &runner, Operation::Unload, victim, actions);
             }
             // All that are there are asked for: one more holder has places for the rest.
             None => {
-                self.cramped.insert((service.clone(), subject.model), now);
+                self.adapter_full.insert((service.clone(), subject.model), now);
             }
         }
     }
@@ -84,7 +84,7 @@
     /// They believe what they were told for some seconds, and then what the runner announces. Where its entry is not
     /// written in time, as while the store is away, a model or an adapter that came just before would be missed for as
     /// long as that lasts.
-    pub(crate) fn tell_present(
+    pub(crate) fn reannounce(
         &mut self,
         now: Tick,
         service: &Name,
@@ -92,22 +92,22 @@
         actions: &mut Vec<Action>,
     ) {
         let key = (service.clone(), missed.clone());
-        if self.told.contains_key(&key) {
+        if self.reannounced.contains_key(&key) {
             return;
         }
         let subject = Subject { model: missed.model.clone(), adapter: missed.adapter.clone() };
         let holders = self.ledgers.iter().filter(|(_, ledger)| {
             ledger.state.service == *service && !ledger.state.draining && ledger.holds(&subject)
         });
-        let told: Vec<Action> =
+        let reannounced: Vec<Action> =
             holders.map(|(runner, _)| announce(runner, &subject, true, 0)).collect();
-        if !told.is_empty() {
-            self.told.insert(key, now);
-            actions.extend(told);
+        if !reannounced.is_empty() {
+            self.reannounced.insert(key, now);
+            actions.extend(reannounced);
         }
     }
 
-    fn is_somewhere(&self, service: &Name, subject: &Subject) -> bool {
+    fn is_placed(&self, service: &Name, subject: &Subject) -> bool {
         self.ledgers.values().any(|ledger| {
             ledger.state.service == *service
                 && !ledger.state.draining
@@ -130,7 +130,7 @@
                 && !ledger.will_hold_adapter(subject)
                 && ledger.next_count().is_some()
                 && ledger.room_for_adapter(engine) == room
-                && !self.closing.contains_key(&((*runner).clone(), closing))
+                && !self.pending_unloads.contains_key(&((*runner).clone(), closing))
         });
         let least = fitting.min_by_key(|(runner, ledger)| {
             (ledger.adapter_count(), vanetally_types::hash64(runner.id.as_bytes()))
@@ -139,7 +139,7 @@
     }
 
     /// An adapter of the runner that another runner of its service holds as well.
-    fn spare_adapter(&self, runner: &Incarnation) -> Option<Subject> {
+    fn replicated_adapter(&self, runner: &Incarnation) -> Option<Subject> {
         let ledger = self.ledgers.get(runner)?;
         let others = || {
             self.ledgers.iter().filter(|(name, other)| {
@@ -161,6 +161,6 @@
         };
         let ledger = self.ledgers.get(runner)?;
         let oldest = ledger.adapters().min_by_key(|subject| last(subject))?;
-        (now.since(last(&oldest)) > ADAPTER_IDLE_MS).then_some(oldest)
+        (now.since(last(&oldest)) > MIN_ADAPTER_IDLE_MS).then_some(oldest)
     }
 }
--- a/crates/placement/src/capacity.rs
+++ b/crates/placement/src/capacity.rs
@@ -32,24 +32,24 @@
 
     /// Megabytes of a model's weights. What the configuration does not know may be of any size: nothing goes
     /// beside it.
-    fn size(&self, model: &Name) -> f64 {
+    fn model_mb(&self, model: &Name) -> f64 {
         let spec = self.engine.models.get(model);
         spec.map_or(self.engine.weights_mb, |spec| spec.weights_mb)
     }
 
     /// Megabytes beside all that is there or on its way.
     pub(crate) fn free_mb(&self, ledger: &Ledger) -> f64 {
-        let expected = ledger.models().chain(ledger.stray_models());
-        let here = expected.map(|model| self.size(model)).sum::<f64>();
-        self.models_mb - here.max(self.chain_mb(ledger))
+        let expected = ledger.models().chain(ledger.unsettled_models());
+        let here = expected.map(|model| self.model_mb(model)).sum::<f64>();
+        self.models_mb - here.max(self.unanswered_mb(ledger))
     }
 
     /// Megabytes that a life after this one may come to hold by orders alone that were never answered.
-    fn chain_mb(&self, ledger: &Ledger) -> f64 {
+    fn unanswered_mb(&self, ledger: &Ledger) -> f64 {
         let mut largest: BTreeMap<u64, f64> = BTreeMap::new();
         for (count, model) in ledger.unanswered_loads() {
             let size = largest.entry(count).or_default();
-            *size = size.max(self.size(model));
+            *size = size.max(self.model_mb(model));
         }
         largest.values().sum()
     }
--- a/crates/placement/src/ledger.rs
+++ b/crates/placement/src/ledger.rs
@@ -1,13 +1,13 @@
 //! What one runner holds, fetches and may be about to fetch.
 
-use crate::{Fit, KnownState, Obstacle, capacity::Capacity, strays::Strays};
+use crate::{Fit, KnownState, Obstacle, capacity::Capacity, unsettled::UnsettledOrders};
 use std::collections::{BTreeMap, BTreeSet};
 use vanetally_ports::{EngineSpec, HeldModel, Operation, Order, Report, Subject, UpstreamState};
 use vanetally_types::{Name, Tick};
 
 /// Weights on their way.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Loading {
+pub(crate) struct WeightsChange {
     pub model: Name,
     /// When they should be there.
     pub due: Tick,
@@ -21,40 +21,40 @@
     held: BTreeMap<Name, BTreeSet<Name>>,
     /// Adapters on their way, or thought to be, with the time of the order.
     coming: BTreeMap<Subject, Tick>,
-    loading: Option<Loading>,
-    unloading: Option<Loading>,
+    loading: Option<WeightsChange>,
+    unloading: Option<WeightsChange>,
     /// Whether the last report spoke of an order under way that is not known here: an earlier
     /// holder's, or one whose answer was lost.
     has_unknown_order: bool,
     /// Orders taken; none until a report told.
-    count: Option<u64>,
+    order_count: Option<u64>,
     /// An order whose answer is not known.
-    pending: Option<(Order, Tick)>,
+    pending_order: Option<(Order, Tick)>,
     /// Orders of this life that were not answered.
-    unanswered: Strays,
+    unanswered: UnsettledOrders,
     /// Orders to former lives that may yet be carried out by this one.
-    strays: Strays,
-    at_hand: BTreeSet<Name>,
-    asked: Option<Tick>,
+    unsettled: UnsettledOrders,
+    local_copies: BTreeSet<Name>,
+    report_requested: Option<Tick>,
     /// Whether a report is needed before the next order.
     needs_report: bool,
     /// Whether what the runner announces now can't be read.
     is_unreadable: bool,
     last_report: Tick,
     /// When the last order was answered.
-    answered: Option<Tick>,
+    last_answer: Option<Tick>,
 }
 
 /// A report that is not answered for this long may be asked again, in milliseconds.
 const REPORT_TIMEOUT_MS: u64 = 1_000;
 /// Least time between two reports, in milliseconds.
-const REPORT_EVERY_MS: u64 = 250;
+const REPORT_INTERVAL_MS: u64 = 250;
 /// An adapter's arrival that no report tells of is forgotten after this long, in milliseconds.
-const COMING_MS: u64 = 5_000;
+const ADAPTER_TIMEOUT_MS: u64 = 5_000;
 /// Adapters that may be on their way at once.
-const MOST_COMING: usize = 3;
+const MAX_COMING_ADAPTERS: usize = 3;
 /// How old a report may be when it arrives, in milliseconds.
-const REPORT_AGE_MS: u64 = 400;
+const MAX_REPORT_AGE_MS: u64 = 400;
 /// An order without an answer counts as lost after this long, in milliseconds.
 const ORDER_TIMEOUT_MS: u64 = 1_500;
 
@@ -63,34 +63,34 @@
     /// announces, and gets no order.
     pub fn new(state: UpstreamState) -> Self {
         let mut ledger = Self::empty(state);
-        ledger.take_announced();
+        ledger.use_announced_models();
         ledger
     }
 
     /// The books of this runner anew, as a holder of orders that knows nothing of it begins them; what may yet be
     /// carried out there is not forgotten.
-    pub(crate) fn begin_anew(&mut self, now: Tick) {
-        let strays = self.take_strays(now);
+    pub(crate) fn reset(&mut self, now: Tick) {
+        let unsettled = self.take_unsettled(now);
         *self = Self::new(self.state.clone());
-        self.expect(now, strays);
+        self.add_unsettled(now, unsettled);
     }
 
     /// Orders that may yet be carried out where this runner is, by this life or one after it.
-    pub(crate) fn take_strays(&mut self, now: Tick) -> Strays {
-        let mut strays = std::mem::take(&mut self.strays);
-        strays.extend(now, &std::mem::take(&mut self.unanswered));
-        if let Some((order, sent)) = self.pending.take() {
-            strays.add(sent, order);
+    pub(crate) fn take_unsettled(&mut self, now: Tick) -> UnsettledOrders {
+        let mut unsettled = std::mem::take(&mut self.unsettled);
+        unsettled.extend(now, &std::mem::take(&mut self.unanswered));
+        if let Some((order, sent)) = self.pending_order.take() {
+            unsettled.add(sent, order);
         }
-        strays
+        unsettled
     }
 
     /// Orders to former lives may yet be carried out by this one.
-    pub(crate) fn expect(&mut self, now: Tick, strays: Strays) {
-        self.strays.extend(now, &strays);
+    pub(crate) fn add_unsettled(&mut self, now: Tick, unsettled: UnsettledOrders) {
+        self.unsettled.extend(now, &unsettled);
     }
 
-    fn take_announced(&mut self) {
+    fn use_announced_models(&mut self) {
         let models = std::mem::take(&mut self.state.models);
         self.set_held(&models);
         self.state.models = models;
@@ -103,16 +103,16 @@
             loading: None,
             unloading: None,
             has_unknown_order: false,
-            count: None,
-            pending: None,
-            unanswered: Strays::default(),
-            strays: Strays::default(),
-            at_hand: state.at_hand.iter().cloned().collect(),
-            asked: None,
+            order_count: None,
+            pending_order: None,
+            unanswered: UnsettledOrders::default(),
+            unsettled: UnsettledOrders::default(),
+            local_copies: state.at_hand.iter().cloned().collect(),
+            report_requested: None,
             needs_report: true,
             is_unreadable: false,
             last_report: Tick(0),
-            answered: None,
+            last_answer: None,
             state,
         }
     }
@@ -121,9 +121,9 @@
     ///
     /// Announcements may be older than they look: what the runner holds is taken from its own
     /// reports, once there is one, and a difference is a reason to ask for another.
-    pub fn announced(&mut self, state: UpstreamState) {
+    pub fn set_announced(&mut self, state: UpstreamState) {
         self.is_unreadable = false;
-        let count = self.count.unwrap_or(0);
+        let count = self.order_count.unwrap_or(0);
         let has_arrived = self
             .loading
             .as_ref()
@@ -133,12 +133,12 @@
         }
         self.state = state;
         if !self.is_known() {
-            self.take_announced();
+            self.use_announced_models();
         }
     }
 
     /// What the runner announces can't be read: no order goes there until it can.
-    pub fn unreadable(&mut self) {
+    pub fn set_unreadable(&mut self) {
         self.is_unreadable = true;
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Drops what has arrived or gone from the lists of what is on its way.
-    fn settle(&mut self) {
+    fn drop_completed(&mut self) {
         let held = &self.held;
         if self.loading.as_ref().is_some_and(|loading| held.contains_key(&loading.model)) {
             self.loading = None;
@@ -165,17 +165,17 @@
     }
 
     /// The runner answered the question of `asked`; tells whether the answer was believed.
-    pub fn reported(&mut self, now: Tick, asked: Tick, report: Option<Report>) -> bool {
-        self.asked = None;
+    pub fn apply_report(&mut self, now: Tick, asked: Tick, report: Option<Report>) -> bool {
+        self.report_requested = None;
         self.last_report = now;
         let Some(report) = report else {
             return false;
         };
         // A report is some time old: one that counts fewer orders than were answered is stale.
-        if self.count.is_some_and(|count| report.orders_taken < count) {
+        if self.order_count.is_some_and(|count| report.orders_taken < count) {
             return false;
         }
-        if let Some((order, sent)) = &self.pending {
+        if let Some((order, sent)) = &self.pending_order {
             let is_taken = report.orders_taken > order.orders_before;
             if !is_taken && asked.since(*sent) < ORDER_TIMEOUT_MS {
                 return false;
@@ -183,47 +183,50 @@
             // Not taken so far, it may yet be: every other order expects the same count, so that
             // at most one of them is taken. Of two such orders the count does not tell which one was.
             self.unanswered.add(*sent, order.clone());
-            self.pending = None;
+            self.pending_order = None;
         }
-        self.count = Some(report.orders_taken);
+        self.order_count = Some(report.orders_taken);
         self.set_held(&report.models);
         self.coming = report.coming.iter().map(|subject| (subject.clone(), now)).collect();
         // A report is some time old: it can't speak of an order that was answered just before.
-        let is_fresh = self.answered.is_none_or(|at| asked.since(at) > REPORT_AGE_MS);
+        let is_fresh = self.last_answer.is_none_or(|at| asked.since(at) > MAX_REPORT_AGE_MS);
         if !report.busy && is_fresh {
             self.loading = None;
             self.unloading = None;
         }
-        self.settle();
+        self.drop_completed();
         self.has_unknown_order = report.busy && self.loading.is_none() && self.unloading.is_none();
         if !report.at_hand.is_empty() {
-            self.at_hand = report.at_hand.iter().cloned().collect();
+            self.local_copies = report.at_hand.iter().cloned().collect();
         }
         self.needs_report = false;
         true
     }
 
     /// Whether a report should be asked for now; notes that it is.
-    pub fn try_ask(&mut self, now: Tick) -> bool {
+    pub fn try_request_report(&mut self, now: Tick) -> bool {
         let is_due = self.needs_report
             || self.has_unknown_order
-            || self.pending.as_ref().is_some_and(|(_, sent)| now.since(*sent) > ORDER_TIMEOUT_MS)
+            || self
+                .pending_order
+                .as_ref()
+                .is_some_and(|(_, sent)| now.since(*sent) > ORDER_TIMEOUT_MS)
             || self.loading.as_ref().is_some_and(|loading| now >= loading.due)
             || self.unloading.as_ref().is_some_and(|gone| now >= gone.due)
-            || self.coming.values().any(|at| now.since(*at) > COMING_MS);
-        let is_open = self.asked.is_none_or(|at| now.since(at) > REPORT_TIMEOUT_MS);
-        let may_ask = is_due && is_open && now.since(self.last_report) >= REPORT_EVERY_MS;
-        if may_ask {
-            self.asked = Some(now);
+            || self.coming.values().any(|at| now.since(*at) > ADAPTER_TIMEOUT_MS);
+        let is_open = self.report_requested.is_none_or(|at| now.since(at) > REPORT_TIMEOUT_MS);
+        let may_request = is_due && is_open && now.since(self.last_report) >= REPORT_INTERVAL_MS;
+        if may_request {
+            self.report_requested = Some(now);
         }
-        may_ask
+        may_request
     }
 
     /// The count that the next order has to expect; none while one is open or the books are in
     /// doubt.
     pub fn next_count(&self) -> Option<u64> {
         // A runner carries out one order about weights at a time, and refuses others meanwhile.
-        self.count.filter(|_| self.obstacle().is_none())
+        self.order_count.filter(|_| self.obstacle().is_none())
     }
 
     /// What keeps the runner from being given an order about weights.
@@ -232,9 +235,9 @@
             Some(Obstacle::Leaving)
         } else if self.is_unreadable {
             Some(Obstacle::Unreadable)
-        } else if self.pending.is_some() {
+        } else if self.pending_order.is_some() {
             Some(Obstacle::Unanswered)
-        } else if self.count.is_none() || self.needs_report {
+        } else if self.order_count.is_none() || self.needs_report {
             Some(Obstacle::NeedsReport)
         } else if self.has_unknown_order {
             Some(Obstacle::UnknownOrder)
@@ -249,7 +252,7 @@
 
     /// Whether a report has told what the runner holds.
     pub fn is_known(&self) -> bool {
-        self.count.is_some()
+        self.order_count.is_some()
     }
 
     /// Whether the runner carries out an order that is not known here.
@@ -265,19 +268,19 @@
     /// An order goes out.
     pub fn order_sent(&mut self, now: Tick, order: Order) {
         self.unanswered.note_sent(now, &order);
-        self.pending = Some((order, now));
+        self.pending_order = Some((order, now));
     }
 
     /// The order was taken; `takes_ms` is how long it should take.
-    pub fn order_taken(&mut self, now: Tick, order: &Order, takes_ms: u64) {
-        self.close(order);
-        self.answered = Some(now);
-        self.count = Some(order.orders_before + 1);
-        let due = now + takes_ms;
+    pub fn order_accepted(&mut self, now: Tick, order: &Order, expected_ms: u64) {
+        self.settle_order(order);
+        self.last_answer = Some(now);
+        self.order_count = Some(order.orders_before + 1);
+        let due = now + expected_ms;
         let model = order.subject.model.clone();
         match (order.operation, &order.subject.adapter) {
-            (Operation::Load, None) => self.loading = Some(Loading { model, due }),
-            (Operation::Unload, None) => self.unloading = Some(Loading { model, due }),
+            (Operation::Load, None) => self.loading = Some(WeightsChange { model, due }),
+            (Operation::Unload, None) => self.unloading = Some(WeightsChange { model, due }),
             (Operation::Load, Some(_)) => {
                 self.coming.insert(order.subject.clone(), now);
             }
@@ -290,7 +293,7 @@
     }
 
     /// An adapter should have arrived by now.
-    pub fn adapter_due(&mut self, subject: &Subject) {
+    pub fn adapter_arrived(&mut self, subject: &Subject) {
         if self.coming.remove(subject).is_some()
             && let (Some(adapters), Some(adapter)) =
                 (self.held.get_mut(&subject.model), &subject.adapter)
@@ -301,26 +304,26 @@
 
     /// The order was not taken, and never will be.
     pub fn order_refused(&mut self, order: &Order) {
-        self.close(order);
+        self.settle_order(order);
         self.needs_report = true;
     }
 
     /// The order was answered.
-    fn close(&mut self, order: &Order) {
+    fn settle_order(&mut self, order: &Order) {
         self.unanswered.settle(order);
-        if self.pending.as_ref().is_some_and(|(open, _)| open == order) {
-            self.pending = None;
+        if self.pending_order.as_ref().is_some_and(|(open, _)| open == order) {
+            self.pending_order = None;
         }
     }
 
     /// The order was not answered: the next report settles it for this life.
-    pub fn order_unknown(&mut self, now: Tick, order: &Order) {
+    pub fn order_unanswered(&mut self, now: Tick, order: &Order) {
         self.unanswered.add(now, order.clone());
-        self.doubt();
+        self.require_report();
     }
 
     /// The next report has to tell how things stand.
-    pub(crate) fn doubt(&mut self) {
+    pub(crate) fn require_report(&mut self) {
         self.needs_report = true;
     }
 
@@ -339,7 +342,7 @@
 
     /// Whether the runner holds the model, is getting it or was ordered to.
     pub fn will_hold(&self, model: &Name) -> bool {
-        let is_ordered = self.open_load().is_some_and(|subject| subject.model == *model);
+        let is_ordered = self.pending_load().is_some_and(|subject| subject.model == *model);
         let is_loading = self.loading.as_ref().is_some_and(|l| l.model == *model);
         self.holds_model(model) || is_loading || is_ordered
     }
@@ -347,7 +350,7 @@
     /// Whether the adapter is there or on its way.
     pub fn will_hold_adapter(&self, subject: &Subject) -> bool {
         let held = self.held.get(&subject.model).zip(subject.adapter.as_ref());
-        let is_ordered = self.pending.as_ref().is_some_and(|(order, _)| {
+        let is_ordered = self.pending_order.as_ref().is_some_and(|(order, _)| {
             order.operation == Operation::Load && order.subject == *subject
         });
         let is_held = held.is_some_and(|(set, name)| set.contains(name));
@@ -366,7 +369,7 @@
 
     /// The model that is on its way here, or was ordered.
     pub(crate) fn coming_model(&self) -> Option<&Name> {
-        let ordered = self.open_load().map(|subject| &subject.model);
+        let ordered = self.pending_load().map(|subject| &subject.model);
         let loading = self.loading.as_ref().map(|loading| &loading.model);
         loading.or(ordered).filter(|model| !self.holds_model(model))
     }
@@ -387,27 +390,27 @@
     }
 
     /// Models whose weights may yet come by an order to a former life.
-    pub(crate) fn stray_models(&self) -> impl Iterator<Item = &Name> {
-        self.strays.models(self.count)
+    pub(crate) fn unsettled_models(&self) -> impl Iterator<Item = &Name> {
+        self.unsettled.models(self.order_count)
     }
 
     /// Loads of weights without an answer, of this life and former ones, that a life after this one may carry out one
     /// after the other, by the count that they expect. The next order of this life expects the count that is left out:
     /// of those that expect the same at most one is taken.
     pub(crate) fn unanswered_loads(&self) -> impl Iterator<Item = (u64, &Name)> {
-        let own = self.count;
-        let all = self.strays.weights().chain(self.unanswered.weights());
+        let own = self.order_count;
+        let all = self.unsettled.weights().chain(self.unanswered.weights());
         all.filter(move |(count, _)| Some(*count) != own)
     }
 
     /// Models of which the runner has a copy of its own.
-    pub(crate) fn copies(&self) -> impl Iterator<Item = &Name> {
-        self.at_hand.iter()
+    pub(crate) fn local_copies(&self) -> impl Iterator<Item = &Name> {
+        self.local_copies.iter()
     }
 
     /// Whether the runner has a copy of the weights of its own.
-    pub fn has_at_hand(&self, model: &Name) -> bool {
-        self.at_hand.contains(model)
+    pub fn has_local_copy(&self, model: &Name) -> bool {
+        self.local_copies.contains(model)
     }
 
     /// Whether the model's weights fit beside all that is there or on its way.
@@ -425,9 +428,9 @@
 
     /// Whether one more adapter fits beside all that are there or on their way.
     pub fn room_for_adapter(&self, engine: &EngineSpec) -> Fit {
-        let strays = self.strays.adapter_count(self.count);
-        let taken = self.adapters().count() + self.coming.len() + strays;
-        match (taken < engine.max_adapters as usize, self.coming.len() < MOST_COMING) {
+        let unsettled = self.unsettled.adapter_count(self.order_count);
+        let taken = self.adapters().count() + self.coming.len() + unsettled;
+        match (taken < engine.max_adapters as usize, self.coming.len() < MAX_COMING_ADAPTERS) {
             (true, true) => Fit::Fits,
             (_, true) => Fit::NeedsEviction,
             (_, false) => Fit::Never,
@@ -450,12 +453,12 @@
 
     /// Whether a load of weights was ordered and no answer came: it may begin at any moment.
     pub(crate) fn has_lost_load(&self) -> bool {
-        self.needs_report && self.open_load().is_some()
+        self.needs_report && self.pending_load().is_some()
     }
 
     /// The load of weights whose answer is not known.
-    pub(crate) fn open_load(&self) -> Option<&Subject> {
-        let (order, _) = self.pending.as_ref()?;
+    pub(crate) fn pending_load(&self) -> Option<&Subject> {
+        let (order, _) = self.pending_order.as_ref()?;
         let is_load = order.operation == Operation::Load && order.subject.adapter.is_none();
         is_load.then_some(&order.subject)
     }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -6,19 +6,19 @@
 
 mod adapters;
 mod capacity;
-mod census;
 mod demand;
 mod event;
+mod inventory;
 mod ledger;
 mod load_limit;
 mod machine;
 mod obstacle;
 mod order_lease;
 mod plan;
-mod strays;
 mod summary;
+mod unsettled;
+mod value;
 mod weights;
-mod worth;
 
 pub use capacity::Fit;
 pub use event::{Action, DemandSample, Event, KnownState, Options};
--- a/crates/placement/src/machine.rs
+++ b/crates/placement/src/machine.rs
@@ -1,7 +1,8 @@
 //! The state machine of the holder of orders.
 
 use crate::{
-    Action, Event, Ledger, LoadLimit, Options, Reservation, demand::DemandTable, strays::Strays,
+    Action, Event, Ledger, LoadLimit, Options, Reservation, demand::DemandTable,
+    unsettled::UnsettledOrders,
 };
 use std::{
     collections::{BTreeMap, HashMap, btree_map::Entry},
@@ -19,7 +20,7 @@
     pub(crate) configuration: Option<Rc<Configuration>>,
     pub(crate) ledgers: BTreeMap<Incarnation, Ledger>,
     /// Orders to lives that have ended, by the id under which another one may begin.
-    strays: BTreeMap<Name, Strays>,
+    unsettled: BTreeMap<Name, UnsettledOrders>,
     pub(crate) demand: DemandTable,
     pub(crate) token: Option<FencingToken>,
     /// Since when the token holds.
@@ -29,36 +30,36 @@
     /// When the next round of the plan may begin.
     round_at: Tick,
     pub(crate) load_limits: HashMap<Name, LoadLimit>,
-    pub(crate) wanted: BTreeMap<(Name, ModelRef), Tick>,
+    pub(crate) requested: BTreeMap<(Name, ModelRef), Tick>,
     /// Models of which all replicas are taken while callers wait, and when that was last told.
-    pub(crate) crowded: BTreeMap<(Name, Name), Tick>,
+    pub(crate) saturated: BTreeMap<(Name, Name), Tick>,
     /// Models whose holders have no place for an adapter that is missed, and when that was last seen.
-    pub(crate) cramped: BTreeMap<(Name, Name), Tick>,
+    pub(crate) adapter_full: BTreeMap<(Name, Name), Tick>,
     /// What hosts missed though it is there, and when they were last told again.
-    pub(crate) told: HashMap<(Name, ModelRef), Tick>,
+    pub(crate) reannounced: HashMap<(Name, ModelRef), Tick>,
     /// Adapters of which one more copy was asked for, and when.
-    copied: BTreeMap<(Name, ModelRef), Tick>,
+    copied_adapters: BTreeMap<(Name, ModelRef), Tick>,
     /// Weights that get no new requests, and since when.
-    pub(crate) closing: BTreeMap<(Incarnation, Subject), Tick>,
+    pub(crate) pending_unloads: BTreeMap<(Incarnation, Subject), Tick>,
     /// Runners on which room is being made.
     pub(crate) reserved: BTreeMap<Incarnation, Reservation>,
     /// Adapters that should have arrived.
-    pub(crate) arrivals: Vec<(Tick, Incarnation, Subject)>,
+    pub(crate) adapter_arrivals: Vec<(Tick, Incarnation, Subject)>,
 }
 
 /// Something wanted is forgotten if it is not asked for again, in milliseconds.
-const WANTED_MS: u64 = 1_000;
+const REQUEST_TTL_MS: u64 = 1_000;
 /// A model counts as crowded for this long after a host told so, in milliseconds: hosts repeat it four times
 /// a second while requests wait.
-const CROWDED_MS: u64 = 1_000;
+const SATURATION_TTL_MS: u64 = 1_000;
 /// Between two more copies of one adapter, in milliseconds: hosts hear of the first within this time.
-const COPY_MS: u64 = 500;
+const COPY_INTERVAL_MS: u64 = 500;
 /// Between telling all hosts that weights go and the order, in milliseconds.
-const CLOSING_MS: u64 = 150;
+const UNLOAD_NOTICE_MS: u64 = 150;
 /// An unload that can't be ordered within this time is given up, in milliseconds.
-const CLOSING_LIMIT_MS: u64 = 600;
+const UNLOAD_NOTICE_LIMIT_MS: u64 = 600;
 /// Between telling hosts twice what is there though they miss it, in milliseconds.
-pub(crate) const TELL_MS: u64 = 500;
+pub(crate) const REANNOUNCE_MS: u64 = 500;
 /// An adapter's way, in milliseconds: a part that is always there and one for each megabyte.
 const ADAPTER_BASE_MS: f64 = 20.0;
 const ADAPTER_PER_MB_MS: f64 = 0.7;
@@ -67,7 +68,7 @@
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 /// Least time between two rounds of the plan, in milliseconds: a round costs runners x models, and reports and answers
 /// come by the hundred a second.
-const ROUND_MS: u64 = 40;
+const ROUND_INTERVAL_MS: u64 = 40;
 
 impl Placement {
     /// Nothing is known yet.
@@ -76,21 +77,21 @@
             options,
             configuration: None,
             ledgers: BTreeMap::new(),
-            strays: BTreeMap::new(),
+            unsettled: BTreeMap::new(),
             demand: DemandTable::default(),
             token: None,
             token_since: Tick(0),
             last_token: None,
             round_at: Tick(0),
             load_limits: HashMap::new(),
-            wanted: BTreeMap::new(),
-            crowded: BTreeMap::new(),
-            cramped: BTreeMap::new(),
-            told: HashMap::new(),
-            copied: BTreeMap::new(),
-            closing: BTreeMap::new(),
+            requested: BTreeMap::new(),
+            saturated: BTreeMap::new(),
+            adapter_full: BTreeMap::new(),
+            reannounced: HashMap::new(),
+            copied_adapters: BTreeMap::new(),
+            pending_unloads: BTreeMap::new(),
             reserved: BTreeMap::new(),
-            arrivals: Vec::new(),
+            adapter_arrivals: Vec::new(),
         }
     }
 
@@ -102,7 +103,7 @@
             Event::UpstreamSeen { id, state } => self.upstream_seen(now, id, state),
             Event::UpstreamUnreadable { id } => {
                 if let Some(ledger) = self.ledgers.get_mut(&id) {
-                    ledger.unreadable();
+                    ledger.set_unreadable();
                 }
             }
             Event::UpstreamGone { id } => self.upstream_gone(now, id),
@@ -111,21 +112,21 @@
             }
             Event::Requested { service, subject, is_saturated: true } => {
                 if subject.adapter.is_none() {
-                    self.crowded.insert((service, subject.model), now);
+                    self.saturated.insert((service, subject.model), now);
                 } else if let Entry::Vacant(entry) =
-                    self.copied.entry((service.clone(), subject.clone()))
+                    self.copied_adapters.entry((service.clone(), subject.clone()))
                 {
                     entry.insert(now);
-                    self.order_wanted(now, &service, &subject, true, &mut actions);
+                    self.order_requested(now, &service, &subject, true, &mut actions);
                 }
             }
             Event::Requested { service, subject, is_saturated: false } => {
                 self.demand.touch(now, &service, &subject, 0.0);
-                self.tell_present(now, &service, &subject, &mut actions);
-                let last = self.wanted.insert((service.clone(), subject.clone()), now);
+                self.reannounce(now, &service, &subject, &mut actions);
+                let last = self.requested.insert((service.clone(), subject.clone()), now);
                 // What is missed again and again waits for the next round.
                 if last.is_none() {
-                    self.order_wanted(now, &service, &subject, false, &mut actions);
+                    self.order_requested(now, &service, &subject, false, &mut actions);
                 }
             }
             Event::Reported { runner, requested_at, report } => {
@@ -149,24 +150,24 @@
 
     fn upstream_seen(&mut self, now: Tick, id: Incarnation, state: UpstreamState) {
         if let Some(ledger) = self.ledgers.get_mut(&id) {
-            return ledger.announced(state);
+            return ledger.set_announced(state);
         }
         let mut ledger = Ledger::new(state);
-        if let Some(strays) = self.strays.remove(&id.id) {
-            ledger.expect(now, strays);
+        if let Some(unsettled) = self.unsettled.remove(&id.id) {
+            ledger.add_unsettled(now, unsettled);
         }
         self.ledgers.insert(id, ledger);
     }
 
     fn upstream_gone(&mut self, now: Tick, id: Incarnation) {
         self.reserved.remove(&id);
-        self.closing.retain(|(runner, _), _| *runner != id);
+        self.pending_unloads.retain(|(runner, _), _| *runner != id);
         let Some(mut ledger) = self.ledgers.remove(&id) else {
             return;
         };
-        let strays = ledger.take_strays(now);
-        if !strays.is_empty() {
-            self.strays.entry(id.id).or_default().extend(now, &strays);
+        let unsettled = ledger.take_unsettled(now);
+        if !unsettled.is_empty() {
+            self.unsettled.entry(id.id).or_default().extend(now, &unsettled);
         }
     }
 
@@ -184,7 +185,7 @@
         // The answer of another life says nothing of this one, whose end will be told.
         let report = report.filter(|report| report.born.is_none() || report.born == runner.born);
         let old = ledger.held_models();
-        if !ledger.reported(now, asked, report) {
+        if !ledger.apply_report(now, asked, report) {
             return;
         }
         let arrived = ledger.held_models().into_iter().filter(|model| !old.contains(model));
@@ -204,47 +205,49 @@
             return;
         }
         self.last_token = token;
-        self.closing.clear();
+        self.pending_unloads.clear();
         self.reserved.clear();
         // An earlier holder may have begun loads: the books are in doubt.
         self.load_limits.clear();
         self.token_since = now;
         for ledger in self.ledgers.values_mut() {
-            ledger.begin_anew(now);
+            ledger.reset(now);
         }
     }
 
     fn tick(&mut self, now: Tick, actions: &mut Vec<Action>) {
-        self.wanted.retain(|_, at| now.since(*at) < WANTED_MS);
-        self.crowded.retain(|_, at| now.since(*at) < CROWDED_MS);
-        self.cramped.retain(|_, at| now.since(*at) < CROWDED_MS);
-        self.told.retain(|_, at| now.since(*at) < TELL_MS);
-        self.copied.retain(|_, at| now.since(*at) < COPY_MS);
-        self.strays.values_mut().for_each(|strays| strays.extend(now, &Strays::default()));
-        self.strays.retain(|_, strays| !strays.is_empty());
-        let arrivals = std::mem::take(&mut self.arrivals);
-        for (due, runner, subject) in arrivals {
+        self.requested.retain(|_, at| now.since(*at) < REQUEST_TTL_MS);
+        self.saturated.retain(|_, at| now.since(*at) < SATURATION_TTL_MS);
+        self.adapter_full.retain(|_, at| now.since(*at) < SATURATION_TTL_MS);
+        self.reannounced.retain(|_, at| now.since(*at) < REANNOUNCE_MS);
+        self.copied_adapters.retain(|_, at| now.since(*at) < COPY_INTERVAL_MS);
+        self.unsettled
+            .values_mut()
+            .for_each(|unsettled| unsettled.extend(now, &UnsettledOrders::default()));
+        self.unsettled.retain(|_, unsettled| !unsettled.is_empty());
+        let adapter_arrivals = std::mem::take(&mut self.adapter_arrivals);
+        for (due, runner, subject) in adapter_arrivals {
             if now < due {
-                self.arrivals.push((due, runner, subject));
+                self.adapter_arrivals.push((due, runner, subject));
             } else if let Some(ledger) = self.ledgers.get_mut(&runner) {
-                ledger.adapter_due(&subject);
+                ledger.adapter_arrived(&subject);
             }
         }
         if self.token.is_none() {
             return;
         }
-        self.ask_reports(now, actions);
+        self.request_reports(now, actions);
         self.order_all(now, actions);
     }
 
-    fn ask_reports(&mut self, now: Tick, actions: &mut Vec<Action>) {
+    fn request_reports(&mut self, now: Tick, actions: &mut Vec<Action>) {
         let Some(configuration) = &self.configuration else {
             return;
         };
         for (runner, ledger) in &mut self.ledgers {
             let service = configuration.services.get(&ledger.state.service);
             let is_engine = service.is_some_and(|service| service.engine.is_some());
-            if is_engine && !ledger.state.draining && ledger.try_ask(now) {
+            if is_engine && !ledger.state.draining && ledger.try_request_report(now) {
                 let address = ledger.state.address;
                 actions.push(Action::RequestReport { runner: runner.clone(), address });
             }
@@ -255,11 +258,11 @@
         let (Some(token), Some(configuration)) = (self.token, self.configuration.clone()) else {
             return;
         };
-        self.order_closed(now, token, actions);
+        self.order_pending_unloads(now, token, actions);
         if now < self.round_at {
             return;
         }
-        self.round_at = now + ROUND_MS;
+        self.round_at = now + ROUND_INTERVAL_MS;
         for (name, service) in &configuration.services {
             if let Some(engine) = &service.engine {
                 self.order_adapters(now, token, name, engine, actions);
@@ -270,7 +273,7 @@
 
     /// Orders what a host has just missed, or one more copy of an adapter where all runners that have one
     /// are crowded.
-    fn order_wanted(
+    fn order_requested(
         &mut self,
         now: Tick,
         service: &Name,
@@ -298,16 +301,17 @@
     }
 
     /// Orders the unloads that were told to all hosts long enough ago.
-    fn order_closed(&mut self, now: Tick, token: FencingToken, actions: &mut Vec<Action>) {
+    fn order_pending_unloads(&mut self, now: Tick, token: FencingToken, actions: &mut Vec<Action>) {
         // What could not be ordered in time is kept: the demand may have changed since.
-        let is_old = |since: &Tick| now.since(*since) > CLOSING_LIMIT_MS;
-        let old = self.closing.iter().filter(|(_, since)| is_old(since));
+        let is_old = |since: &Tick| now.since(*since) > UNLOAD_NOTICE_LIMIT_MS;
+        let old = self.pending_unloads.iter().filter(|(_, since)| is_old(since));
         let kept: Vec<(Incarnation, Subject)> = old.map(|(key, _)| key.clone()).collect();
         for (runner, subject) in kept {
             actions.push(announce(&runner, &subject, true, 0));
-            self.closing.remove(&(runner, subject));
+            self.pending_unloads.remove(&(runner, subject));
         }
-        let due = self.closing.iter().filter(|(_, since)| now.since(**since) >= CLOSING_MS);
+        let due =
+            self.pending_unloads.iter().filter(|(_, since)| now.since(**since) >= UNLOAD_NOTICE_MS);
         let due: Vec<(Incarnation, Subject)> = due.map(|(key, _)| key.clone()).collect();
         for (runner, subject) in due {
             let is_open = self
@@ -315,7 +319,7 @@
                 .get(&runner)
                 .is_some_and(|ledger| ledger.next_count().is_some() && !ledger.is_busy());
             if is_open {
-                self.closing.remove(&(runner.clone(), subject.clone()));
+                self.pending_unloads.remove(&(runner.clone(), subject.clone()));
                 self.order(now, token, &runner, Operation::Unload, subject, actions);
             }
         }
@@ -359,19 +363,19 @@
         outcome: OrderOutcome,
         actions: &mut Vec<Action>,
     ) {
-        let takes_ms = self.takes_ms(order);
+        let expected_ms = self.expected_ms(order);
         let Some(ledger) = self.ledgers.get_mut(&order.runner) else {
             return;
         };
         match outcome {
             OrderOutcome::Accepted => {
-                ledger.order_taken(now, order, takes_ms);
-                self.accepted(now, order, takes_ms, actions);
+                ledger.order_accepted(now, order, expected_ms);
+                self.accepted(now, order, expected_ms, actions);
             }
             // Whether such an answer counts as an order taken is for the next report to tell.
             OrderOutcome::AlreadyDone => {
-                ledger.order_taken(now, order, 0);
-                ledger.doubt();
+                ledger.order_accepted(now, order, 0);
+                ledger.require_report();
                 let is_present = order.operation == Operation::Load;
                 actions.push(announce(&order.runner, &order.subject, is_present, 0));
             }
@@ -379,7 +383,7 @@
                 ledger.order_refused(order);
             }
             OrderOutcome::NotSent => ledger.order_refused(order),
-            OrderOutcome::Unknown => ledger.order_unknown(now, order),
+            OrderOutcome::Unknown => ledger.order_unanswered(now, order),
             OrderOutcome::Fenced => {
                 ledger.order_refused(order);
                 self.token = None;
@@ -389,19 +393,19 @@
         self.order_all(now, actions);
     }
 
-    fn accepted(&mut self, now: Tick, order: &Order, takes_ms: u64, actions: &mut Vec<Action>) {
+    fn accepted(&mut self, now: Tick, order: &Order, expected_ms: u64, actions: &mut Vec<Action>) {
         if order.subject.adapter.is_none() {
             return;
         }
         if order.operation == Operation::Load {
-            let arrival = (now + takes_ms, order.runner.clone(), order.subject.clone());
-            self.arrivals.push(arrival);
-            actions.push(announce(&order.runner, &order.subject, true, takes_ms));
+            let arrival = (now + expected_ms, order.runner.clone(), order.subject.clone());
+            self.adapter_arrivals.push(arrival);
+            actions.push(announce(&order.runner, &order.subject, true, expected_ms));
         }
     }
 
     /// How long the order should take, in milliseconds.
-    fn takes_ms(&self, order: &Order) -> u64 {
+    fn expected_ms(&self, order: &Order) -> u64 {
         let ledger = self.ledgers.get(&order.runner);
         let service = ledger.map(|ledger| &ledger.state.service);
         let services = self.configuration.as_ref().map(|c| &c.services);
@@ -410,12 +414,12 @@
         let Some(spec) = engine.and_then(|engine| engine.models.get(&order.subject.model)) else {
             return UNLOAD_MS;
         };
-        let is_near = ledger.is_some_and(|ledger| ledger.has_at_hand(&order.subject.model));
+        let has_copy = ledger.is_some_and(|ledger| ledger.has_local_copy(&order.subject.model));
         match (order.operation, &order.subject.adapter) {
             (Operation::Load, Some(_)) => {
                 (ADAPTER_BASE_MS + ADAPTER_PER_MB_MS * spec.adapter_mb) as u64
             }
-            (Operation::Load, None) if is_near => (spec.warm_s * MILLIS_PER_SECOND) as u64,
+            (Operation::Load, None) if has_copy => (spec.warm_s * MILLIS_PER_SECOND) as u64,
             (Operation::Load, None) => (spec.load_s * MILLIS_PER_SECOND) as u64,
             (Operation::Unload, _) => UNLOAD_MS,
         }
--- a/crates/placement/src/summary.rs
+++ b/crates/placement/src/summary.rs
@@ -31,7 +31,7 @@
 }
 
 /// Models with less load are left out of a summary.
-const LEAST_LOAD: f64 = 0.005;
+const MIN_SHOWN_LOAD: f64 = 0.005;
 
 impl Placement {
     /// Each model that is asked for or on its way: what operators look at.
@@ -56,7 +56,7 @@
             })
         });
         let models: Vec<ModelSummary> = models.collect();
-        models.into_iter().filter(|one| one.load > LEAST_LOAD || one.loading > 0).collect()
+        models.into_iter().filter(|one| one.load > MIN_SHOWN_LOAD || one.loading > 0).collect()
     }
 
     /// Which runners can be given orders, and why others can't.
@@ -68,7 +68,7 @@
             let Some(engine) = service.and_then(|service| service.engine.as_ref()) else {
                 continue;
             };
-            let is_making_room = self.closing.keys().any(|(runner, _)| runner == name);
+            let is_making_room = self.pending_unloads.keys().any(|(runner, _)| runner == name);
             match ledger.obstacle() {
                 Some(obstacle) => *summary.obstacles.entry(obstacle).or_default() += 1,
                 None if is_making_room || self.reserved.contains_key(name) => {
--- a/crates/placement/src/strays.rs
+++ b/crates/placement/src/unsettled.rs
@@ -11,12 +11,12 @@
 /// new life has come to the same count. What it would bring is kept room for until that count has passed. While the
 /// count is the expected one, the next order expects the same, and at most one of the two is taken.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Strays {
-    orders: Vec<Stray>,
+pub(crate) struct UnsettledOrders {
+    orders: Vec<UnsettledOrder>,
 }
 
 #[derive(Clone, Debug)]
-struct Stray {
+struct UnsettledOrder {
     order: Order,
     sent: Tick,
     /// Whether the same order was sent again: an answer does not tell which copy is still on its way.
@@ -25,13 +25,13 @@
 
 /// An order is not carried out later than this after it was sent, in milliseconds: five times the latest that is
 /// known, 12 s.
-const STRAY_MS: u64 = 60_000;
+const ORDER_EXPIRY_MS: u64 = 60_000;
 
-impl Strays {
+impl UnsettledOrders {
     /// An order was not answered.
     pub(crate) fn add(&mut self, sent: Tick, order: Order) {
         if !self.orders.iter().any(|stray| stray.order == order) {
-            self.orders.push(Stray { order, sent, is_repeated: false });
+            self.orders.push(UnsettledOrder { order, sent, is_repeated: false });
         }
     }
 
@@ -49,14 +49,14 @@
     }
 
     /// Takes in those of a former life, and forgets what can't be carried out any more.
-    pub(crate) fn extend(&mut self, now: Tick, other: &Strays) {
+    pub(crate) fn extend(&mut self, now: Tick, other: &UnsettledOrders) {
         for stray in &other.orders {
             self.add(stray.sent, stray.order.clone());
             if stray.is_repeated {
                 self.note_sent(stray.sent, &stray.order);
             }
         }
-        self.orders.retain(|stray| now.since(stray.sent) < STRAY_MS);
+        self.orders.retain(|stray| now.since(stray.sent) < ORDER_EXPIRY_MS);
     }
 
     /// Whether there is none.
--- a/crates/placement/src/weights.rs
+++ b/crates/placement/src/weights.rs
@@ -2,22 +2,22 @@
 
 use crate::{
     Action, Fit, LoadLimit, Placement,
-    census::Basis,
+    inventory::PlanInput,
     machine::announce,
-    plan::{Round, Step},
+    plan::{PlanningRound, Step},
 };
 use vanetally_ports::{EngineSpec, FencingToken, Operation, Subject};
 use vanetally_types::{Incarnation, Name, Tick};
 
 /// A new holder waits this long for the reports of all runners, in milliseconds.
-const REPORTS_MS: u64 = 700;
+const REPORT_WAIT_MS: u64 = 700;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
 /// Steps of one round of the plan.
-const MOST_STEPS: usize = 16;
+const MAX_STEPS: usize = 16;
 /// Fit that could not be made within this time is given up, in milliseconds: an unload waits for
 /// its runs.
-const RESERVED_MS: u64 = 10_000;
+const RESERVATION_TIMEOUT_MS: u64 = 10_000;
 
 /// Fit that is being made on a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -38,29 +38,34 @@
         actions: &mut Vec<Action>,
     ) {
         self.use_reserved(now, token, service, engine, actions);
-        let from_store = self.store_room(now, service, engine);
-        let round = Round::new(self.basis(now, service, engine));
-        for step in round.steps(MOST_STEPS, from_store) {
-            self.take_step(now, token, service, step, actions);
+        let from_store = self.remaining_store_loads(now, service, engine);
+        let round = PlanningRound::new(self.plan_input(now, service, engine));
+        for step in round.steps(MAX_STEPS, from_store) {
+            self.apply_step(now, token, service, step, actions);
         }
     }
 
-    fn basis<'a>(&'a self, now: Tick, service: &'a Name, engine: &'a EngineSpec) -> Basis<'a> {
-        Basis {
+    fn plan_input<'a>(
+        &'a self,
+        now: Tick,
+        service: &'a Name,
+        engine: &'a EngineSpec,
+    ) -> PlanInput<'a> {
+        PlanInput {
             now,
             service,
             engine,
             demand: &self.demand,
-            crowded: &self.crowded,
-            cramped: &self.cramped,
+            saturated: &self.saturated,
+            adapter_full: &self.adapter_full,
             ledgers: &self.ledgers,
-            closing: &self.closing,
+            pending_unloads: &self.pending_unloads,
             reserved: &self.reserved,
         }
     }
 
     /// How many more loads from the weight store may begin.
-    fn store_room(&mut self, now: Tick, service: &Name, engine: &EngineSpec) -> usize {
+    fn remaining_store_loads(&mut self, now: Tick, service: &Name, engine: &EngineSpec) -> usize {
         let unsettled = self.ledgers.values().filter(|l| l.has_lost_load()).count();
         let window = self.options.load_window_ms;
         if !self.load_limits.contains_key(service)
@@ -86,8 +91,8 @@
         }
         let reserved: Vec<(Incarnation, Reservation)> =
             self.reserved.iter().map(|(runner, one)| (runner.clone(), one.clone())).collect();
-        let round = Round::new(self.basis(now, service, engine));
-        let is_needed = |one: &Reservation| round.is_needy(&one.model, 1);
+        let round = PlanningRound::new(self.plan_input(now, service, engine));
+        let is_needed = |one: &Reservation| round.needs_more(&one.model, 1);
         let reserved: Vec<_> =
             reserved.into_iter().map(|(runner, one)| (runner, is_needed(&one), one)).collect();
         for (runner, is_needed, Reservation { model, since }) in reserved {
@@ -95,23 +100,25 @@
                 self.reserved.remove(&runner);
                 continue;
             };
-            let is_closing = self.closing.keys().any(|(closing, _)| *closing == runner);
+            let is_closing = self.pending_unloads.keys().any(|(closing, _)| *closing == runner);
             if ledger.state.service != *service || is_closing {
                 continue;
             }
             let is_open = ledger.next_count().is_some();
             let has_room = ledger.room_for_model(engine, &model) == Fit::Fits;
-            let is_at_hand = ledger.has_at_hand(&model);
+            let is_at_hand = ledger.has_local_copy(&model);
             // Fit that was not made, or is not needed any more, is given up.
             let is_failed = is_open && !has_room;
-            if is_failed || !is_needed || now.since(since) > RESERVED_MS {
+            if is_failed || !is_needed || now.since(since) > RESERVATION_TIMEOUT_MS {
                 self.reserved.remove(&runner);
-            } else if is_open && (is_at_hand || self.store_room(now, service, engine) > 0) {
+            } else if is_open
+                && (is_at_hand || self.remaining_store_loads(now, service, engine) > 0)
+            {
                 self.reserved.remove(&runner);
                 let subject = Subject { model: model.clone(), adapter: None };
                 let from_store = !is_at_hand;
                 let step = Step { runner, operation: Operation::Load, subject, model, from_store };
-                self.take_step(now, token, service, step, actions);
+                self.apply_step(now, token, service, step, actions);
             }
         }
     }
@@ -129,18 +136,18 @@
     ) -> Option<LoadLimit> {
         let own = || self.ledgers.values().filter(|l| l.state.service == *service);
         let silent = own().filter(|ledger| !ledger.is_known() && !ledger.state.draining).count();
-        if silent > 0 && now.since(self.token_since) < REPORTS_MS {
+        if silent > 0 && now.since(self.token_since) < REPORT_WAIT_MS {
             return None;
         }
         let shortest = engine.models.values().map(|spec| spec.load_s).fold(f64::MAX, f64::min);
-        let outlasts = shortest * MILLIS_PER_SECOND > (window_ms + REPORTS_MS) as f64;
+        let outlasts = shortest * MILLIS_PER_SECOND > (window_ms + REPORT_WAIT_MS) as f64;
         let begun = own().filter(|ledger| ledger.has_unknown_order()).count() + silent;
         let begun = outlasts.then_some(begun);
         Some(LoadLimit::new(now, engine.loads_per_s, window_ms, begun))
     }
 
     /// Carries a step out, or begins to.
-    fn take_step(
+    fn apply_step(
         &mut self,
         now: Tick,
         token: FencingToken,
@@ -152,7 +159,7 @@
             actions.push(announce(&step.runner, &step.subject, false, 0));
             let reservation = Reservation { model: step.model, since: now };
             self.reserved.insert(step.runner.clone(), reservation);
-            self.closing.insert((step.runner, step.subject), now);
+            self.pending_unloads.insert((step.runner, step.subject), now);
             return;
         }
         if step.from_store
