--- a/crates/placement/src/adapters.rs
+++ b/crates/placement/src/adapters.rs
@@ -17,14 +17,14 @@
         engine: &EngineSpec,
         actions: &mut Vec<Action>,
     ) {
-        let missing = self.requested.keys().filter(|(of, _)| of == service);
-        let missing: Vec<Subject> = missing
+        let requested = self.requested.keys().filter(|(name, _)| name == service);
+        let requested: Vec<Subject> = requested
             .filter_map(|(_, subject)| {
                 let adapter = Some(subject.adapter.clone()?);
                 Some(Subject { model: subject.model.clone(), adapter })
             })
             .collect();
-        for subject in missing {
+        for subject in requested {
             self.order_adapter(now, token, service, engine, subject, actions);
         }
     }
@@ -88,22 +88,23 @@
         &mut self,
         now: Tick,
         service: &Name,
-        missed: &ModelRef,
+        requested: &ModelRef,
         actions: &mut Vec<Action>,
     ) {
-        let key = (service.clone(), missed.clone());
+        let key = (service.clone(), requested.clone());
         if self.reannounced.contains_key(&key) {
             return;
         }
-        let subject = Subject { model: missed.model.clone(), adapter: missed.adapter.clone() };
+        let subject =
+            Subject { model: requested.model.clone(), adapter: requested.adapter.clone() };
         let holders = self.ledgers.iter().filter(|(_, ledger)| {
             ledger.state.service == *service && !ledger.state.draining && ledger.holds(&subject)
         });
-        let reannounced: Vec<Action> =
+        let announcements: Vec<Action> =
             holders.map(|(runner, _)| announce(runner, &subject, true, 0)).collect();
-        if !reannounced.is_empty() {
+        if !announcements.is_empty() {
             self.reannounced.insert(key, now);
-            actions.extend(reannounced);
+            actions.extend(announcements);
         }
     }
 
@@ -121,21 +122,21 @@
         service: &Name,
         engine: &EngineSpec,
         subject: &Subject,
-        room: Fit,
+        fit: Fit,
     ) -> Option<Incarnation> {
         let fitting = self.ledgers.iter().filter(|(runner, ledger)| {
-            let closing = Subject { model: subject.model.clone(), adapter: None };
+            let weights = Subject { model: subject.model.clone(), adapter: None };
             ledger.state.service == *service
                 && ledger.holds_model(&subject.model)
                 && !ledger.will_hold_adapter(subject)
                 && ledger.next_count().is_some()
-                && ledger.room_for_adapter(engine) == room
-                && !self.pending_unloads.contains_key(&((*runner).clone(), closing))
+                && ledger.adapter_fit(engine) == fit
+                && !self.pending_unloads.contains_key(&((*runner).clone(), weights))
         });
-        let least = fitting.min_by_key(|(runner, ledger)| {
+        let least_used = fitting.min_by_key(|(runner, ledger)| {
             (ledger.adapter_count(), vanetally_types::hash64(runner.id.as_bytes()))
         });
-        least.map(|(runner, _)| runner.clone())
+        least_used.map(|(runner, _)| runner.clone())
     }
 
     /// An adapter of the runner that another runner of its service holds as well.
@@ -155,12 +156,12 @@
 
     /// The adapter of the runner that was not asked for the longest.
     fn idle_adapter(&self, now: Tick, service: &Name, runner: &Incarnation) -> Option<Subject> {
-        let last = |subject: &Subject| {
+        let last_request = |subject: &Subject| {
             let key = ModelRef { model: subject.model.clone(), adapter: subject.adapter.clone() };
-            self.demand.adapter_last(service, &key)
+            self.demand.adapter_last_request(service, &key)
         };
         let ledger = self.ledgers.get(runner)?;
-        let oldest = ledger.adapters().min_by_key(|subject| last(subject))?;
-        (now.since(last(&oldest)) > MIN_ADAPTER_IDLE_MS).then_some(oldest)
+        let oldest = ledger.adapters().min_by_key(|subject| last_request(subject))?;
+        (now.since(last_request(&oldest)) > MIN_ADAPTER_IDLE_MS).then_some(oldest)
     }
 }
--- a/crates/placement/src/capacity.rs
+++ b/crates/placement/src/capacity.rs
@@ -25,9 +25,10 @@
 
 impl<'a> Capacity<'a> {
     pub(crate) fn of(engine: &'a EngineSpec) -> Self {
-        let largest = engine.models.values().map(|spec| spec.adapter_mb).fold(0.0, f64::max);
-        let reserve = largest * f64::from(engine.max_adapters);
-        Self { engine, models_mb: engine.weights_mb - reserve }
+        let largest_adapter =
+            engine.models.values().map(|spec| spec.adapter_mb).fold(0.0, f64::max);
+        let adapter_reserve = largest_adapter * f64::from(engine.max_adapters);
+        Self { engine, models_mb: engine.weights_mb - adapter_reserve }
     }
 
     /// Megabytes of a model's weights. What the configuration does not know may be of any size: nothing goes
@@ -40,17 +41,17 @@
     /// Megabytes beside all that is there or on its way.
     pub(crate) fn free_mb(&self, ledger: &Ledger) -> f64 {
         let expected = ledger.models().chain(ledger.unsettled_models());
-        let here = expected.map(|model| self.model_mb(model)).sum::<f64>();
-        self.models_mb - here.max(self.unanswered_mb(ledger))
+        let expected_mb = expected.map(|model| self.model_mb(model)).sum::<f64>();
+        self.models_mb - expected_mb.max(self.unanswered_mb(ledger))
     }
 
     /// Megabytes that a life after this one may come to hold by orders alone that were never answered.
     fn unanswered_mb(&self, ledger: &Ledger) -> f64 {
-        let mut largest: BTreeMap<u64, f64> = BTreeMap::new();
+        let mut largest_by_count: BTreeMap<u64, f64> = BTreeMap::new();
         for (count, model) in ledger.unanswered_loads() {
-            let size = largest.entry(count).or_default();
+            let size = largest_by_count.entry(count).or_default();
             *size = size.max(self.model_mb(model));
         }
-        largest.values().sum()
+        largest_by_count.values().sum()
     }
 }
--- a/crates/placement/src/demand.rs
+++ b/crates/placement/src/demand.rs
@@ -7,42 +7,42 @@
 
 /// Requests for one model or adapter.
 #[derive(Clone, Copy, Debug, Default)]
-struct Rate {
+struct DecayingWork {
     /// Runner-milliseconds asked for in the last seconds, older ones counted less.
-    recent: f64,
-    at: Tick,
-    last: Tick,
+    work_ms: f64,
+    updated_at: Tick,
+    last_request: Tick,
 }
 
 /// Demand of all models and adapters, from all hosts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DemandTable {
-    models: BTreeMap<(Name, Name), Rate>,
-    adapters: BTreeMap<(Name, ModelRef), Rate>,
+    models: BTreeMap<(Name, Name), DecayingWork>,
+    adapters: BTreeMap<(Name, ModelRef), DecayingWork>,
 }
 
 /// The time in which a request's count falls to a third, in milliseconds.
 const DECAY_MS: f64 = 3_000.0;
 
-impl Rate {
+impl DecayingWork {
     fn decayed(&self, now: Tick) -> f64 {
-        self.recent * (-(now.since(self.at) as f64) / DECAY_MS).exp()
+        self.work_ms * (-(now.since(self.updated_at) as f64) / DECAY_MS).exp()
     }
 
     fn add(&mut self, now: Tick, work_ms: f64) {
-        self.recent = self.decayed(now) + work_ms;
-        self.at = now;
-        self.last = now;
+        self.work_ms = self.decayed(now) + work_ms;
+        self.updated_at = now;
+        self.last_request = now;
     }
 }
 
 impl DemandTable {
     pub(crate) fn add(&mut self, now: Tick, sample: &DemandSample) {
-        self.touch(now, &sample.service, &sample.subject, f64::from(sample.work_ms));
+        self.record(now, &sample.service, &sample.subject, f64::from(sample.work_ms));
     }
 
     /// Requests for `work_ms` arrived; zero only notes that it is asked for.
-    pub(crate) fn touch(&mut self, now: Tick, service: &Name, subject: &ModelRef, work_ms: f64) {
+    pub(crate) fn record(&mut self, now: Tick, service: &Name, subject: &ModelRef, work_ms: f64) {
         let model = (service.clone(), subject.model.clone());
         self.models.entry(model).or_default().add(now, work_ms);
         if subject.adapter.is_some() {
@@ -53,19 +53,19 @@
 
     /// Runner-seconds a second for the model.
     pub(crate) fn model_load(&self, now: Tick, service: &Name, model: &Name) -> f64 {
-        let rate = self.models.get(&(service.clone(), model.clone()));
-        rate.map_or(0.0, |rate| rate.decayed(now) / DECAY_MS)
+        let work = self.models.get(&(service.clone(), model.clone()));
+        work.map_or(0.0, |work| work.decayed(now) / DECAY_MS)
     }
 
     /// When the model was last asked for.
-    pub(crate) fn model_last(&self, service: &Name, model: &Name) -> Tick {
-        let rate = self.models.get(&(service.clone(), model.clone()));
-        rate.map_or(Tick(0), |rate| rate.last)
+    pub(crate) fn model_last_request(&self, service: &Name, model: &Name) -> Tick {
+        let work = self.models.get(&(service.clone(), model.clone()));
+        work.map_or(Tick(0), |work| work.last_request)
     }
 
     /// When the adapter was last asked for.
-    pub(crate) fn adapter_last(&self, service: &Name, subject: &ModelRef) -> Tick {
-        let rate = self.adapters.get(&(service.clone(), subject.clone()));
-        rate.map_or(Tick(0), |rate| rate.last)
+    pub(crate) fn adapter_last_request(&self, service: &Name, subject: &ModelRef) -> Tick {
+        let work = self.adapters.get(&(service.clone(), subject.clone()));
+        work.map_or(Tick(0), |work| work.last_request)
     }
 }
--- a/crates/placement/src/inventory.rs
+++ b/crates/placement/src/inventory.rs
@@ -142,7 +142,7 @@
             load_s: spec.load_s,
             copy_load_s: spec.disk_s.min(spec.load_s),
             load: input.demand.model_load(input.now, input.service, name),
-            idle_ms: input.now.since(input.demand.model_last(input.service, name)),
+            idle_ms: input.now.since(input.demand.model_last_request(input.service, name)),
             replicas: Replicas::default(),
             is_saturated: input.saturated.contains_key(&(input.service.clone(), name.clone())),
             is_adapter_full: input
--- a/crates/placement/src/ledger.rs
+++ b/crates/placement/src/ledger.rs
@@ -78,7 +78,7 @@
     /// Orders that may yet be carried out where this runner is, by this life or one after it.
     pub(crate) fn take_unsettled(&mut self, now: Tick) -> UnsettledOrders {
         let mut unsettled = std::mem::take(&mut self.unsettled);
-        unsettled.extend(now, &std::mem::take(&mut self.unanswered));
+        unsettled.merge(now, &std::mem::take(&mut self.unanswered));
         if let Some((order, sent)) = self.pending_order.take() {
             unsettled.add(sent, order);
         }
@@ -87,7 +87,7 @@
 
     /// Orders to former lives may yet be carried out by this one.
     pub(crate) fn add_unsettled(&mut self, now: Tick, unsettled: UnsettledOrders) {
-        self.unsettled.extend(now, &unsettled);
+        self.unsettled.merge(now, &unsettled);
     }
 
     fn use_announced_models(&mut self) {
@@ -124,11 +124,11 @@
     pub fn set_announced(&mut self, state: UpstreamState) {
         self.is_unreadable = false;
         let count = self.order_count.unwrap_or(0);
-        let has_arrived = self
+        let has_loaded = self
             .loading
             .as_ref()
             .is_some_and(|loading| state.models.iter().any(|held| held.name == loading.model));
-        if state.orders_taken > count || has_arrived {
+        if state.orders_taken > count || has_loaded {
             self.needs_report = true;
         }
         self.state = state;
@@ -155,7 +155,7 @@
         if self.loading.as_ref().is_some_and(|loading| held.contains_key(&loading.model)) {
             self.loading = None;
         }
-        if self.unloading.as_ref().is_some_and(|gone| !held.contains_key(&gone.model)) {
+        if self.unloading.as_ref().is_some_and(|unloading| !held.contains_key(&unloading.model)) {
             self.unloading = None;
         }
         self.coming.retain(|subject, _| {
@@ -176,8 +176,8 @@
             return false;
         }
         if let Some((order, sent)) = &self.pending_order {
-            let is_taken = report.orders_taken > order.orders_before;
-            if !is_taken && asked.since(*sent) < ORDER_TIMEOUT_MS {
+            let was_accepted = report.orders_taken > order.orders_before;
+            if !was_accepted && asked.since(*sent) < ORDER_TIMEOUT_MS {
                 return false;
             }
             // Not taken so far, it may yet be: every other order expects the same count, so that
@@ -189,8 +189,9 @@
         self.set_held(&report.models);
         self.coming = report.coming.iter().map(|subject| (subject.clone(), now)).collect();
         // A report is some time old: it can't speak of an order that was answered just before.
-        let is_fresh = self.last_answer.is_none_or(|at| asked.since(at) > MAX_REPORT_AGE_MS);
-        if !report.busy && is_fresh {
+        let is_newer_than_answer =
+            self.last_answer.is_none_or(|at| asked.since(at) > MAX_REPORT_AGE_MS);
+        if !report.busy && is_newer_than_answer {
             self.loading = None;
             self.unloading = None;
         }
@@ -212,14 +213,16 @@
                 .as_ref()
                 .is_some_and(|(_, sent)| now.since(*sent) > ORDER_TIMEOUT_MS)
             || self.loading.as_ref().is_some_and(|loading| now >= loading.due)
-            || self.unloading.as_ref().is_some_and(|gone| now >= gone.due)
+            || self.unloading.as_ref().is_some_and(|unloading| now >= unloading.due)
             || self.coming.values().any(|at| now.since(*at) > ADAPTER_TIMEOUT_MS);
-        let is_open = self.report_requested.is_none_or(|at| now.since(at) > REPORT_TIMEOUT_MS);
-        let may_request = is_due && is_open && now.since(self.last_report) >= REPORT_INTERVAL_MS;
-        if may_request {
+        let has_no_open_request =
+            self.report_requested.is_none_or(|at| now.since(at) > REPORT_TIMEOUT_MS);
+        let should_request =
+            is_due && has_no_open_request && now.since(self.last_report) >= REPORT_INTERVAL_MS;
+        if should_request {
             self.report_requested = Some(now);
         }
-        may_request
+        should_request
     }
 
     /// The count that the next order has to expect; none while one is open or the books are in
@@ -267,7 +270,7 @@
 
     /// An order goes out.
     pub fn order_sent(&mut self, now: Tick, order: Order) {
-        self.unanswered.note_sent(now, &order);
+        self.unanswered.record_resend(now, &order);
         self.pending_order = Some((order, now));
     }
 
@@ -329,8 +332,9 @@
 
     /// Whether the runner holds the model's weights, and keeps them.
     pub fn holds_model(&self, model: &Name) -> bool {
-        let leaves = self.unloading.as_ref().is_some_and(|gone| gone.model == *model);
-        self.held.contains_key(model) && !leaves
+        let is_unloading =
+            self.unloading.as_ref().is_some_and(|unloading| unloading.model == *model);
+        self.held.contains_key(model) && !is_unloading
     }
 
     /// Whether the subject is there, and stays.
@@ -399,7 +403,7 @@
     /// of those that expect the same at most one is taken.
     pub(crate) fn unanswered_loads(&self) -> impl Iterator<Item = (u64, &Name)> {
         let own = self.order_count;
-        let all = self.unsettled.weights().chain(self.unanswered.weights());
+        let all = self.unsettled.weight_loads().chain(self.unanswered.weight_loads());
         all.filter(move |(count, _)| Some(*count) != own)
     }
 
@@ -414,7 +418,7 @@
     }
 
     /// Whether the model's weights fit beside all that is there or on its way.
-    pub fn room_for_model(&self, engine: &EngineSpec, model: &Name) -> Fit {
+    pub fn model_fit(&self, engine: &EngineSpec, model: &Name) -> Fit {
         let Some(spec) = engine.models.get(model) else {
             return Fit::Never;
         };
@@ -427,7 +431,7 @@
     }
 
     /// Whether one more adapter fits beside all that are there or on their way.
-    pub fn room_for_adapter(&self, engine: &EngineSpec) -> Fit {
+    pub fn adapter_fit(&self, engine: &EngineSpec) -> Fit {
         let unsettled = self.unsettled.adapter_count(self.order_count);
         let taken = self.adapters().count() + self.coming.len() + unsettled;
         match (taken < engine.max_adapters as usize, self.coming.len() < MAX_COMING_ADAPTERS) {
--- a/crates/placement/src/machine.rs
+++ b/crates/placement/src/machine.rs
@@ -121,11 +121,11 @@
                 }
             }
             Event::Requested { service, subject, is_saturated: false } => {
-                self.demand.touch(now, &service, &subject, 0.0);
+                self.demand.record(now, &service, &subject, 0.0);
                 self.reannounce(now, &service, &subject, &mut actions);
-                let last = self.requested.insert((service.clone(), subject.clone()), now);
+                let previous = self.requested.insert((service.clone(), subject.clone()), now);
                 // What is missed again and again waits for the next round.
-                if last.is_none() {
+                if previous.is_none() {
                     self.order_requested(now, &service, &subject, false, &mut actions);
                 }
             }
@@ -133,7 +133,7 @@
                 self.reported(now, &runner, requested_at, report, &mut actions);
             }
             Event::OrderAnswered { order, outcome } => {
-                self.ordered(now, &order, outcome, &mut actions)
+                self.order_answered(now, &order, outcome, &mut actions)
             }
             Event::Token(token) => self.set_token(now, token),
             Event::Tick => self.tick(now, &mut actions),
@@ -167,7 +167,7 @@
         };
         let unsettled = ledger.take_unsettled(now);
         if !unsettled.is_empty() {
-            self.unsettled.entry(id.id).or_default().extend(now, &unsettled);
+            self.unsettled.entry(id.id).or_default().merge(now, &unsettled);
         }
     }
 
@@ -175,7 +175,7 @@
         &mut self,
         now: Tick,
         runner: &Incarnation,
-        asked: Tick,
+        requested_at: Tick,
         report: Option<Report>,
         actions: &mut Vec<Action>,
     ) {
@@ -184,12 +184,12 @@
         };
         // The answer of another life says nothing of this one, whose end will be told.
         let report = report.filter(|report| report.born.is_none() || report.born == runner.born);
-        let old = ledger.held_models();
-        if !ledger.apply_report(now, asked, report) {
+        let held_before = ledger.held_models();
+        if !ledger.apply_report(now, requested_at, report) {
             return;
         }
-        let arrived = ledger.held_models().into_iter().filter(|model| !old.contains(model));
-        for model in arrived.filter(|_| self.token.is_some()) {
+        let loaded = ledger.held_models().into_iter().filter(|model| !held_before.contains(model));
+        for model in loaded.filter(|_| self.token.is_some()) {
             actions.push(announce(runner, &Subject { model, adapter: None }, true, 0));
         }
         self.order_all(now, actions);
@@ -223,7 +223,7 @@
         self.copied_adapters.retain(|_, at| now.since(*at) < COPY_INTERVAL_MS);
         self.unsettled
             .values_mut()
-            .for_each(|unsettled| unsettled.extend(now, &UnsettledOrders::default()));
+            .for_each(|unsettled| unsettled.merge(now, &UnsettledOrders::default()));
         self.unsettled.retain(|_, unsettled| !unsettled.is_empty());
         let adapter_arrivals = std::mem::take(&mut self.adapter_arrivals);
         for (due, runner, subject) in adapter_arrivals {
@@ -303,10 +303,10 @@
     /// Orders the unloads that were told to all hosts long enough ago.
     fn order_pending_unloads(&mut self, now: Tick, token: FencingToken, actions: &mut Vec<Action>) {
         // What could not be ordered in time is kept: the demand may have changed since.
-        let is_old = |since: &Tick| now.since(*since) > UNLOAD_NOTICE_LIMIT_MS;
-        let old = self.pending_unloads.iter().filter(|(_, since)| is_old(since));
-        let kept: Vec<(Incarnation, Subject)> = old.map(|(key, _)| key.clone()).collect();
-        for (runner, subject) in kept {
+        let is_expired = |since: &Tick| now.since(*since) > UNLOAD_NOTICE_LIMIT_MS;
+        let expired = self.pending_unloads.iter().filter(|(_, since)| is_expired(since));
+        let cancelled: Vec<(Incarnation, Subject)> = expired.map(|(key, _)| key.clone()).collect();
+        for (runner, subject) in cancelled {
             actions.push(announce(&runner, &subject, true, 0));
             self.pending_unloads.remove(&(runner, subject));
         }
@@ -314,11 +314,11 @@
             self.pending_unloads.iter().filter(|(_, since)| now.since(**since) >= UNLOAD_NOTICE_MS);
         let due: Vec<(Incarnation, Subject)> = due.map(|(key, _)| key.clone()).collect();
         for (runner, subject) in due {
-            let is_open = self
+            let can_order = self
                 .ledgers
                 .get(&runner)
                 .is_some_and(|ledger| ledger.next_count().is_some() && !ledger.is_busy());
-            if is_open {
+            if can_order {
                 self.pending_unloads.remove(&(runner.clone(), subject.clone()));
                 self.order(now, token, &runner, Operation::Unload, subject, actions);
             }
@@ -356,7 +356,7 @@
         actions.push(Action::Order { order, address: ledger.state.address, known });
     }
 
-    fn ordered(
+    fn order_answered(
         &mut self,
         now: Tick,
         order: &Order,
@@ -370,7 +370,7 @@
         match outcome {
             OrderOutcome::Accepted => {
                 ledger.order_accepted(now, order, expected_ms);
-                self.accepted(now, order, expected_ms, actions);
+                self.order_accepted(now, order, expected_ms, actions);
             }
             // Whether such an answer counts as an order taken is for the next report to tell.
             OrderOutcome::AlreadyDone => {
@@ -393,7 +393,13 @@
         self.order_all(now, actions);
     }
 
-    fn accepted(&mut self, now: Tick, order: &Order, expected_ms: u64, actions: &mut Vec<Action>) {
+    fn order_accepted(
+        &mut self,
+        now: Tick,
+        order: &Order,
+        expected_ms: u64,
+        actions: &mut Vec<Action>,
+    ) {
         if order.subject.adapter.is_none() {
             return;
         }
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -56,9 +56,9 @@
 
 impl Ord for Need {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        let waits = self.is_saturated.cmp(&other.is_saturated);
-        let gains = waits.then_with(|| self.gain.total_cmp(&other.gain));
-        gains.then_with(|| other.model.cmp(&self.model))
+        let by_saturation = self.is_saturated.cmp(&other.is_saturated);
+        let by_gain = by_saturation.then_with(|| self.gain.total_cmp(&other.gain));
+        by_gain.then_with(|| other.model.cmp(&self.model))
     }
 }
 
@@ -96,10 +96,10 @@
     }
 
     fn sort_runners(&mut self) {
-        let least = self.models.iter().map(|model| model.weights_mb).fold(f64::MAX, f64::min);
+        let smallest_mb = self.models.iter().map(|model| model.weights_mb).fold(f64::MAX, f64::min);
         let all = 0..self.runners.len();
         let (mut with_room, full): (Vec<usize>, Vec<usize>) =
-            all.partition(|&index| self.runners[index].free_mb >= least);
+            all.partition(|&index| self.runners[index].free_mb >= smallest_mb);
         with_room.sort_by(|&a, &b| self.runners[a].load.total_cmp(&self.runners[b].load));
         let costs =
             full.into_iter().filter_map(|index| Some((self.cheapest_victim(index, 0.0)?.0, index)));
@@ -111,10 +111,10 @@
 
     /// The model of at least `least_mb` of a runner that is worth least there: what its going loses,
     /// what its runs cost besides, and its index.
-    fn cheapest_victim(&self, runner: usize, least_mb: f64) -> Option<(f64, f64, usize)> {
+    fn cheapest_victim(&self, runner: usize, min_mb: f64) -> Option<(f64, f64, usize)> {
         let held = self.runners[runner].ledger.models();
         let known = held.filter_map(|model| self.index.get(model).copied());
-        let large = known.filter(|&index| self.models[index].weights_mb >= least_mb);
+        let large = known.filter(|&index| self.models[index].weights_mb >= min_mb);
         let costs = large.filter_map(|index| {
             let model = &self.models[index];
             let loss = value::loss(model.load, model.idle_ms, model.replicas)?;
@@ -126,18 +126,18 @@
 
     /// Whether the model should have more replicas than are there and planned, not counting `but` of
     /// them.
-    pub(crate) fn needs_more(&self, model: &Name, but: usize) -> bool {
-        self.index.get(model).is_some_and(|&index| self.needs_replica(index, but))
+    pub(crate) fn needs_more(&self, model: &Name, excluded: usize) -> bool {
+        self.index.get(model).is_some_and(|&index| self.needs_replica(index, excluded))
     }
 
-    fn needs_replica(&self, index: usize, but: usize) -> bool {
+    fn needs_replica(&self, index: usize, excluded: usize) -> bool {
         let Model { load, replicas, is_saturated, is_adapter_full, .. } = &self.models[index];
-        let planned = replicas.planned.saturating_sub(but);
+        let planned = replicas.planned.saturating_sub(excluded);
         let saturated = if *is_saturated { value::target_replicas_saturated(*replicas) } else { 0 };
         let adapter_full = if *is_adapter_full { replicas.held + 1 } else { 0 };
-        let wanted =
+        let target =
             value::target_replicas(*load).max(saturated).max(adapter_full).min(self.runner_count);
-        planned < wanted
+        planned < target
     }
 
     fn need(&self, index: usize) -> Option<Need> {
@@ -152,28 +152,29 @@
     }
 
     /// At most `most` steps, with at most `from_store` loads from the weight store among them.
-    pub(crate) fn steps(mut self, max_steps: usize, mut from_store: usize) -> Vec<Step> {
+    pub(crate) fn steps(mut self, max_steps: usize, mut store_loads: usize) -> Vec<Step> {
         let needs = (0..self.models.len()).filter_map(|index| self.need(index));
         let mut needs: BinaryHeap<Need> = needs.collect();
         let mut steps =
             self.fill_from_copies(max_steps, needs.peek().map_or(0.0, |need| need.gain));
         let busy = self.runner_count - self.runners.len();
         let max_busy = |share: f64| (self.runner_count as f64 * share).ceil() as usize;
-        let (usual, saturated) = (max_busy(MAX_BUSY_SHARE), max_busy(MAX_BUSY_SHARE_SATURATED));
+        let (unsaturated, saturated) =
+            (max_busy(MAX_BUSY_SHARE), max_busy(MAX_BUSY_SHARE_SATURATED));
         while steps.len() < max_steps
             && let Some(Need { is_saturated, gain, model }) = needs.pop()
         {
             // A model that is nowhere is brought in any case.
-            let is_extra = self.models[model].replicas.planned > 0;
-            let limit = if is_saturated { saturated } else { usual };
-            if is_extra && busy + steps.len() >= limit {
+            let is_additional = self.models[model].replicas.planned > 0;
+            let limit = if is_saturated { saturated } else { unsaturated };
+            if is_additional && busy + steps.len() >= limit {
                 continue;
             }
-            let Some(candidate) = self.cheapest_candidate(model, gain, from_store > 0) else {
+            let Some(candidate) = self.cheapest_candidate(model, gain, store_loads > 0) else {
                 continue;
             };
             let step = self.apply(model, candidate);
-            from_store -= usize::from(step.from_store);
+            store_loads -= usize::from(step.from_store);
             steps.push(step);
             needs.extend(self.need(model));
         }
@@ -213,18 +214,21 @@
         may_use_store: bool,
     ) -> Option<Candidate> {
         let copy_holders = self.models[model].copy_holders.iter();
-        let near = copy_holders.filter_map(|&runner| self.candidate(model, runner, gain));
+        let with_copy = copy_holders.filter_map(|&runner| self.candidate(model, runner, gain));
         let is_available = |&&runner: &&usize| self.runners[runner].is_available;
-        let others = |sorted: &'_ [usize]| -> Vec<Candidate> {
-            let open = sorted.iter().filter(is_available).take(MAX_CANDIDATES);
-            open.filter_map(|&runner| self.candidate(model, runner, gain)).collect()
+        let cheapest_runners = |sorted: &'_ [usize]| -> Vec<Candidate> {
+            let available = sorted.iter().filter(is_available).take(MAX_CANDIDATES);
+            available.filter_map(|&runner| self.candidate(model, runner, gain)).collect()
         };
-        let far = if may_use_store {
-            others(&self.with_room).into_iter().chain(others(&self.full)).collect()
+        let from_store = if may_use_store {
+            cheapest_runners(&self.with_room)
+                .into_iter()
+                .chain(cheapest_runners(&self.full))
+                .collect()
         } else {
             Vec::new()
         };
-        near.chain(far).min_by(|a, b| a.cost.total_cmp(&b.cost))
+        with_copy.chain(from_store).min_by(|a, b| a.cost.total_cmp(&b.cost))
     }
 
     /// The way to bring the model to this runner, if that is allowed and worth it.
--- a/crates/placement/src/summary.rs
+++ b/crates/placement/src/summary.rs
@@ -50,13 +50,16 @@
         let engines = services.filter_map(|(name, service)| Some((name, service.engine.as_ref()?)));
         let models = engines.flat_map(|(service, engine)| {
             engine.models.keys().map(|model| {
-                let (holding, coming) = counts.get(&(service, model)).copied().unwrap_or_default();
+                let (holders, loading) = counts.get(&(service, model)).copied().unwrap_or_default();
                 let load = self.demand.model_load(now, service, model);
-                ModelSummary { model: model.clone(), load, holders: holding, loading: coming }
+                ModelSummary { model: model.clone(), load, holders, loading }
             })
         });
         let models: Vec<ModelSummary> = models.collect();
-        models.into_iter().filter(|one| one.load > MIN_SHOWN_LOAD || one.loading > 0).collect()
+        models
+            .into_iter()
+            .filter(|model| model.load > MIN_SHOWN_LOAD || model.loading > 0)
+            .collect()
     }
 
     /// Which runners can be given orders, and why others can't.
@@ -68,17 +71,18 @@
             let Some(engine) = service.and_then(|service| service.engine.as_ref()) else {
                 continue;
             };
-            let is_making_room = self.pending_unloads.keys().any(|(runner, _)| runner == name);
+            let is_evicting = self.pending_unloads.keys().any(|(runner, _)| runner == name);
             match ledger.obstacle() {
                 Some(obstacle) => *summary.obstacles.entry(obstacle).or_default() += 1,
-                None if is_making_room || self.reserved.contains_key(name) => {
+                None if is_evicting || self.reserved.contains_key(name) => {
                     summary.evicting += 1;
                 }
                 None => summary.available += 1,
             }
-            let least = engine.models.values().map(|spec| spec.weights_mb).fold(f64::MAX, f64::min);
+            let smallest_mb =
+                engine.models.values().map(|spec| spec.weights_mb).fold(f64::MAX, f64::min);
             let free_mb = Capacity::of(engine).free_mb(ledger).max(0.0);
-            summary.free_places += (free_mb / least) as usize;
+            summary.free_places += (free_mb / smallest_mb) as usize;
         }
         summary
     }
--- a/crates/placement/src/unsettled.rs
+++ b/crates/placement/src/unsettled.rs
@@ -18,9 +18,9 @@
 #[derive(Clone, Debug)]
 struct UnsettledOrder {
     order: Order,
-    sent: Tick,
+    sent_at: Tick,
     /// Whether the same order was sent again: an answer does not tell which copy is still on its way.
-    is_repeated: bool,
+    was_resent: bool,
 }
 
 /// An order is not carried out later than this after it was sent, in milliseconds: five times the latest that is
@@ -29,34 +29,35 @@
 
 impl UnsettledOrders {
     /// An order was not answered.
-    pub(crate) fn add(&mut self, sent: Tick, order: Order) {
-        if !self.orders.iter().any(|stray| stray.order == order) {
-            self.orders.push(UnsettledOrder { order, sent, is_repeated: false });
+    pub(crate) fn add(&mut self, sent_at: Tick, order: Order) {
+        if !self.orders.iter().any(|unsettled| unsettled.order == order) {
+            self.orders.push(UnsettledOrder { order, sent_at, was_resent: false });
         }
     }
 
     /// An order is sent; one that was not answered may be the same.
-    pub(crate) fn note_sent(&mut self, now: Tick, order: &Order) {
-        if let Some(stray) = self.orders.iter_mut().find(|stray| stray.order == *order) {
-            stray.is_repeated = true;
-            stray.sent = now;
+    pub(crate) fn record_resend(&mut self, now: Tick, order: &Order) {
+        if let Some(unsettled) = self.orders.iter_mut().find(|unsettled| unsettled.order == *order)
+        {
+            unsettled.was_resent = true;
+            unsettled.sent_at = now;
         }
     }
 
     /// An order was answered after all.
     pub(crate) fn settle(&mut self, order: &Order) {
-        self.orders.retain(|stray| stray.is_repeated || stray.order != *order);
+        self.orders.retain(|unsettled| unsettled.was_resent || unsettled.order != *order);
     }
 
     /// Takes in those of a former life, and forgets what can't be carried out any more.
-    pub(crate) fn extend(&mut self, now: Tick, other: &UnsettledOrders) {
-        for stray in &other.orders {
-            self.add(stray.sent, stray.order.clone());
-            if stray.is_repeated {
-                self.note_sent(stray.sent, &stray.order);
+    pub(crate) fn merge(&mut self, now: Tick, other: &UnsettledOrders) {
+        for unsettled in &other.orders {
+            self.add(unsettled.sent_at, unsettled.order.clone());
+            if unsettled.was_resent {
+                self.record_resend(unsettled.sent_at, &unsettled.order);
             }
         }
-        self.orders.retain(|stray| now.since(stray.sent) < ORDER_EXPIRY_MS);
+        self.orders.retain(|unsettled| now.since(unsettled.sent_at) < ORDER_EXPIRY_MS);
     }
 
     /// Whether there is none.
@@ -66,14 +67,14 @@
 
     /// Models whose weights may yet come to a runner that has taken `count` orders.
     pub(crate) fn models(&self, count: Option<u64>) -> impl Iterator<Item = &Name> {
-        let weights = self.loads(count).filter(|order| order.subject.adapter.is_none());
-        weights.map(|order| &order.subject.model)
+        let loads = self.loads(count).filter(|order| order.subject.adapter.is_none());
+        loads.map(|order| &order.subject.model)
     }
 
     /// Loads of weights, by the count that they expect.
-    pub(crate) fn weights(&self) -> impl Iterator<Item = (u64, &Name)> {
-        let weights = self.loads(None).filter(|order| order.subject.adapter.is_none());
-        weights.map(|order| (order.orders_before, &order.subject.model))
+    pub(crate) fn weight_loads(&self) -> impl Iterator<Item = (u64, &Name)> {
+        let loads = self.loads(None).filter(|order| order.subject.adapter.is_none());
+        loads.map(|order| (order.orders_before, &order.subject.model))
     }
 
     /// How many adapters may yet come there.
@@ -82,8 +83,9 @@
     }
 
     fn loads(&self, count: Option<u64>) -> impl Iterator<Item = &Order> {
-        let is_ahead = move |order: &&Order| count.is_none_or(|count| order.orders_before > count);
-        let orders = self.orders.iter().map(|stray| &stray.order);
-        orders.filter(|order| order.operation == Operation::Load).filter(is_ahead)
+        let is_due_later =
+            move |order: &&Order| count.is_none_or(|count| order.orders_before > count);
+        let orders = self.orders.iter().map(|unsettled| &unsettled.order);
+        orders.filter(|order| order.operation == Operation::Load).filter(is_due_later)
     }
 }
--- a/crates/placement/src/weights.rs
+++ b/crates/placement/src/weights.rs
@@ -38,9 +38,9 @@
         actions: &mut Vec<Action>,
     ) {
         self.use_reserved(now, token, service, engine, actions);
-        let from_store = self.remaining_store_loads(now, service, engine);
+        let store_loads = self.remaining_store_loads(now, service, engine);
         let round = PlanningRound::new(self.plan_input(now, service, engine));
-        for step in round.steps(MAX_STEPS, from_store) {
+        for step in round.steps(MAX_STEPS, store_loads) {
             self.apply_step(now, token, service, step, actions);
         }
     }
@@ -66,7 +66,7 @@
 
     /// How many more loads from the weight store may begin.
     fn remaining_store_loads(&mut self, now: Tick, service: &Name, engine: &EngineSpec) -> usize {
-        let unsettled = self.ledgers.values().filter(|l| l.has_lost_load()).count();
+        let unanswered = self.ledgers.values().filter(|l| l.has_lost_load()).count();
         let window = self.options.load_window_ms;
         if !self.load_limits.contains_key(service)
             && let Some(load_limit) = self.initial_load_limit(now, service, engine, window)
@@ -74,7 +74,7 @@
             self.load_limits.insert(service.clone(), load_limit);
         }
         let load_limit = self.load_limits.get_mut(service);
-        load_limit.map_or(0, |load_limit| load_limit.room(now, unsettled))
+        load_limit.map_or(0, |load_limit| load_limit.remaining(now, unanswered))
     }
 
     /// Orders the loads for which room was made; gives up the room that is not needed any more.
@@ -89,34 +89,39 @@
         if self.reserved.is_empty() {
             return;
         }
-        let reserved: Vec<(Incarnation, Reservation)> =
-            self.reserved.iter().map(|(runner, one)| (runner.clone(), one.clone())).collect();
+        let reserved: Vec<(Incarnation, Reservation)> = self
+            .reserved
+            .iter()
+            .map(|(runner, reservation)| (runner.clone(), reservation.clone()))
+            .collect();
         let round = PlanningRound::new(self.plan_input(now, service, engine));
-        let is_needed = |one: &Reservation| round.needs_more(&one.model, 1);
-        let reserved: Vec<_> =
-            reserved.into_iter().map(|(runner, one)| (runner, is_needed(&one), one)).collect();
+        let is_needed = |reservation: &Reservation| round.needs_more(&reservation.model, 1);
+        let reserved: Vec<_> = reserved
+            .into_iter()
+            .map(|(runner, reservation)| (runner, is_needed(&reservation), reservation))
+            .collect();
         for (runner, is_needed, Reservation { model, since }) in reserved {
             let Some(ledger) = self.ledgers.get(&runner) else {
                 self.reserved.remove(&runner);
                 continue;
             };
-            let is_closing = self.pending_unloads.keys().any(|(closing, _)| *closing == runner);
-            if ledger.state.service != *service || is_closing {
+            let is_unloading =
+                self.pending_unloads.keys().any(|(unloading, _)| *unloading == runner);
+            if ledger.state.service != *service || is_unloading {
                 continue;
             }
             let is_open = ledger.next_count().is_some();
-            let has_room = ledger.room_for_model(engine, &model) == Fit::Fits;
-            let is_at_hand = ledger.has_local_copy(&model);
+            let has_room = ledger.model_fit(engine, &model) == Fit::Fits;
+            let has_copy = ledger.has_local_copy(&model);
             // Fit that was not made, or is not needed any more, is given up.
-            let is_failed = is_open && !has_room;
-            if is_failed || !is_needed || now.since(since) > RESERVATION_TIMEOUT_MS {
+            let has_failed = is_open && !has_room;
+            if has_failed || !is_needed || now.since(since) > RESERVATION_TIMEOUT_MS {
                 self.reserved.remove(&runner);
-            } else if is_open
-                && (is_at_hand || self.remaining_store_loads(now, service, engine) > 0)
+            } else if is_open && (has_copy || self.remaining_store_loads(now, service, engine) > 0)
             {
                 self.reserved.remove(&runner);
                 let subject = Subject { model: model.clone(), adapter: None };
-                let from_store = !is_at_hand;
+                let from_store = !has_copy;
                 let step = Step { runner, operation: Operation::Load, subject, model, from_store };
                 self.apply_step(now, token, service, step, actions);
             }
@@ -135,15 +140,16 @@
         window_ms: u64,
     ) -> Option<LoadLimit> {
         let own = || self.ledgers.values().filter(|l| l.state.service == *service);
-        let silent = own().filter(|ledger| !ledger.is_known() && !ledger.state.draining).count();
-        if silent > 0 && now.since(self.token_since) < REPORT_WAIT_MS {
+        let unreported =
+            own().filter(|ledger| !ledger.is_known() && !ledger.state.draining).count();
+        if unreported > 0 && now.since(self.token_since) < REPORT_WAIT_MS {
             return None;
         }
         let shortest = engine.models.values().map(|spec| spec.load_s).fold(f64::MAX, f64::min);
-        let outlasts = shortest * MILLIS_PER_SECOND > (window_ms + REPORT_WAIT_MS) as f64;
-        let begun = own().filter(|ledger| ledger.has_unknown_order()).count() + silent;
-        let begun = outlasts.then_some(begun);
-        Some(LoadLimit::new(now, engine.loads_per_s, window_ms, begun))
+        let outlasts_window = shortest * MILLIS_PER_SECOND > (window_ms + REPORT_WAIT_MS) as f64;
+        let started = own().filter(|ledger| ledger.has_unknown_order()).count() + unreported;
+        let started = outlasts_window.then_some(started);
+        Some(LoadLimit::new(now, engine.loads_per_s, window_ms, started))
     }
 
     /// Carries a step out, or begins to.
@@ -165,7 +171,7 @@
         if step.from_store
             && let Some(load_limit) = self.load_limits.get_mut(service)
         {
-            load_limit.begin(now);
+            load_limit.record_start(now);
         }
         self.order(now, token, &step.runner, Operation::Load, step.subject, actions);
     }
