--- a/crates/placement/src/adapters.rs
+++ b/crates/placement/src/adapters.rs
@@ -1,14 +1,14 @@
-//! Adapters that hosts miss are brought to a runner that holds their model.
+//! Loads requested adapters on runners that hold their model.
 
 use crate::{Action, Fit, Placement, machine::announce};
 use vanetally_ports::{EngineSpec, FencingToken, ModelRef, Operation, Subject};
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// Least idle time of an adapter that makes way, in milliseconds.
+/// Minimum idle time before an adapter may be evicted.
 const MIN_ADAPTER_IDLE_MS: u64 = 1_000;
 
 impl Placement {
-    /// Orders adapters that hosts miss.
+    /// Orders the adapters that hosts requested.
     pub(crate) fn order_adapters(
         &mut self,
         now: Tick,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Orders one adapter, unless it is somewhere or on its way.
+    /// Orders one adapter, unless a runner holds it or is loading it.
     pub(crate) fn order_adapter(
         &mut self,
         now: Tick,
@@ -54,14 +54,14 @@
             Some(victim) => {
                 self.order(now, token, &runner, Operation::Unload, victim, actions);
             }
-            // All that are there are asked for: one more holder has places for the rest.
+            // All held adapters are in use: another replica of the model offers room for more.
             None => {
                 self.adapter_full.insert((service.clone(), subject.model), now);
             }
         }
     }
 
-    /// Orders a copy of an adapter, where there is room for it; tells whether it did.
+    /// Orders another copy of an adapter where it fits. Returns whether it did.
     pub(crate) fn copy_adapter(
         &mut self,
         now: Tick,
@@ -79,11 +79,11 @@
         true
     }
 
-    /// Tells hosts again what they miss though it is there.
+    /// Announces again to hosts what they requested although a runner holds it.
     ///
-    /// They believe what they were told for some seconds, and then what the runner announces. Where its entry is not
-    /// written in time, as while the store is away, a model or an adapter that came just before would be missed for as
-    /// long as that lasts.
+    /// Hosts rely on an announcement for some seconds and then on the runner's entry in the store. If
+    /// that entry is not updated in time, for example while the store is unavailable, hosts would not
+    /// find a recently loaded model or adapter until it is.
     pub(crate) fn reannounce(
         &mut self,
         now: Tick,
@@ -116,7 +116,7 @@
         })
     }
 
-    /// The runner with the fewest adapters among those that hold the model.
+    /// The runner with the fewest adapters among those that hold the model and match `fit`.
     fn runner_for_adapter(
         &self,
         service: &Name,
@@ -139,7 +139,7 @@
         least_used.map(|(runner, _)| runner.clone())
     }
 
-    /// An adapter of the runner that another runner of its service holds as well.
+    /// An adapter on the runner that another runner of its service holds as well.
     fn replicated_adapter(&self, runner: &Incarnation) -> Option<Subject> {
         let ledger = self.ledgers.get(runner)?;
         let others = || {
@@ -154,7 +154,7 @@
         })
     }
 
-    /// The adapter of the runner that was not asked for the longest.
+    /// The adapter on the runner with the oldest last request, if it has been idle long enough.
     fn idle_adapter(&self, now: Tick, service: &Name, runner: &Incarnation) -> Option<Subject> {
         let last_request = |subject: &Subject| {
             let key = ModelRef { model: subject.model.clone(), adapter: subject.adapter.clone() };
--- a/crates/placement/src/demand.rs
+++ b/crates/placement/src/demand.rs
@@ -1,27 +1,27 @@
-//! How much each model and adapter is asked for.
+//! Demand for each model and adapter.
 
 use crate::DemandSample;
 use std::collections::BTreeMap;
 use vanetally_ports::ModelRef;
 use vanetally_types::{Name, Tick};
 
-/// Requests for one model or adapter.
+/// Requested work for one model or adapter, decaying over time.
 #[derive(Clone, Copy, Debug, Default)]
 struct DecayingWork {
-    /// Runner-milliseconds asked for in the last seconds, older ones counted less.
+    /// Requested runner-milliseconds as of `updated_at`, exponentially decayed.
     work_ms: f64,
     updated_at: Tick,
     last_request: Tick,
 }
 
-/// Demand of all models and adapters, from all hosts.
+/// Demand for all models and adapters, summed over all hosts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DemandTable {
     models: BTreeMap<(Name, Name), DecayingWork>,
     adapters: BTreeMap<(Name, ModelRef), DecayingWork>,
 }
 
-/// The time in which a request's count falls to a third, in milliseconds.
+/// Time in which the weight of a request falls to 1/e.
 const DECAY_MS: f64 = 3_000.0;
 
 impl DecayingWork {
@@ -41,7 +41,7 @@
         self.record(now, &sample.service, &sample.subject, f64::from(sample.work_ms));
     }
 
-    /// Requests for `work_ms` arrived; zero only notes that it is asked for.
+    /// Records requests for `work_ms` of work; zero only updates the time of the last request.
     pub(crate) fn record(&mut self, now: Tick, service: &Name, subject: &ModelRef, work_ms: f64) {
         let model = (service.clone(), subject.model.clone());
         self.models.entry(model).or_default().add(now, work_ms);
@@ -51,19 +51,19 @@
         }
     }
 
-    /// Runner-seconds a second for the model.
+    /// Load of the model, in runner-seconds per second.
     pub(crate) fn model_load(&self, now: Tick, service: &Name, model: &Name) -> f64 {
         let work = self.models.get(&(service.clone(), model.clone()));
         work.map_or(0.0, |work| work.decayed(now) / DECAY_MS)
     }
 
-    /// When the model was last asked for.
+    /// Time of the last request for the model.
     pub(crate) fn model_last_request(&self, service: &Name, model: &Name) -> Tick {
         let work = self.models.get(&(service.clone(), model.clone()));
         work.map_or(Tick(0), |work| work.last_request)
     }
 
-    /// When the adapter was last asked for.
+    /// Time of the last request for the adapter.
     pub(crate) fn adapter_last_request(&self, service: &Name, subject: &ModelRef) -> Tick {
         let work = self.adapters.get(&(service.clone(), subject.clone()));
         work.map_or(Tick(0), |work| work.last_request)
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the placement and what comes out.
+//! Inputs and outputs of the placement.
 
 use std::{net::SocketAddr, rc::Rc};
 use vanetally_ports::{
@@ -6,68 +6,68 @@
 };
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// Bounds that the deployment states.
+/// Settings of the placement.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// This host, as runners are told.
+    /// Name of this host, sent to runners as the holder of the order lease.
     pub holder: Name,
-    /// Window of the weight store's rate, in milliseconds.
+    /// Window of the weight store's load limit, in milliseconds.
     pub load_window_ms: u64,
 }
 
-/// Requests for one model or adapter at one host, since its last sample.
+/// Requests for one model or adapter at one host since its last sample.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DemandSample {
     /// The service.
     pub service: Name,
-    /// What is asked for.
+    /// The requested model or adapter.
     pub subject: ModelRef,
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub arrived: u32,
-    /// Milliseconds of a runner that they should take.
+    /// Expected runner time of these requests, in milliseconds.
     pub work_ms: u32,
 }
 
-/// Something that happened.
+/// An input of the placement.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A newer configuration is in force.
+    /// A new configuration took effect.
     Configured(Rc<Configuration>),
-    /// A runner announced itself, or changed what it announces.
+    /// A runner's announcement appeared or changed.
     UpstreamSeen {
         /// Its incarnation.
         id: Incarnation,
-        /// What it says.
+        /// The announced state.
         state: UpstreamState,
     },
-    /// What a runner announces can't be read: it gets no order until it can.
+    /// A runner's announcement can't be decoded. The runner gets no orders until it can.
     UpstreamUnreadable {
         /// Its incarnation.
         id: Incarnation,
     },
-    /// A runner's announcement is gone, or another life is announced under its id.
+    /// A runner's announcement was removed, or replaced by that of another incarnation.
     UpstreamGone {
         /// Its incarnation.
         id: Incarnation,
     },
-    /// A host told what is asked of it.
+    /// A host reported its demand.
     Demand(Vec<DemandSample>),
-    /// A host misses a model or an adapter.
+    /// A host requested a model or an adapter that it can't find.
     Requested {
         /// The service.
         service: Name,
-        /// What is missing.
+        /// The requested model or adapter.
         subject: ModelRef,
-        /// Whether it is held, and one more copy is wanted.
+        /// Whether replicas exist but are saturated, so that another one is requested.
         is_saturated: bool,
     },
-    /// A runner told what it holds.
+    /// A runner answered a report request, or failed to.
     Reported {
         /// The runner.
         runner: Incarnation,
-        /// When it was asked.
+        /// When the report was requested.
         requested_at: Tick,
-        /// What it said; none if it did not answer.
+        /// The report, or `None` if the runner didn't answer.
         report: Option<Report>,
     },
     /// A runner answered an order.
@@ -77,53 +77,53 @@
         /// The answer.
         outcome: OrderOutcome,
     },
-    /// The token under which orders may be given now.
+    /// The fencing token under which orders may be sent, if any.
     Token(Option<FencingToken>),
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// What was believed of a runner when an order was given to it.
+/// Known state of a runner when an order was sent to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownState {
-    /// Models that are there or on their way.
+    /// Models that are held or loading.
     pub models: Vec<Name>,
-    /// Adapters that are there or on their way.
+    /// Number of adapters that are held or loading.
     pub adapters: usize,
-    /// Milliseconds since its last report.
+    /// Milliseconds since the last report.
     pub report_age_ms: u64,
 }
 
-/// What has to be done.
+/// An output of the placement, to be carried out by the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Give an order.
+    /// Send an order to a runner.
     Order {
         /// The order.
         order: Order,
-        /// Where the runner listens.
+        /// The runner's address.
         address: SocketAddr,
-        /// What the order rests on.
+        /// The known state that the order is based on.
         known: KnownState,
     },
-    /// Ask a runner for its report.
+    /// Request a report from a runner.
     RequestReport {
         /// The runner.
         runner: Incarnation,
-        /// Where it listens.
+        /// The runner's address.
         address: SocketAddr,
     },
-    /// Tell all hosts what a runner holds.
+    /// Announce to all hosts that a runner gained or lost a model or adapter.
     Announce {
         /// The runner.
         runner: Incarnation,
-        /// What it is about.
+        /// The model or adapter.
         subject: ModelRef,
-        /// Whether it is there.
+        /// Whether the runner holds it.
         is_present: bool,
-        /// Not before this many milliseconds have passed.
+        /// Delay of the announcement in milliseconds.
         delay_ms: u64,
     },
-    /// A runner has seen a higher token: the order_lease is over.
+    /// Give up the order lease: a runner has seen a higher token.
     Resign,
 }
--- a/crates/placement/src/inventory.rs
+++ b/crates/placement/src/inventory.rs
@@ -1,71 +1,72 @@
-//! The runners and models of one service, counted once for a round of the plan.
+//! Inventory of the runners and models of one service, taken once per planning round.
 
 use crate::{Ledger, Reservation, capacity::Capacity, demand::DemandTable, value::Replicas};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use vanetally_ports::{EngineSpec, ModelSpec, Subject};
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// What the plan rests on: the runners of one service.
+/// Inputs of a planning round for one service.
 #[derive(Clone, Copy)]
 pub(crate) struct PlanInput<'a> {
     pub now: Tick,
     pub service: &'a Name,
     pub engine: &'a EngineSpec,
     pub demand: &'a DemandTable,
-    /// Models of which all replicas are taken while callers wait.
+    /// Models whose replicas are all saturated while callers wait.
     pub saturated: &'a BTreeMap<(Name, Name), Tick>,
-    /// Models whose holders have no place for an adapter that is missed.
+    /// Models whose holders have no room for a requested adapter.
     pub adapter_full: &'a BTreeMap<(Name, Name), Tick>,
-    /// Runners that may be ordered to, with their books.
+    /// Ledgers of all known runners.
     pub ledgers: &'a BTreeMap<Incarnation, Ledger>,
-    /// Runners from which something is about to go.
+    /// Unloads that were announced but not yet ordered.
     pub pending_unloads: &'a BTreeMap<(Incarnation, Subject), Tick>,
-    /// Runners on which room is being made, and for what.
+    /// Runners on which memory is being freed, with the model it is for.
     pub reserved: &'a BTreeMap<Incarnation, Reservation>,
 }
 
-/// A model of the service, as one round of the plan sees it.
+/// A model of the service in one planning round.
 pub(crate) struct Model<'a> {
     pub name: &'a Name,
     pub weights_mb: f64,
-    /// Seconds of a load from the weight store, and of one from a copy at hand.
+    /// Duration of a load from the weight store, in seconds.
     pub load_s: f64,
+    /// Duration of a load from a runner's local copy, in seconds.
     pub copy_load_s: f64,
-    /// Runner-seconds a second that it is asked for.
+    /// Requested runner-seconds per second.
     pub load: f64,
-    /// Since it was last asked for, in milliseconds.
+    /// Milliseconds since the last request.
     pub idle_ms: u64,
     pub replicas: Replicas,
-    /// Whether callers wait though it is held.
+    /// Whether callers wait although replicas exist.
     pub is_saturated: bool,
-    /// Whether its holders have no place for an adapter that is missed.
+    /// Whether its holders have no room for a requested adapter.
     pub is_adapter_full: bool,
-    /// Open runners that have a copy of their own, as indices.
+    /// Indices of available runners with a local copy of the weights.
     pub copy_holders: Vec<usize>,
 }
 
-/// A runner that may be given an order about weights.
+/// A runner that can be sent an order about weights.
 pub(crate) struct Runner<'a> {
     pub name: &'a Incarnation,
     pub ledger: &'a Ledger,
     pub free_mb: f64,
-    /// What its models are asked for there, in runner-seconds a second.
+    /// This runner's share of the load of its models, in runner-seconds per second.
     pub load: f64,
-    /// Whether the round has not used it yet.
+    /// Whether no step of this round uses it yet.
     pub is_available: bool,
 }
 
-/// Models and open runners, with indices of each other.
+/// Models and available runners, referring to each other by index.
 pub(crate) struct Inventory<'a> {
     pub models: Vec<Model<'a>>,
     pub index: HashMap<&'a Name, usize>,
     pub runners: Vec<Runner<'a>>,
-    /// Runners that stay, open or not.
+    /// Number of runners that are not draining, available or not.
     pub runner_count: usize,
 }
 
 impl<'a> Inventory<'a> {
-    /// Counts what `basis` holds.
+    /// Takes the inventory of `input`.
     pub(crate) fn new(input: PlanInput<'a>) -> Self {
         let specs = input.engine.models.iter();
         let mut inventory = Self {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Runners on which nothing is under way that the plan must not disturb.
+    /// Collects the runners that can be sent an order and have no change of weights in progress.
     fn find_available(&mut self, input: PlanInput<'a>) {
         let pending_unloads = input.pending_unloads.keys().map(|(runner, _)| runner);
         let occupied: HashSet<&Incarnation> =
@@ -126,7 +127,7 @@
     }
 }
 
-/// The runners of the service that stay.
+/// The runners of the service that are not draining.
 fn staying_ledgers(input: PlanInput<'_>) -> impl Iterator<Item = (&Incarnation, &Ledger)> {
     input
         .ledgers
--- a/crates/placement/src/ledger.rs
+++ b/crates/placement/src/ledger.rs
@@ -1,81 +1,82 @@
-//! What one runner holds, fetches and may be about to fetch.
+//! Tracks what one runner holds, is loading and may still load.
 
 use crate::{Fit, KnownState, Obstacle, capacity::Capacity, unsettled::UnsettledOrders};
 use std::collections::{BTreeMap, BTreeSet};
 use vanetally_ports::{EngineSpec, HeldModel, Operation, Order, Report, Subject, UpstreamState};
 use vanetally_types::{Name, Tick};
 
-/// Weights on their way.
+/// A load or unload of weights in progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct WeightsChange {
     pub model: Name,
-    /// When they should be there.
+    /// When it should be done.
     pub due: Tick,
 }
 
-/// The books of one runner.
+/// Known state of one runner and the orders sent to it.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     pub(crate) state: UpstreamState,
-    /// Models with their adapters.
+    /// Held models with their adapters.
     held: BTreeMap<Name, BTreeSet<Name>>,
-    /// Adapters on their way, or thought to be, with the time of the order.
+    /// Adapters that are loading, as far as known, with the time of the order or report.
     coming: BTreeMap<Subject, Tick>,
     loading: Option<WeightsChange>,
     unloading: Option<WeightsChange>,
-    /// Whether the last report spoke of an order under way that is not known here: an earlier
-    /// holder's, or one whose answer was lost.
+    /// Whether the last report mentioned an order in progress that this host doesn't know: one of an
+    /// earlier holder, or one whose answer was lost.
     has_unknown_order: bool,
-    /// Orders taken; none until a report told.
+    /// Number of orders that the runner has accepted; `None` before the first report.
     order_count: Option<u64>,
-    /// An order whose answer is not known.
+    /// The order that is not answered yet, with the time it was sent.
     pending_order: Option<(Order, Tick)>,
-    /// Orders of this life that were not answered.
+    /// Orders to this incarnation that were not answered.
     unanswered: UnsettledOrders,
-    /// Orders to former lives that may yet be carried out by this one.
+    /// Orders to previous incarnations that this one may still execute.
     unsettled: UnsettledOrders,
+    /// Models of which the runner has a local copy.
     local_copies: BTreeSet<Name>,
+    /// When the open report request was sent.
     report_requested: Option<Tick>,
     /// Whether a report is needed before the next order.
     needs_report: bool,
-    /// Whether what the runner announces now can't be read.
+    /// Whether the runner's current announcement can't be decoded.
     is_unreadable: bool,
     last_report: Tick,
     /// When the last order was answered.
     last_answer: Option<Tick>,
 }
 
-/// A report that is not answered for this long may be asked again, in milliseconds.
+/// Time after which an unanswered report request is repeated.
 const REPORT_TIMEOUT_MS: u64 = 1_000;
-/// Least time between two reports, in milliseconds.
+/// Minimum time between two reports.
 const REPORT_INTERVAL_MS: u64 = 250;
-/// An adapter's arrival that no report tells of is forgotten after this long, in milliseconds.
+/// A report is requested for an adapter that has been loading for this long.
 const ADAPTER_TIMEOUT_MS: u64 = 5_000;
-/// Adapters that may be on their way at once.
+/// Maximum number of adapters that load at once.
 const MAX_COMING_ADAPTERS: usize = 3;
-/// How old a report may be when it arrives, in milliseconds.
+/// Maximum age of a report's contents when it arrives.
 const MAX_REPORT_AGE_MS: u64 = 400;
-/// An order without an answer counts as lost after this long, in milliseconds.
+/// An order counts as lost if it is not answered within this time.
 const ORDER_TIMEOUT_MS: u64 = 1_500;
 
 impl Ledger {
-    /// The books of a runner that announced `state`: until it reports, it is thought to hold what it
-    /// announces, and gets no order.
+    /// Creates the ledger of a runner that announced `state`. Until the runner reports, it counts as
+    /// holding what it announces and gets no orders.
     pub fn new(state: UpstreamState) -> Self {
         let mut ledger = Self::empty(state);
         ledger.use_announced_models();
         ledger
     }
 
-    /// The books of this runner anew, as a holder of orders that knows nothing of it begins them; what may yet be
-    /// carried out there is not forgotten.
+    /// Resets the ledger to the announced state, but keeps the orders that may still be executed.
     pub(crate) fn reset(&mut self, now: Tick) {
         let unsettled = self.take_unsettled(now);
         *self = Self::new(self.state.clone());
         self.add_unsettled(now, unsettled);
     }
 
-    /// Orders that may yet be carried out where this runner is, by this life or one after it.
+    /// Takes the orders that this or a later incarnation of the runner may still execute.
     pub(crate) fn take_unsettled(&mut self, now: Tick) -> UnsettledOrders {
         let mut unsettled = std::mem::take(&mut self.unsettled);
         unsettled.merge(now, &std::mem::take(&mut self.unanswered));
@@ -85,7 +86,7 @@
         unsettled
     }
 
-    /// Orders to former lives may yet be carried out by this one.
+    /// Adds orders to previous incarnations that this one may still execute.
     pub(crate) fn add_unsettled(&mut self, now: Tick, unsettled: UnsettledOrders) {
         self.unsettled.merge(now, &unsettled);
     }
@@ -117,10 +118,10 @@
         }
     }
 
-    /// The runner announced itself anew.
+    /// Applies a new announcement.
     ///
-    /// Announcements may be older than they look: what the runner holds is taken from its own
-    /// reports, once there is one, and a difference is a reason to ask for another.
+    /// An announcement may be older than it seems. Once a report has arrived, the held models are
+    /// taken from reports only, and a difference causes another report request.
     pub fn set_announced(&mut self, state: UpstreamState) {
         self.is_unreadable = false;
         let count = self.order_count.unwrap_or(0);
@@ -137,19 +138,19 @@
         }
     }
 
-    /// What the runner announces can't be read: no order goes there until it can.
+    /// Notes that the announcement can't be decoded, which blocks orders until it can.
     pub fn set_unreadable(&mut self) {
         self.is_unreadable = true;
     }
 
     fn set_held(&mut self, models: &[HeldModel]) {
-        let sets = models.iter().map(|held| {
+        let adapters_by_model = models.iter().map(|held| {
             (held.name.clone(), held.adapters.iter().cloned().collect::<BTreeSet<_>>())
         });
-        self.held = sets.collect();
+        self.held = adapters_by_model.collect();
     }
 
-    /// Drops what has arrived or gone from the lists of what is on its way.
+    /// Drops completed loads and unloads from those in progress.
     fn drop_completed(&mut self) {
         let held = &self.held;
         if self.loading.as_ref().is_some_and(|loading| held.contains_key(&loading.model)) {
@@ -164,33 +165,33 @@
         });
     }
 
-    /// The runner answered the question of `asked`; tells whether the answer was believed.
-    pub fn apply_report(&mut self, now: Tick, asked: Tick, report: Option<Report>) -> bool {
+    /// Applies the answer to the report request of `requested_at`. Returns whether it was used.
+    pub fn apply_report(&mut self, now: Tick, requested_at: Tick, report: Option<Report>) -> bool {
         self.report_requested = None;
         self.last_report = now;
         let Some(report) = report else {
             return false;
         };
-        // A report is some time old: one that counts fewer orders than were answered is stale.
+        // A report may be outdated: one that counts fewer orders than were answered is stale.
         if self.order_count.is_some_and(|count| report.orders_taken < count) {
             return false;
         }
         if let Some((order, sent)) = &self.pending_order {
             let was_accepted = report.orders_taken > order.orders_before;
-            if !was_accepted && asked.since(*sent) < ORDER_TIMEOUT_MS {
+            if !was_accepted && requested_at.since(*sent) < ORDER_TIMEOUT_MS {
                 return false;
             }
-            // Not taken so far, it may yet be: every other order expects the same count, so that
-            // at most one of them is taken. Of two such orders the count does not tell which one was.
+            // An order that was not accepted may still be. Every further order expects the same
+            // count, so that at most one of them is accepted; the count doesn't say which.
             self.unanswered.add(*sent, order.clone());
             self.pending_order = None;
         }
         self.order_count = Some(report.orders_taken);
         self.set_held(&report.models);
         self.coming = report.coming.iter().map(|subject| (subject.clone(), now)).collect();
-        // A report is some time old: it can't speak of an order that was answered just before.
+        // A report may be outdated: it may not include an order that was answered just before.
         let is_newer_than_answer =
-            self.last_answer.is_none_or(|at| asked.since(at) > MAX_REPORT_AGE_MS);
+            self.last_answer.is_none_or(|at| requested_at.since(at) > MAX_REPORT_AGE_MS);
         if !report.busy && is_newer_than_answer {
             self.loading = None;
             self.unloading = None;
@@ -204,7 +205,7 @@
         true
     }
 
-    /// Whether a report should be asked for now; notes that it is.
+    /// Returns whether a report should be requested now, and if so records the request.
     pub fn try_request_report(&mut self, now: Tick) -> bool {
         let is_due = self.needs_report
             || self.has_unknown_order
@@ -225,14 +226,13 @@
         should_request
     }
 
-    /// The count that the next order has to expect; none while one is open or the books are in
-    /// doubt.
+    /// The order count that the next order must expect, or `None` while the runner can't be sent one.
     pub fn next_count(&self) -> Option<u64> {
-        // A runner carries out one order about weights at a time, and refuses others meanwhile.
+        // A runner executes one order about weights at a time and refuses others meanwhile.
         self.order_count.filter(|_| self.obstacle().is_none())
     }
 
-    /// What keeps the runner from being given an order about weights.
+    /// Why the runner can't be sent an order about weights, if it can't.
     pub(crate) fn obstacle(&self) -> Option<Obstacle> {
         if self.state.draining {
             Some(Obstacle::Leaving)
@@ -253,28 +253,28 @@
         }
     }
 
-    /// Whether a report has told what the runner holds.
+    /// Whether a report has been applied.
     pub fn is_known(&self) -> bool {
         self.order_count.is_some()
     }
 
-    /// Whether the runner carries out an order that is not known here.
+    /// Whether the runner executes an order that this host doesn't know.
     pub fn has_unknown_order(&self) -> bool {
         self.has_unknown_order
     }
 
-    /// Whether weights are on their way in or out.
+    /// Whether weights are being loaded or unloaded.
     pub fn is_busy(&self) -> bool {
         self.loading.is_some() || self.unloading.is_some() || self.has_unknown_order
     }
 
-    /// An order goes out.
+    /// Records that an order was sent.
     pub fn order_sent(&mut self, now: Tick, order: Order) {
         self.unanswered.record_resend(now, &order);
         self.pending_order = Some((order, now));
     }
 
-    /// The order was taken; `takes_ms` is how long it should take.
+    /// Records that the order was accepted and should take `expected_ms`.
     pub fn order_accepted(&mut self, now: Tick, order: &Order, expected_ms: u64) {
         self.settle_order(order);
         self.last_answer = Some(now);
@@ -295,7 +295,7 @@
         }
     }
 
-    /// An adapter should have arrived by now.
+    /// Counts an adapter as held whose load should be done by now.
     pub fn adapter_arrived(&mut self, subject: &Subject) {
         if self.coming.remove(subject).is_some()
             && let (Some(adapters), Some(adapter)) =
@@ -305,13 +305,13 @@
         }
     }
 
-    /// The order was not taken, and never will be.
+    /// Records that the order was not accepted and never will be.
     pub fn order_refused(&mut self, order: &Order) {
         self.settle_order(order);
         self.needs_report = true;
     }
 
-    /// The order was answered.
+    /// Removes an order that was answered.
     fn settle_order(&mut self, order: &Order) {
         self.unanswered.settle(order);
         if self.pending_order.as_ref().is_some_and(|(open, _)| open == order) {
@@ -319,39 +319,39 @@
         }
     }
 
-    /// The order was not answered: the next report settles it for this life.
+    /// Records that the order was not answered. The next report settles it for this incarnation.
     pub fn order_unanswered(&mut self, now: Tick, order: &Order) {
         self.unanswered.add(now, order.clone());
         self.require_report();
     }
 
-    /// The next report has to tell how things stand.
+    /// Blocks orders until the next report.
     pub(crate) fn require_report(&mut self) {
         self.needs_report = true;
     }
 
-    /// Whether the runner holds the model's weights, and keeps them.
+    /// Whether the runner holds the model's weights and is not unloading them.
     pub fn holds_model(&self, model: &Name) -> bool {
         let is_unloading =
             self.unloading.as_ref().is_some_and(|unloading| unloading.model == *model);
         self.held.contains_key(model) && !is_unloading
     }
 
-    /// Whether the subject is there, and stays.
+    /// Whether the runner holds the subject and is not unloading it.
     pub fn holds(&self, subject: &Subject) -> bool {
         let adapters = self.held.get(&subject.model).filter(|_| self.holds_model(&subject.model));
         let has = |adapter: &Name| adapters.is_some_and(|set| set.contains(adapter));
         subject.adapter.as_ref().map_or(adapters.is_some(), has)
     }
 
-    /// Whether the runner holds the model, is getting it or was ordered to.
+    /// Whether the runner holds the model, is loading it or was ordered to.
     pub fn will_hold(&self, model: &Name) -> bool {
         let is_ordered = self.pending_load().is_some_and(|subject| subject.model == *model);
         let is_loading = self.loading.as_ref().is_some_and(|l| l.model == *model);
         self.holds_model(model) || is_loading || is_ordered
     }
 
-    /// Whether the adapter is there or on its way.
+    /// Whether the runner holds the adapter, is loading it or was ordered to.
     pub fn will_hold_adapter(&self, subject: &Subject) -> bool {
         let held = self.held.get(&subject.model).zip(subject.adapter.as_ref());
         let is_ordered = self.pending_order.as_ref().is_some_and(|(order, _)| {
@@ -361,30 +361,30 @@
         is_held || is_ordered || self.coming.contains_key(subject)
     }
 
-    /// Models whose weights are there and stay.
+    /// Models whose weights are held and not being unloaded.
     pub fn held_models(&self) -> Vec<Name> {
         self.held_names().cloned().collect()
     }
 
-    /// Models whose weights are there and stay.
+    /// Models whose weights are held and not being unloaded.
     pub(crate) fn held_names(&self) -> impl Iterator<Item = &Name> {
         self.held.keys().filter(|model| self.holds_model(model))
     }
 
-    /// The model that is on its way here, or was ordered.
+    /// The model that is loading or was ordered to load.
     pub(crate) fn coming_model(&self) -> Option<&Name> {
         let ordered = self.pending_load().map(|subject| &subject.model);
         let loading = self.loading.as_ref().map(|loading| &loading.model);
         loading.or(ordered).filter(|model| !self.holds_model(model))
     }
 
-    /// Models that are there or on their way.
+    /// Models that are held or loading.
     pub fn models(&self) -> impl Iterator<Item = &Name> {
         let loading = self.loading.as_ref().map(|loading| &loading.model);
         self.held.keys().chain(loading.filter(|model| !self.held.contains_key(*model)))
     }
 
-    /// Adapters that are there.
+    /// Held adapters.
     pub fn adapters(&self) -> impl Iterator<Item = Subject> + '_ {
         self.held.iter().flat_map(|(model, adapters)| {
             let subject =
@@ -393,31 +393,31 @@
         })
     }
 
-    /// Models whose weights may yet come by an order to a former life.
+    /// Models whose weights may still be loaded by an order to a previous incarnation.
     pub(crate) fn unsettled_models(&self) -> impl Iterator<Item = &Name> {
         self.unsettled.models(self.order_count)
     }
 
-    /// Loads of weights without an answer, of this life and former ones, that a life after this one may carry out one
-    /// after the other, by the count that they expect. The next order of this life expects the count that is left out:
-    /// of those that expect the same at most one is taken.
+    /// Unanswered loads of weights, with the order count that each expects. A later incarnation may
+    /// execute them one after the other. The current count is left out: the next order to this
+    /// incarnation expects it as well, and at most one order per count is accepted.
     pub(crate) fn unanswered_loads(&self) -> impl Iterator<Item = (u64, &Name)> {
-        let own = self.order_count;
-        let all = self.unsettled.weight_loads().chain(self.unanswered.weight_loads());
-        all.filter(move |(count, _)| Some(*count) != own)
+        let current = self.order_count;
+        let loads = self.unsettled.weight_loads().chain(self.unanswered.weight_loads());
+        loads.filter(move |(count, _)| Some(*count) != current)
     }
 
-    /// Models of which the runner has a copy of its own.
+    /// Models of which the runner has a local copy.
     pub(crate) fn local_copies(&self) -> impl Iterator<Item = &Name> {
         self.local_copies.iter()
     }
 
-    /// Whether the runner has a copy of the weights of its own.
+    /// Whether the runner has a local copy of the weights.
     pub fn has_local_copy(&self, model: &Name) -> bool {
         self.local_copies.contains(model)
     }
 
-    /// Whether the model's weights fit beside all that is there or on its way.
+    /// Whether the model's weights fit beside everything that is held, loading or may still be loaded.
     pub fn model_fit(&self, engine: &EngineSpec, model: &Name) -> Fit {
         let Some(spec) = engine.models.get(model) else {
             return Fit::Never;
@@ -430,23 +430,23 @@
         if fits { Fit::Fits } else { Fit::NeedsEviction }
     }
 
-    /// Whether one more adapter fits beside all that are there or on their way.
+    /// Whether another adapter fits beside those that are held, loading or may still be loaded.
     pub fn adapter_fit(&self, engine: &EngineSpec) -> Fit {
         let unsettled = self.unsettled.adapter_count(self.order_count);
-        let taken = self.adapters().count() + self.coming.len() + unsettled;
-        match (taken < engine.max_adapters as usize, self.coming.len() < MAX_COMING_ADAPTERS) {
+        let count = self.adapters().count() + self.coming.len() + unsettled;
+        match (count < engine.max_adapters as usize, self.coming.len() < MAX_COMING_ADAPTERS) {
             (true, true) => Fit::Fits,
             (_, true) => Fit::NeedsEviction,
             (_, false) => Fit::Never,
         }
     }
 
-    /// How many adapters are there or on their way.
+    /// Number of adapters that are held or loading.
     pub fn adapter_count(&self) -> usize {
         self.adapters().count() + self.coming.len()
     }
 
-    /// What is believed now.
+    /// Returns the known state for an order.
     pub fn known_state(&self, now: Tick) -> KnownState {
         KnownState {
             models: self.models().cloned().collect(),
@@ -455,12 +455,12 @@
         }
     }
 
-    /// Whether a load of weights was ordered and no answer came: it may begin at any moment.
+    /// Whether a load of weights was ordered but not answered, so that it may start at any time.
     pub(crate) fn has_lost_load(&self) -> bool {
         self.needs_report && self.pending_load().is_some()
     }
 
-    /// The load of weights whose answer is not known.
+    /// The load of weights that is not answered yet.
     pub(crate) fn pending_load(&self) -> Option<&Subject> {
         let (order, _) = self.pending_order.as_ref()?;
         let is_load = order.operation == Operation::Load && order.subject.adapter.is_none();
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,7 +1,8 @@
-//! Which runner holds which models and adapters, decided by one holder of a lease at a time.
+//! Decides which runner holds which models and adapters.
 //!
-//! [`OrderLease`] says whether this host may give orders; [`Placement`] decides which. Both are state
-//! machines: `handle(now, event) -> actions`, without clock, socket or random source.
+//! One host at a time holds the order lease and sends orders to runners. [`OrderLease`] tracks
+//! whether this host may send orders; [`Placement`] decides which. Both are state machines,
+//! `handle(now, event) -> actions`, without a clock, socket or random source.
 #![deny(missing_docs, unsafe_code)]
 
 mod adapters;
--- a/crates/placement/src/machine.rs
+++ b/crates/placement/src/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of the holder of orders.
+//! The state machine that plans and sends orders while this host holds the order lease.
 
 use crate::{
     Action, Event, Ledger, LoadLimit, Options, Reservation, demand::DemandTable,
@@ -14,64 +14,69 @@
 };
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// Knows all runners; gives orders while it has a token.
+/// Tracks all runners and sends them orders while it has a fencing token.
 pub struct Placement {
     pub(crate) options: Options,
     pub(crate) configuration: Option<Rc<Configuration>>,
     pub(crate) ledgers: BTreeMap<Incarnation, Ledger>,
-    /// Orders to lives that have ended, by the id under which another one may begin.
+    /// Orders to ended incarnations, by the runner id under which another one may start.
     unsettled: BTreeMap<Name, UnsettledOrders>,
     pub(crate) demand: DemandTable,
     pub(crate) token: Option<FencingToken>,
-    /// Since when the token holds.
+    /// When the current token was first set.
     pub(crate) token_since: Tick,
-    /// The last token: while no other host had one, the books hold.
+    /// The last token. While it stays the same no other host can have sent orders, and the ledgers
+    /// remain valid.
     last_token: Option<FencingToken>,
-    /// When the next round of the plan may begin.
+    /// When the next planning round may start.
     round_at: Tick,
     pub(crate) load_limits: HashMap<Name, LoadLimit>,
+    /// Models and adapters that hosts requested, with the time of the last request.
     pub(crate) requested: BTreeMap<(Name, ModelRef), Tick>,
-    /// Models of which all replicas are taken while callers wait, and when that was last told.
+    /// Models whose replicas are all saturated while callers wait, with the time of the last request.
     pub(crate) saturated: BTreeMap<(Name, Name), Tick>,
-    /// Models whose holders have no place for an adapter that is missed, and when that was last seen.
+    /// Models whose holders have no room for a requested adapter, with the time this was last found.
     pub(crate) adapter_full: BTreeMap<(Name, Name), Tick>,
-    /// What hosts missed though it is there, and when they were last told again.
+    /// Models and adapters that were requested although they are held, with the time of the last
+    /// announcement.
     pub(crate) reannounced: HashMap<(Name, ModelRef), Tick>,
-    /// Adapters of which one more copy was asked for, and when.
+    /// Adapters of which another copy was requested, with the time of the request.
     copied_adapters: BTreeMap<(Name, ModelRef), Tick>,
-    /// Weights that get no new requests, and since when.
+    /// Unloads that were announced but not yet ordered, with the time of the announcement.
     pub(crate) pending_unloads: BTreeMap<(Incarnation, Subject), Tick>,
-    /// Runners on which room is being made.
+    /// Runners on which memory is being freed, with the model it is for.
     pub(crate) reserved: BTreeMap<Incarnation, Reservation>,
-    /// Adapters that should have arrived.
+    /// Expected completion times of adapter loads.
     pub(crate) adapter_arrivals: Vec<(Tick, Incarnation, Subject)>,
 }
 
-/// Something wanted is forgotten if it is not asked for again, in milliseconds.
+/// A request is dropped if it is not repeated within this time.
 const REQUEST_TTL_MS: u64 = 1_000;
-/// A model counts as crowded for this long after a host told so, in milliseconds: hosts repeat it four times
+/// How long a model counts as saturated after a host reported it. Hosts repeat the report four times
 /// a second while requests wait.
 const SATURATION_TTL_MS: u64 = 1_000;
-/// Between two more copies of one adapter, in milliseconds: hosts hear of the first within this time.
+/// Minimum time between ordering two more copies of one adapter. Hosts learn of the first copy within
+/// this time.
 const COPY_INTERVAL_MS: u64 = 500;
-/// Between telling all hosts that weights go and the order, in milliseconds.
+/// Time between announcing an unload to all hosts and ordering it.
 const UNLOAD_NOTICE_MS: u64 = 150;
-/// An unload that can't be ordered within this time is given up, in milliseconds.
+/// An announced unload is cancelled if it can't be ordered within this time.
 const UNLOAD_NOTICE_LIMIT_MS: u64 = 600;
-/// Between telling hosts twice what is there though they miss it, in milliseconds.
+/// Minimum time between repeated announcements of what hosts request although it is held.
 pub(crate) const REANNOUNCE_MS: u64 = 500;
-/// An adapter's way, in milliseconds: a part that is always there and one for each megabyte.
+/// Fixed part of the expected duration of an adapter load.
 const ADAPTER_BASE_MS: f64 = 20.0;
+/// Part of the expected duration of an adapter load per megabyte.
 const ADAPTER_PER_MB_MS: f64 = 0.7;
-/// An unload waits for its runs; a report is asked for after this long, in milliseconds.
+/// A report is requested this long after an unload was accepted. An unload waits for running requests.
 const UNLOAD_MS: u64 = 400;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
-/// Least time between two rounds of the plan, in milliseconds: a round costs runners x models, and reports and answers
-/// come by the hundred a second.
+/// Minimum time between two planning rounds. A round costs runners x models, while hundreds of reports
+/// and answers arrive per second.
 const ROUND_INTERVAL_MS: u64 = 40;
 
 impl Placement {
-    /// Nothing is known yet.
+    /// Creates a placement that knows no configuration and no runners.
     pub fn new(options: Options) -> Self {
         Self {
             options,
@@ -95,7 +100,7 @@
         }
     }
 
-    /// Takes in what happened; tells what has to be done.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, now: Tick, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -124,7 +129,7 @@
                 self.demand.record(now, &service, &subject, 0.0);
                 self.reannounce(now, &service, &subject, &mut actions);
                 let previous = self.requested.insert((service.clone(), subject.clone()), now);
-                // What is missed again and again waits for the next round.
+                // A repeated request waits for the next round.
                 if previous.is_none() {
                     self.order_requested(now, &service, &subject, false, &mut actions);
                 }
@@ -182,7 +187,7 @@
         let Some(ledger) = self.ledgers.get_mut(runner) else {
             return;
         };
-        // The answer of another life says nothing of this one, whose end will be told.
+        // A report of another incarnation says nothing about this one, whose end will be announced.
         let report = report.filter(|report| report.born.is_none() || report.born == runner.born);
         let held_before = ledger.held_models();
         if !ledger.apply_report(now, requested_at, report) {
@@ -200,14 +205,14 @@
             return;
         }
         self.token = token;
-        // The lease was in doubt for a while, and nobody else had it: what is known still holds.
+        // With an unchanged token nobody else held the lease meanwhile: the ledgers remain valid.
         if token.is_none() || token == self.last_token {
             return;
         }
         self.last_token = token;
         self.pending_unloads.clear();
         self.reserved.clear();
-        // An earlier holder may have begun loads: the books are in doubt.
+        // An earlier holder may have started loads: limits and ledgers are out of date.
         self.load_limits.clear();
         self.token_since = now;
         for ledger in self.ledgers.values_mut() {
@@ -271,8 +276,8 @@
         }
     }
 
-    /// Orders what a host has just missed, or one more copy of an adapter where all runners that have one
-    /// are crowded.
+    /// Orders what a host has just requested, or another copy of an adapter whose holders are all
+    /// saturated.
     fn order_requested(
         &mut self,
         now: Tick,
@@ -291,18 +296,19 @@
         let subject = Subject { model: subject.model.clone(), adapter: subject.adapter.clone() };
         match (&subject.adapter, is_saturated) {
             (Some(_), true) => {
-                // Without room for one more, the present copies have to do.
+                // Nothing is evicted for another copy.
                 self.copy_adapter(now, token, service, engine, subject, actions);
             }
             (Some(_), false) => self.order_adapter(now, token, service, engine, subject, actions),
-            // A round costs runners x models: missed weights wait for the next one, 40 ms of seconds.
+            // A round costs runners x models: requested weights wait for the next one, 40 ms compared
+            // with seconds of loading.
             (None, _) => self.order_all(now, actions),
         }
     }
 
-    /// Orders the unloads that were told to all hosts long enough ago.
+    /// Orders the unloads that were announced to all hosts long enough ago.
     fn order_pending_unloads(&mut self, now: Tick, token: FencingToken, actions: &mut Vec<Action>) {
-        // What could not be ordered in time is kept: the demand may have changed since.
+        // Unloads that could not be ordered in time are cancelled: the demand may have changed since.
         let is_expired = |since: &Tick| now.since(*since) > UNLOAD_NOTICE_LIMIT_MS;
         let expired = self.pending_unloads.iter().filter(|(_, since)| is_expired(since));
         let cancelled: Vec<(Incarnation, Subject)> = expired.map(|(key, _)| key.clone()).collect();
@@ -372,7 +378,7 @@
                 ledger.order_accepted(now, order, expected_ms);
                 self.order_accepted(now, order, expected_ms, actions);
             }
-            // Whether such an answer counts as an order taken is for the next report to tell.
+            // The next report shows whether the runner counts this as an accepted order.
             OrderOutcome::AlreadyDone => {
                 ledger.order_accepted(now, order, 0);
                 ledger.require_report();
@@ -410,7 +416,7 @@
         }
     }
 
-    /// How long the order should take, in milliseconds.
+    /// Expected duration of the order, in milliseconds.
     fn expected_ms(&self, order: &Order) -> u64 {
         let ledger = self.ledgers.get(&order.runner);
         let service = ledger.map(|ledger| &ledger.state.service);
@@ -432,6 +438,7 @@
     }
 }
 
+/// Returns the action that announces a gained or lost model or adapter.
 pub(crate) fn announce(
     runner: &Incarnation,
     subject: &Subject,
--- a/crates/placement/src/obstacle.rs
+++ b/crates/placement/src/obstacle.rs
@@ -1,26 +1,26 @@
-//! Why a runner takes no order about weights.
+//! Reasons that prevent a runner from receiving orders about weights.
 
-/// Why a runner can't be given an order about weights now.
+/// Reason why a runner can't be sent an order about weights now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Obstacle {
-    /// It is leaving.
+    /// It is draining.
     Leaving,
-    /// What it announces can't be read.
+    /// Its announcement can't be decoded.
     Unreadable,
     /// An order to it was not answered.
     Unanswered,
-    /// A report is needed first.
+    /// A report is needed before the next order.
     NeedsReport,
-    /// It carries out an order that is not known here.
+    /// It executes an order that this host doesn't know.
     UnknownOrder,
-    /// Weights come.
+    /// It is loading weights.
     Loading,
-    /// Weights go.
+    /// It is unloading weights.
     Unloading,
 }
 
 impl Obstacle {
-    /// The word for the log.
+    /// The reason's name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Leaving => "leaving",
--- a/crates/placement/src/order_lease.rs
+++ b/crates/placement/src/order_lease.rs
@@ -1,85 +1,86 @@
-//! The lease of the one host that gives orders.
+//! The lease of the one host that may send orders.
 //!
-//! The holder's key lies in the store under a lease. Its fencing token is made of the revision at which
-//! the key was written, so that a later holder's token is always higher. A holder acts only while its
-//! last renewal, counted from when it was sent, still covers the moment. It goes on asking for the next renewal
-//! after that: where the store was away and has kept its lease, the key is its own still, and orders go on with
-//! the first answer and not when the lease has run out, two seconds later.
+//! The holder writes its key to the store under a lease. Its fencing token is derived from the revision
+//! at which the key was written, so that a later holder's token is always higher. A holder sends orders
+//! only while its last renewal is valid, counted from when the renewal was sent. It keeps trying to
+//! renew after that: if the store was unavailable and kept the lease, the key still belongs to the
+//! holder, and orders resume with the first answer rather than with a new lease two seconds later.
 //!
-//! Where the store came back from a copy of itself, the key may be gone while its holder still acts. Others that take it
-//! wait until that can't be so any more. The holder goes on at once: with its key, if the copy has it, else with the
-//! next one, if it got that while the last renewal covered it.
+//! After the store was restored from a copy, the key may be missing while its holder is still active.
+//! Other hosts that write the key wait until the previous holder must have stopped. The holder itself
+//! continues at once: with its key if the copy contains it, or with a new key that it wrote while its
+//! last renewal was valid.
 
 use vanetally_ports::{Era, FencingToken, LeaseId, Revision};
 use vanetally_types::{Name, Tick};
 
-/// Lengths of a order_lease.
+/// Durations of the order lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct OrderLeaseOptions {
-    /// How long the store keeps the key after the last renewal, in milliseconds.
+    /// Time for which the store keeps the key after the last renewal, in milliseconds.
     pub ttl_ms: u64,
-    /// How long a holder waits before its first order, in milliseconds.
+    /// Time that a new holder waits before its first order, in milliseconds.
     pub settle_ms: u64,
-    /// How long a host that may have been the holder before waits, in milliseconds: it must not
-    /// take turns with the one between.
+    /// Time that a host waits before its first order if it may have been the holder before, in
+    /// milliseconds. It must not alternate with a holder in between.
     pub resettle_ms: u64,
 }
 
-/// Something that happened to the order_lease.
+/// An input of the order lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OrderLeaseEvent {
-    /// The store tells who holds the key now.
+    /// The current holder of the key according to the store.
     HolderSeen(Option<Name>),
-    /// The store can't be asked: what it told before may be old.
+    /// The store is unavailable: the known holder may be out of date.
     StoreLost,
-    /// The store came back from a copy: all that it told before may be gone.
+    /// The store was restored from a copy: anything read from it before may be lost.
     StoreRestored {
-        /// The era that began.
+        /// The new era of the store.
         era: Era,
-        /// Where the key that the copy has was written, if it names this host.
+        /// Revision of the key in the copy, if it names this host.
         own_key: Option<Revision>,
     },
-    /// A lease was granted; the call was sent at `sent`.
+    /// A lease was granted.
     Granted {
         /// When the call was sent.
         sent: Tick,
         /// The lease.
         lease: LeaseId,
-        /// How long it lasts, in milliseconds.
+        /// Its duration in milliseconds.
         ttl_ms: u64,
     },
     /// No lease was granted.
     GrantFailed,
-    /// The key was written under the lease.
+    /// The key was written under the lease, at this revision.
     KeyWritten(Revision),
-    /// The key was not written, or it is not known.
+    /// The key was not written, or the result is unknown.
     KeyNotWritten,
-    /// The lease was renewed; the call was sent at `sent`.
+    /// The lease was renewed.
     Renewed {
         /// When the call was sent.
         sent: Tick,
     },
     /// The renewal was not answered.
     RenewFailed,
-    /// The lease is over.
+    /// The lease expired.
     LeaseExpired,
     /// A runner has seen a higher token.
     Fenced,
-    /// The host stops.
+    /// The host is stopping.
     Stop,
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
 /// A call to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OrderLeaseAction {
-    /// Ask for a lease.
+    /// Request a lease.
     Grant {
-        /// Its length in milliseconds.
+        /// Its duration in milliseconds.
         ttl_ms: u64,
     },
-    /// Write the key under the lease, if nobody holds it.
+    /// Write the key under the lease, unless the key exists.
     WriteKey {
         /// The lease.
         lease: LeaseId,
@@ -98,9 +99,9 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum State {
-    Following,
+    Idle,
     Granting,
-    Taking { lease: LeaseId, covered: Tick },
+    WritingKey { lease: LeaseId, valid_until: Tick },
     Holding(Holding),
     Stopped,
 }
@@ -108,131 +109,133 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Holding {
     lease: LeaseId,
-    /// Where the key was written.
-    taken: Revision,
-    /// From when on orders may be given.
-    settled: Tick,
-    /// Until when the last answered renewal covers.
-    covered: Tick,
-    /// When the next renewal is due; none while one is under way.
+    /// Revision at which the key was written.
+    key_revision: Revision,
+    /// When orders may first be sent.
+    orders_from: Tick,
+    /// End of the validity of the last answered renewal.
+    valid_until: Tick,
+    /// When the next renewal is due; `None` while one is in progress.
     renew_at: Option<Tick>,
 }
 
-/// What this host held until the store came back from a copy.
+/// The lease that this host held when the store was restored from a copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Former {
+struct PreviousHolding {
     era: Era,
-    covered: Tick,
+    valid_until: Tick,
 }
 
-impl Former {
-    /// Whether nobody else can have given orders before this host took the key in `era`.
-    fn goes_on(self, now: Tick, era: Era) -> bool {
-        era.follows(self.era) && now < self.covered
+impl PreviousHolding {
+    /// Whether no other host can have sent orders before this one wrote the key in `era`.
+    fn can_continue(self, now: Tick, era: Era) -> bool {
+        era.follows(self.era) && now < self.valid_until
     }
 }
 
-/// Whether this host is the holder.
+/// Tracks whether this host holds the order lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OrderLease {
     options: OrderLeaseOptions,
     state: State,
-    /// Who holds the key, as far as the store told; `None` until it did.
+    /// Holder of the key according to the store; the outer `None` while it is unknown.
     holder: Option<Option<Name>>,
+    /// When this host may next try to write the key.
     next_try: Tick,
-    /// Order among the hosts that may try; the first tries at once.
+    /// Number of hosts that try before this one.
     rank: u64,
-    /// Since when this host, in this life or an earlier one, can't have been the holder.
-    clear_from: Tick,
+    /// End of the wait after a possible previous holding by any incarnation of this host.
+    resettled_at: Tick,
     /// Whether this process was the holder before.
     has_held: bool,
-    /// The newest era that this host has heard of.
+    /// The newest known era of the store.
     era: Era,
-    /// When it heard that the store had last come back from a copy.
-    returned: Option<Tick>,
-    former: Option<Former>,
+    /// When this host learned of the last restore of the store.
+    restored_at: Option<Tick>,
+    /// The holding that the last restore of the store ended.
+    previous: Option<PreviousHolding>,
 }
 
-/// Renewals in one length of a lease.
-const RENEWALS: u64 = 4;
-/// Part of a lease's length that is kept back from its end.
-const MARGIN: u64 = 5;
-/// After a failed try, the next one waits this long, in milliseconds.
-const RETRY_MS: u64 = 300;
-/// Between the tries of two hosts, in milliseconds.
-const RANK_MS: u64 = 40;
-/// After the store's return the one that held the key tries first, for this long, in milliseconds.
-const FORMER_MS: u64 = 250;
+/// Number of renewals per lease duration.
+const RENEWALS_PER_LEASE: u64 = 4;
+/// A lease counts as expired this fraction (1/5) of its duration before its end.
+const MARGIN_DIVISOR: u64 = 5;
+/// Delay before the next try after a failed one.
+const RETRY_DELAY_MS: u64 = 300;
+/// Delay between the tries of hosts of consecutive ranks.
+const RANK_DELAY_MS: u64 = 40;
+/// Time after a restore of the store during which only the previous holder tries to write the key.
+const PREVIOUS_HOLDER_MS: u64 = 250;
 
 impl OrderLease {
-    /// A process that starts at `now` and knows nothing yet: an earlier life of this host may have
-    /// been the holder until just before.
+    /// Creates the state of a process that starts at `now`. A previous incarnation of this host may
+    /// have been the holder until then.
     pub fn new(now: Tick, options: OrderLeaseOptions) -> Self {
         Self {
             options,
-            state: State::Following,
+            state: State::Idle,
             holder: None,
             next_try: Tick(0),
             rank: 0,
-            clear_from: now + options.resettle_ms,
+            resettled_at: now + options.resettle_ms,
             has_held: false,
             era: Era::default(),
-            returned: None,
-            former: None,
+            restored_at: None,
+            previous: None,
         }
     }
 
-    /// Sets how many other hosts try before this one.
+    /// Sets how many hosts try before this one.
     pub fn set_rank(&mut self, rank: usize) {
         self.rank = rank as u64;
     }
 
-    /// The store is in `era`. Where that is a new one it came back from a copy by `now`, or may have.
+    /// Sets the era of the store. A new era means that the store may have been restored by `now`.
     pub fn set_era(&mut self, now: Tick, era: Era) {
         if era > self.era {
             self.era = era;
-            self.returned = Some(now);
-            self.former = None;
+            self.restored_at = Some(now);
+            self.previous = None;
         }
     }
 
-    /// The token under which orders may be given now.
+    /// The fencing token under which orders may be sent now, if any.
     pub fn token(&self, now: Tick) -> Option<FencingToken> {
         match &self.state {
-            State::Holding(holding) if now >= holding.settled && now < holding.covered => {
-                FencingToken::try_from(holding.taken).ok()
+            State::Holding(holding) if now >= holding.orders_from && now < holding.valid_until => {
+                FencingToken::try_from(holding.key_revision).ok()
             }
             _ => None,
         }
     }
 
-    /// Whether the key is held, settled or not.
+    /// Whether this host holds the key, even if it may not send orders yet.
     pub fn is_holding(&self, now: Tick) -> bool {
-        matches!(&self.state, State::Holding(holding) if now < holding.covered)
+        matches!(&self.state, State::Holding(holding) if now < holding.valid_until)
     }
 
-    /// Takes in what happened; tells which calls to make.
+    /// Handles an event and returns the calls to make to the store.
     pub fn handle(&mut self, now: Tick, event: OrderLeaseEvent) -> Vec<OrderLeaseAction> {
         match event {
             OrderLeaseEvent::HolderSeen(holder) => self.holder_seen(now, holder),
             OrderLeaseEvent::StoreLost => self.holder = None,
             OrderLeaseEvent::StoreRestored { era, own_key } => {
-                return self.store_returned(now, era, own_key);
+                return self.store_restored(now, era, own_key);
             }
             OrderLeaseEvent::Granted { sent, lease, ttl_ms } => {
                 return self.granted(now, sent, lease, ttl_ms);
             }
             OrderLeaseEvent::GrantFailed => self.retry_later(now),
-            OrderLeaseEvent::KeyWritten(revision) => self.taken(now, revision),
+            OrderLeaseEvent::KeyWritten(revision) => self.key_written(now, revision),
             OrderLeaseEvent::KeyNotWritten
             | OrderLeaseEvent::LeaseExpired
             | OrderLeaseEvent::Fenced => {
-                return self.leave(now);
+                return self.give_up(now);
             }
             OrderLeaseEvent::Renewed { sent } => self.renewed(sent),
-            OrderLeaseEvent::RenewFailed => self.renew_again(now),
+            OrderLeaseEvent::RenewFailed => self.retry_renewal(now),
             OrderLeaseEvent::Stop => {
-                let actions = self.leave(now);
+                let actions = self.give_up(now);
                 self.state = State::Stopped;
                 return actions;
             }
@@ -242,15 +245,15 @@
     }
 
     fn holder_seen(&mut self, now: Tick, holder: Option<Name>) {
-        let was_held = !matches!(self.holder, Some(None));
-        if holder.is_none() && was_held && self.former.is_none() {
-            self.next_try = self.next_try.max(now + self.rank * RANK_MS);
+        let was_not_free = !matches!(self.holder, Some(None));
+        if holder.is_none() && was_not_free && self.previous.is_none() {
+            self.next_try = self.next_try.max(now + self.rank * RANK_DELAY_MS);
         }
         self.holder = Some(holder);
     }
 
-    /// The key, if it is still there, is this host's own only if nobody else can have had it since.
-    fn store_returned(
+    /// Keeps the key if the copy contains it and no other host can have held it since.
+    fn store_restored(
         &mut self,
         now: Tick,
         era: Era,
@@ -258,29 +261,29 @@
     ) -> Vec<OrderLeaseAction> {
         let State::Holding(holding) = &mut self.state else {
             self.set_era(now, era);
-            self.next_try = self.next_try.max(now + FORMER_MS + self.rank * RANK_MS);
+            self.next_try = self.next_try.max(now + PREVIOUS_HOLDER_MS + self.rank * RANK_DELAY_MS);
             return Vec::new();
         };
         if holding.lease.era >= era {
             return Vec::new();
         }
-        let is_covered = now < holding.covered;
-        let is_there = own_key.is_some_and(|key| key.number == holding.taken.number);
-        let former = Former { era: holding.lease.era, covered: holding.covered };
+        let is_valid = now < holding.valid_until;
+        let is_in_copy = own_key.is_some_and(|key| key.number == holding.key_revision.number);
+        let previous = PreviousHolding { era: holding.lease.era, valid_until: holding.valid_until };
         let lease = LeaseId::new(era, holding.lease.id);
-        if is_there && is_covered {
+        if is_in_copy && is_valid {
             holding.lease = lease;
             holding.renew_at = Some(now);
             self.set_era(now, era);
             return Vec::new();
         }
-        self.state = State::Following;
+        self.state = State::Idle;
         self.set_era(now, era);
         self.next_try = now;
-        if is_there {
+        if is_in_copy {
             return vec![OrderLeaseAction::End { lease }];
         }
-        self.former = Some(former);
+        self.previous = Some(previous);
         Vec::new()
     }
 
@@ -300,48 +303,50 @@
         }
         self.set_era(now, lease.era);
         self.options.ttl_ms = ttl_ms;
-        self.state = State::Taking { lease, covered: self.covered_from(sent) };
+        self.state = State::WritingKey { lease, valid_until: self.lease_end(sent) };
         vec![OrderLeaseAction::WriteKey { lease }]
     }
 
-    fn covered_from(&self, sent: Tick) -> Tick {
+    fn lease_end(&self, sent: Tick) -> Tick {
         let ttl = self.options.ttl_ms;
-        sent + (ttl - ttl / MARGIN)
+        sent + (ttl - ttl / MARGIN_DIVISOR)
     }
 
-    fn taken(&mut self, now: Tick, taken: Revision) {
-        let State::Taking { lease, covered } = self.state else {
+    fn key_written(&mut self, now: Tick, key_revision: Revision) {
+        let State::WritingKey { lease, valid_until } = self.state else {
             return;
         };
-        let goes_on = self.former.take().is_some_and(|former| former.goes_on(now, lease.era));
-        let settled = if goes_on { now } else { self.settled_from(now) };
+        let can_continue =
+            self.previous.take().is_some_and(|previous| previous.can_continue(now, lease.era));
+        let orders_from = if can_continue { now } else { self.orders_allowed_from(now) };
         self.has_held = true;
         let renew_at = Some(now);
-        self.state = State::Holding(Holding { lease, taken, settled, covered, renew_at });
+        self.state =
+            State::Holding(Holding { lease, key_revision, orders_from, valid_until, renew_at });
     }
 
-    /// When nobody that held the key before `now` can act any more.
-    fn settled_from(&mut self, now: Tick) -> Tick {
+    /// Returns when no holder before `now` can be active any more.
+    fn orders_allowed_from(&mut self, now: Tick) -> Tick {
         let OrderLeaseOptions { ttl_ms, settle_ms, resettle_ms } = self.options;
         if self.has_held {
-            self.clear_from = now + resettle_ms;
+            self.resettled_at = now + resettle_ms;
         }
-        // The last renewal of the era before was answered before the store went away.
-        let former_ends = self.returned.map_or(now, |returned| returned + ttl_ms);
-        (now.max(former_ends) + settle_ms).max(self.clear_from)
+        // The last renewal in the previous era was answered before the restore.
+        let previous_end = self.restored_at.map_or(now, |restored_at| restored_at + ttl_ms);
+        (now.max(previous_end) + settle_ms).max(self.resettled_at)
     }
 
     fn renewed(&mut self, sent: Tick) {
-        let covered = self.covered_from(sent);
-        let period = self.options.ttl_ms / RENEWALS;
+        let valid_until = self.lease_end(sent);
+        let period = self.options.ttl_ms / RENEWALS_PER_LEASE;
         if let State::Holding(holding) = &mut self.state {
-            holding.covered = holding.covered.max(covered);
+            holding.valid_until = holding.valid_until.max(valid_until);
             holding.renew_at = Some(sent + period);
         }
     }
 
-    fn renew_again(&mut self, now: Tick) {
-        let period = self.options.ttl_ms / (RENEWALS * 2);
+    fn retry_renewal(&mut self, now: Tick) {
+        let period = self.options.ttl_ms / (RENEWALS_PER_LEASE * 2);
         if let State::Holding(holding) = &mut self.state {
             holding.renew_at = Some(now + period);
         }
@@ -349,30 +354,30 @@
 
     fn retry_later(&mut self, now: Tick) {
         if self.state == State::Granting {
-            self.state = State::Following;
+            self.state = State::Idle;
         }
-        self.next_try = now + RETRY_MS;
+        self.next_try = now + RETRY_DELAY_MS;
     }
 
-    /// Gives up what is held or tried.
-    fn leave(&mut self, now: Tick) -> Vec<OrderLeaseAction> {
-        self.next_try = now + RETRY_MS + self.rank * RANK_MS;
-        self.former = None;
-        match std::mem::replace(&mut self.state, State::Following) {
-            State::Taking { lease, .. } | State::Holding(Holding { lease, .. }) => {
+    /// Gives up the lease or the attempt to get it.
+    fn give_up(&mut self, now: Tick) -> Vec<OrderLeaseAction> {
+        self.next_try = now + RETRY_DELAY_MS + self.rank * RANK_DELAY_MS;
+        self.previous = None;
+        match std::mem::replace(&mut self.state, State::Idle) {
+            State::WritingKey { lease, .. } | State::Holding(Holding { lease, .. }) => {
                 vec![OrderLeaseAction::End { lease }]
             }
             State::Stopped => {
                 self.state = State::Stopped;
                 Vec::new()
             }
-            State::Following | State::Granting => Vec::new(),
+            State::Idle | State::Granting => Vec::new(),
         }
     }
 
     fn tick(&mut self, now: Tick) -> Vec<OrderLeaseAction> {
         match &mut self.state {
-            State::Following if self.holder == Some(None) && now >= self.next_try => {
+            State::Idle if self.holder == Some(None) && now >= self.next_try => {
                 self.state = State::Granting;
                 vec![OrderLeaseAction::Grant { ttl_ms: self.options.ttl_ms }]
             }
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which weights should come where next.
+//! Plans which weights to load or unload next, and on which runners.
 
 use crate::{
     inventory::{Inventory, Model, PlanInput, Runner},
@@ -8,32 +8,32 @@
 use vanetally_ports::{Operation, Subject};
 use vanetally_types::{Incarnation, Name};
 
-/// One step: an order that brings the placement nearer to the demand.
+/// An order that brings the placement closer to the demand.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Step {
     pub runner: Incarnation,
     pub operation: Operation,
     pub subject: Subject,
-    /// The model that the step is for.
+    /// The model that is loaded, now or after the unload.
     pub model: Name,
-    /// Whether the weights come from the weight store.
+    /// Whether the weights are loaded from the weight store rather than from a local copy.
     pub from_store: bool,
 }
 
-/// One round of the plan. Everything is counted once; a step costs no more than a look at the runners
-/// that have a copy of its model, and at the few cheapest others.
+/// One planning round. The inventory is taken once; each step examines only the runners with a local
+/// copy of its model and a few of the cheapest others.
 pub(crate) struct PlanningRound<'a> {
     models: Vec<Model<'a>>,
     index: HashMap<&'a Name, usize>,
     runners: Vec<Runner<'a>>,
     runner_count: usize,
-    /// Open runners with free room, the least loaded first.
+    /// Available runners with free memory for at least the smallest model, least loaded first.
     with_room: Vec<usize>,
-    /// Open runners without, the one whose cheapest model is worth least first.
+    /// Other available runners, the one with the lowest loss of an eviction first.
     full: Vec<usize>,
 }
 
-/// A model and what one more replica of it gains, ordered by that; those for which callers wait come first.
+/// A model that needs another replica, ordered by saturation and then by gain.
 struct Need {
     is_saturated: bool,
     gain: f64,
@@ -62,31 +62,32 @@
     }
 }
 
-/// A way to bring a model to a runner.
+/// A possible placement of a model on a runner.
 struct Candidate {
     cost: f64,
     runner: usize,
-    /// The model that has to go first, if one has to.
+    /// The model to evict first, if any.
     victim: Option<usize>,
 }
 
-/// How many of the cheapest runners a step looks at.
+/// Maximum number of the cheapest runners that a step examines.
 const MAX_CANDIDATES: usize = 24;
-/// Share of the runners that may be busy with weights at once, so that others can follow the demand.
+/// Maximum share of runners that load or unload weights at once, so that others stay available when
+/// the demand changes.
 const MAX_BUSY_SHARE: f64 = 0.55;
-/// The same where callers wait for a model: the demand for one model may rise fivefold within seconds, and
-/// waits until others that are served have all replicas that they could use.
+/// Maximum share for saturated models. The demand for one model may rise fivefold within seconds; with
+/// the usual share it would wait until other models have all the replicas that they can use.
 const MAX_BUSY_SHARE_SATURATED: f64 = 0.85;
-/// What each second costs for which a load binds its runner.
+/// Cost per second that a load occupies its runner.
 const LOAD_SECOND_COST: f64 = 0.03;
-/// What an unload costs for each runner-second a second that the model's runs there come to: it waits
-/// for them, and binds the runner meanwhile.
+/// Cost of an unload per runner-second per second of the model's load there: the unload waits for
+/// running requests and occupies the runner meanwhile.
 const UNLOAD_RUN_COST: f64 = 0.5;
-/// What a runner's present load costs: among equals the idle one is taken.
+/// Cost per unit of a runner's current load: prefers the least loaded runner.
 const RUNNER_LOAD_COST: f64 = 0.05;
 
 impl<'a> PlanningRound<'a> {
-    /// Counts what `basis` holds.
+    /// Takes the inventory of `input`.
     pub(crate) fn new(input: PlanInput<'a>) -> Self {
         let Inventory { models, index, runners, runner_count } = Inventory::new(input);
         let mut round =
@@ -109,8 +110,8 @@
         self.full = costs.into_iter().map(|(_, index)| index).collect();
     }
 
-    /// The model of at least `least_mb` of a runner that is worth least there: what its going loses,
-    /// what its runs cost besides, and its index.
+    /// The cheapest model of at least `min_mb` to evict from a runner: the loss of its replica, the
+    /// cost of its running requests, and its index.
     fn cheapest_victim(&self, runner: usize, min_mb: f64) -> Option<(f64, f64, usize)> {
         let held = self.runners[runner].ledger.models();
         let known = held.filter_map(|model| self.index.get(model).copied());
@@ -124,8 +125,7 @@
         costs.min_by(|a, b| (a.0 + a.1).total_cmp(&(b.0 + b.1)))
     }
 
-    /// Whether the model should have more replicas than are there and planned, not counting `but` of
-    /// them.
+    /// Whether the model should have more replicas than are planned, not counting `excluded` of them.
     pub(crate) fn needs_more(&self, model: &Name, excluded: usize) -> bool {
         self.index.get(model).is_some_and(|&index| self.needs_replica(index, excluded))
     }
@@ -151,7 +151,7 @@
         (gain > 0.0).then_some(Need { is_saturated: *is_saturated, gain, model: index })
     }
 
-    /// At most `most` steps, with at most `from_store` loads from the weight store among them.
+    /// Returns at most `max_steps` steps, of which at most `store_loads` load from the weight store.
     pub(crate) fn steps(mut self, max_steps: usize, mut store_loads: usize) -> Vec<Step> {
         let needs = (0..self.models.len()).filter_map(|index| self.need(index));
         let mut needs: BinaryHeap<Need> = needs.collect();
@@ -164,7 +164,7 @@
         while steps.len() < max_steps
             && let Some(Need { is_saturated, gain, model }) = needs.pop()
         {
-            // A model that is nowhere is brought in any case.
+            // The first replica of a model is not limited.
             let is_additional = self.models[model].replicas.planned > 0;
             let limit = if is_saturated { saturated } else { unsaturated };
             if is_additional && busy + steps.len() >= limit {
@@ -181,8 +181,8 @@
         steps
     }
 
-    /// Steps for free room on runners that have copies of their own: a load from one binds the runner
-    /// for a fraction of the time, so it may gain less than the `best_gain` of any other.
+    /// Fills free memory on runners from their local copies. Such a load occupies the runner for a
+    /// fraction of the time, so it may gain less than `best_gain`, the highest gain of any model.
     fn fill_from_copies(&mut self, max_steps: usize, best_gain: f64) -> Vec<Step> {
         let mut steps = Vec::new();
         for runner in self.with_room.clone() {
@@ -206,7 +206,7 @@
         steps
     }
 
-    /// The cheapest way to bring the model to one more runner.
+    /// The cheapest placement of the model on another runner.
     fn cheapest_candidate(
         &self,
         model: usize,
@@ -231,7 +231,7 @@
         with_copy.chain(from_store).min_by(|a, b| a.cost.total_cmp(&b.cost))
     }
 
-    /// The way to bring the model to this runner, if that is allowed and worth it.
+    /// The placement of the model on this runner, if it is possible and gains more than it loses.
     fn candidate(&self, model: usize, runner: usize, gain: f64) -> Option<Candidate> {
         let Runner { ledger, free_mb, load, is_available, .. } = &self.runners[runner];
         let Model { name, weights_mb, load_s, copy_load_s, .. } = &self.models[model];
@@ -251,7 +251,7 @@
         })
     }
 
-    /// Notes a step, so that the next ones count with it.
+    /// Updates the inventory with a step, so that later steps account for it.
     fn apply(&mut self, model: usize, candidate: Candidate) -> Step {
         self.models[model].replicas.planned += 1;
         let Runner { name: runner, ledger, is_available, .. } = &mut self.runners[candidate.runner];
--- a/crates/placement/src/summary.rs
+++ b/crates/placement/src/summary.rs
@@ -1,40 +1,40 @@
-//! What operators are shown of the placement.
+//! Summary of the placement for operators.
 
 use crate::{Obstacle, Placement, capacity::Capacity};
 use std::collections::BTreeMap;
 use vanetally_types::{Name, Tick};
 
-/// One model's demand and replicas.
+/// Demand and replicas of one model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelSummary {
     /// The model.
     pub model: Name,
-    /// Runner-seconds a second that are asked for.
+    /// Requested runner-seconds per second.
     pub load: f64,
-    /// Runners that hold it.
+    /// Number of runners that hold it.
     pub holders: usize,
-    /// Runners that are getting it.
+    /// Number of runners that are loading it.
     pub loading: usize,
 }
 
-/// Runners that can and can't be given orders about weights.
+/// Number of runners that can and can't be sent orders about weights.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunnerSummary {
-    /// Those that can.
+    /// Runners that can.
     pub available: usize,
-    /// Those on which room is being made.
+    /// Runners on which memory is being freed for a model.
     pub evicting: usize,
-    /// Those that can't, by the reason.
+    /// Runners that can't, by reason.
     pub obstacles: BTreeMap<Obstacle, usize>,
-    /// Fit for how many more of the smallest models there is on all of them.
+    /// How many more models of the smallest size fit on all runners together.
     pub free_places: usize,
 }
 
-/// Models with less load are left out of a summary.
+/// Models with less load, in runner-seconds per second, are left out of a summary.
 const MIN_SHOWN_LOAD: f64 = 0.005;
 
 impl Placement {
-    /// Each model that is asked for or on its way: what operators look at.
+    /// Returns the models that are requested or loading.
     pub fn summary(&self, now: Tick) -> Vec<ModelSummary> {
         let mut counts: BTreeMap<(&Name, &Name), (usize, usize)> = BTreeMap::new();
         for ledger in self.ledgers.values() {
@@ -62,7 +62,7 @@
             .collect()
     }
 
-    /// Which runners can be given orders, and why others can't.
+    /// Returns how many runners can be sent orders, and why others can't.
     pub fn runners(&self) -> RunnerSummary {
         let mut summary = RunnerSummary::default();
         let services = self.configuration.as_ref().map(|c| &c.services);
--- a/crates/placement/src/weights.rs
+++ b/crates/placement/src/weights.rs
@@ -1,4 +1,4 @@
-//! Weights come and go as the plan says, within the weight store's rate.
+//! Loads and unloads weights as planned, within the weight store's load limit.
 
 use crate::{
     Action, Fit, LoadLimit, Placement,
@@ -9,22 +9,22 @@
 use vanetally_ports::{EngineSpec, FencingToken, Operation, Subject};
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// A new holder waits this long for the reports of all runners, in milliseconds.
+/// How long a new holder waits for the reports of all runners.
 const REPORT_WAIT_MS: u64 = 700;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// Steps of one round of the plan.
+/// Maximum number of steps per planning round.
 const MAX_STEPS: usize = 16;
-/// Fit that could not be made within this time is given up, in milliseconds: an unload waits for
-/// its runs.
+/// A reservation is dropped if its memory is not free after this time. An unload waits for running
+/// requests.
 const RESERVATION_TIMEOUT_MS: u64 = 10_000;
 
-/// Fit that is being made on a runner.
+/// Memory that is being freed on a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Reservation {
-    /// The model that it is for.
+    /// The model to be loaded there.
     pub model: Name,
-    /// Since when.
+    /// When the reservation was made.
     pub since: Tick,
 }
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /// How many more loads from the weight store may begin.
+    /// Returns how many more loads from the weight store may start.
     fn remaining_store_loads(&mut self, now: Tick, service: &Name, engine: &EngineSpec) -> usize {
         let unanswered = self.ledgers.values().filter(|l| l.has_lost_load()).count();
         let window = self.options.load_window_ms;
@@ -77,7 +77,7 @@
         load_limit.map_or(0, |load_limit| load_limit.remaining(now, unanswered))
     }
 
-    /// Orders the loads for which room was made; gives up the room that is not needed any more.
+    /// Orders the loads for which memory was freed, and drops reservations that are no longer needed.
     fn use_reserved(
         &mut self,
         now: Tick,
@@ -110,14 +110,15 @@
             if ledger.state.service != *service || is_unloading {
                 continue;
             }
-            let is_open = ledger.next_count().is_some();
+            let can_order = ledger.next_count().is_some();
             let has_room = ledger.model_fit(engine, &model) == Fit::Fits;
             let has_copy = ledger.has_local_copy(&model);
-            // Fit that was not made, or is not needed any more, is given up.
-            let has_failed = is_open && !has_room;
+            // Drops reservations whose memory was not freed or is no longer needed.
+            let has_failed = can_order && !has_room;
             if has_failed || !is_needed || now.since(since) > RESERVATION_TIMEOUT_MS {
                 self.reserved.remove(&runner);
-            } else if is_open && (has_copy || self.remaining_store_loads(now, service, engine) > 0)
+            } else if can_order
+                && (has_copy || self.remaining_store_loads(now, service, engine) > 0)
             {
                 self.reserved.remove(&runner);
                 let subject = Subject { model: model.clone(), adapter: None };
@@ -128,10 +129,10 @@
         }
     }
 
-    /// The load_limit of a new holder; none while too few runners have reported.
+    /// Returns the load limit of a new holder, or `None` while too few runners have reported.
     ///
-    /// What an earlier holder began is seen from the runners: where loads from the weight store take
-    /// longer than its window, those of the window are still under way.
+    /// Where every load from the weight store takes longer than the window, the loads that an earlier
+    /// holder started within the window are still running and show in the runners' reports.
     fn initial_load_limit(
         &self,
         now: Tick,
@@ -152,7 +153,7 @@
         Some(LoadLimit::new(now, engine.loads_per_s, window_ms, started))
     }
 
-    /// Carries a step out, or begins to.
+    /// Orders the load of a step, or announces its unload to be ordered later.
     fn apply_step(
         &mut self,
         now: Tick,
--- a/crates/placement/tests/incarnations.rs
+++ b/crates/placement/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! A runner that starts again under its id is another one to the holder of orders.
+//! The placement treats a runner that restarted under its id as a different runner.
 
 mod support;
 
@@ -7,42 +7,46 @@
 use vanetally_ports::{FencingToken, Operation, Order, OrderOutcome, Report, UpstreamState};
 use vanetally_types::Incarnation;
 
-fn life(born: u64) -> Incarnation {
+fn incarnation(born: u64) -> Incarnation {
     Incarnation::new("r1", Some(born))
 }
 
-/// A holder of orders that knows no runner.
+/// A holder without runners.
 fn holder() -> Holder {
     let mut holder = Holder::configured();
-    holder.tell(Event::Token(Some(FencingToken(9))));
-    // Weights that an earlier holder may have ordered count no more.
-    holder.pass(6_000);
+    holder.handle(Event::Token(Some(FencingToken(9))));
+    // Loads that an earlier holder may have started no longer count against the load limit.
+    holder.advance(6_000);
     holder
 }
 
-fn see(holder: &mut Holder, born: u64, state: UpstreamState) {
-    holder.tell(Event::UpstreamSeen { id: life(born), state });
+fn announce(holder: &mut Holder, born: u64, state: UpstreamState) {
+    holder.handle(Event::UpstreamSeen { id: incarnation(born), state });
 }
 
-fn end(holder: &mut Holder, born: u64) {
-    holder.tell(Event::UpstreamGone { id: life(born) });
+fn remove(holder: &mut Holder, born: u64) {
+    holder.handle(Event::UpstreamGone { id: incarnation(born) });
 }
 
-/// The life `of` was asked, and `report` came.
-fn answer(holder: &mut Holder, of: u64, report: Report) {
-    let asked = holder.now;
-    holder.tell(Event::Reported { runner: life(of), requested_at: asked, report: Some(report) });
+/// The incarnation `born` answered a report request with `report`.
+fn report_from(holder: &mut Holder, born: u64, report: Report) {
+    let requested_at = holder.now;
+    holder.handle(Event::Reported {
+        runner: incarnation(born),
+        requested_at,
+        report: Some(report),
+    });
 }
 
-fn by(born: u64, report: Report) -> Report {
+fn born_at(born: u64, report: Report) -> Report {
     Report { born: Some(born), ..report }
 }
 
-/// The order that follows if `model` is missed now.
+/// The order that follows a request for `model`.
 fn order_for(holder: &mut Holder, model: &str) -> Option<Order> {
     holder.orders.clear();
-    holder.want(model, None);
-    holder.pass(100);
+    holder.request(model, None);
+    holder.advance(100);
     holder.loads(model).last().copied().cloned()
 }
 
@@ -50,104 +54,110 @@
     order_for(holder, "m1")
 }
 
-/// Its reports were dropped for as long as the holder lived, since they count fewer orders than were known.
+/// The order count of a new incarnation is lower than that of the previous one: its reports must not
+/// be ignored as stale.
 #[test]
-fn next_life_reports() {
+fn next_incarnation_reports() {
     let mut holder = holder();
-    see(&mut holder, 1, state(&["m1"], 3));
-    answer(&mut holder, 1, by(1, report(&["m1"], 3)));
-    end(&mut holder, 1);
-    see(&mut holder, 2, state(&[], 0));
-    answer(&mut holder, 2, by(2, report(&[], 0)));
+    announce(&mut holder, 1, state(&["m1"], 3));
+    report_from(&mut holder, 1, born_at(1, report(&["m1"], 3)));
+    remove(&mut holder, 1);
+    announce(&mut holder, 2, state(&[], 0));
+    report_from(&mut holder, 2, born_at(2, report(&[], 0)));
     let order = order_for_m1(&mut holder).expect("an order");
-    assert_eq!((order.runner, order.orders_before), (life(2), 0));
+    assert_eq!((order.runner, order.orders_before), (incarnation(2), 0));
 }
 
-/// Both lives have taken as many orders: what the first one held is not believed of the second.
+/// Both incarnations have accepted as many orders: models of the first don't count as held by the
+/// second.
 #[test]
-fn equal_counts() {
+fn equal_order_counts() {
     let mut holder = holder();
-    see(&mut holder, 1, state(&["m1"], 0));
-    answer(&mut holder, 1, by(1, report(&["m1"], 0)));
+    announce(&mut holder, 1, state(&["m1"], 0));
+    report_from(&mut holder, 1, born_at(1, report(&["m1"], 0)));
     assert_eq!(order_for_m1(&mut holder), None, "it is held");
-    end(&mut holder, 1);
-    see(&mut holder, 2, state(&[], 0));
-    answer(&mut holder, 2, by(2, report(&[], 0)));
-    assert_eq!(order_for_m1(&mut holder).map(|order| order.runner), Some(life(2)));
+    remove(&mut holder, 1);
+    announce(&mut holder, 2, state(&[], 0));
+    report_from(&mut holder, 2, born_at(2, report(&[], 0)));
+    assert_eq!(order_for_m1(&mut holder).map(|order| order.runner), Some(incarnation(2)));
 }
 
-/// The answer of another life to a question says nothing of the one that was asked.
+/// A report of another incarnation says nothing about the one it was requested from.
 #[test]
-fn report_of_another() {
+fn report_of_other_incarnation() {
     let mut holder = holder();
-    see(&mut holder, 1, state(&["m2"], 0));
-    answer(&mut holder, 1, by(2, report(&[], 0)));
-    assert_eq!(order_for_m1(&mut holder), None, "nothing is known of it");
+    announce(&mut holder, 1, state(&["m2"], 0));
+    report_from(&mut holder, 1, born_at(2, report(&[], 0)));
+    assert_eq!(order_for_m1(&mut holder), None, "no report of this incarnation");
 }
 
-/// An answer to an order of the former life, and a report that was asked of it, come late.
+/// An order answer and a report of the previous incarnation arrive late.
 #[test]
 fn late_answers() {
     let mut holder = holder();
-    see(&mut holder, 1, state(&[], 0));
-    answer(&mut holder, 1, by(1, report(&[], 0)));
+    announce(&mut holder, 1, state(&[], 0));
+    report_from(&mut holder, 1, born_at(1, report(&[], 0)));
     let order = order_for_m1(&mut holder).expect("an order");
-    end(&mut holder, 1);
-    see(&mut holder, 2, state(&[], 0));
-    answer(&mut holder, 2, by(2, report(&[], 0)));
+    remove(&mut holder, 1);
+    announce(&mut holder, 2, state(&[], 0));
+    report_from(&mut holder, 2, born_at(2, report(&[], 0)));
     holder.answer(order, OrderOutcome::Accepted);
-    answer(&mut holder, 1, by(1, report(&["m1"], 1)));
+    report_from(&mut holder, 1, born_at(1, report(&["m1"], 1)));
     let order = order_for_m1(&mut holder).expect("an order");
-    assert_eq!((order.runner, order.orders_before), (life(2), 0));
+    assert_eq!((order.runner, order.orders_before), (incarnation(2), 0));
 }
 
-/// A runner whose announcement can't be read gets no order until it can.
+/// A runner whose announcement can't be decoded gets no orders until it can.
 #[test]
-fn unreadable() {
+fn unreadable_announcement() {
     let mut holder = holder();
-    see(&mut holder, 1, state(&[], 0));
-    answer(&mut holder, 1, by(1, report(&[], 0)));
-    holder.tell(Event::UpstreamUnreadable { id: life(1) });
+    announce(&mut holder, 1, state(&[], 0));
+    report_from(&mut holder, 1, born_at(1, report(&[], 0)));
+    holder.handle(Event::UpstreamUnreadable { id: incarnation(1) });
     assert_eq!(order_for_m1(&mut holder), None);
-    see(&mut holder, 1, state(&[], 0));
+    announce(&mut holder, 1, state(&[], 0));
     assert!(order_for_m1(&mut holder).is_some());
 }
 
-/// A runner that does not say in its report when it started is believed as before.
+/// A report without a start time counts as one of the current incarnation.
 #[test]
-fn start_not_told() {
+fn report_without_start() {
     let mut holder = holder();
-    see(&mut holder, 1, state(&[], 0));
-    answer(&mut holder, 1, report(&[], 0));
+    announce(&mut holder, 1, state(&[], 0));
+    report_from(&mut holder, 1, report(&[], 0));
     assert!(order_for_m1(&mut holder).is_some());
 }
 
-/// Two models fill a runner. An order to load a third one, sent to the former life when that had taken two orders, is
-/// carried out when the new one has taken two: room is kept for it until then.
+/// Two models fill a runner. An order for a third one, sent to the previous incarnation at count two,
+/// may be executed once the new one has accepted two orders: memory stays reserved until then.
 #[test]
-fn stray_order() {
+fn unsettled_order() {
     let mut holder = holder();
-    see(&mut holder, 1, state(&[], 2));
-    answer(&mut holder, 1, by(1, report(&[], 2)));
-    let stray = order_for_m1(&mut holder).expect("an order");
-    assert_eq!(stray.orders_before, 2);
-    holder.answer(stray, OrderOutcome::Unknown);
-    end(&mut holder, 1);
-    see(&mut holder, 2, state(&[], 0));
-    answer(&mut holder, 2, by(2, report(&["m2"], 1)));
+    announce(&mut holder, 1, state(&[], 2));
+    report_from(&mut holder, 1, born_at(1, report(&[], 2)));
+    let unsettled = order_for_m1(&mut holder).expect("an order");
+    assert_eq!(unsettled.orders_before, 2);
+    holder.answer(unsettled, OrderOutcome::Unknown);
+    remove(&mut holder, 1);
+    announce(&mut holder, 2, state(&[], 0));
+    report_from(&mut holder, 2, born_at(2, report(&["m2"], 1)));
     holder.orders.clear();
-    // The weight store's rate allows another load.
-    holder.pass(6_000);
-    holder.want("m3", None);
-    holder.pass(100);
+    // The load limit allows another load.
+    holder.advance(6_000);
+    holder.request("m3", None);
+    holder.advance(100);
     let is_load = |order: &Order| order.operation == Operation::Load;
-    assert!(!holder.orders.iter().any(is_load), "m1 may yet come beside m2: {:?}", holder.orders);
+    assert!(
+        !holder.orders.iter().any(is_load),
+        "m1 may still be loaded beside m2: {:?}",
+        holder.orders
+    );
     holder.orders.clear();
-    answer(&mut holder, 2, by(2, report(&["m2"], 3)));
-    holder.want("m3", None);
-    holder.pass(100);
+    report_from(&mut holder, 2, born_at(2, report(&["m2"], 3)));
+    holder.request("m3", None);
+    holder.advance(100);
     assert!(
         holder.orders.iter().any(is_load),
-        "two orders were taken since: it can't come any more"
+        "two orders were accepted since: it can no longer be executed"
     );
 }
--- a/crates/placement/tests/order_lease.rs
+++ b/crates/placement/tests/order_lease.rs
@@ -1,4 +1,4 @@
-//! The lease of the host that gives orders.
+//! Tests of the lease of the host that sends orders.
 
 use rstest::rstest;
 use vanetally_placement::{OrderLease, OrderLeaseAction, OrderLeaseEvent, OrderLeaseOptions};
@@ -10,15 +10,15 @@
     OrderLeaseOptions { ttl_ms: 2_000, settle_ms: 300, resettle_ms: 3_300 };
 const LEASE: LeaseId = LeaseId::new(Era(0), 7);
 
-/// A process that started long ago and hears that nobody holds the key.
+/// A process that started long ago and has seen that the key has no holder.
 fn follower() -> OrderLease {
     let mut order_lease = OrderLease::new(Tick(0), OPTIONS);
     order_lease.handle(START, OrderLeaseEvent::HolderSeen(None));
     order_lease
 }
 
-/// Takes the key at `now`.
-fn take(order_lease: &mut OrderLease, now: Tick, token: u64) {
+/// Gets a lease and writes the key at `now`.
+fn write_key(order_lease: &mut OrderLease, now: Tick, token: u64) {
     assert_eq!(
         order_lease.handle(now, OrderLeaseEvent::Tick),
         [OrderLeaseAction::Grant { ttl_ms: 2_000 }]
@@ -30,17 +30,14 @@
 
 fn holder() -> OrderLease {
     let mut order_lease = follower();
-    take(&mut order_lease, START, 40);
+    write_key(&mut order_lease, START, 40);
     order_lease
 }
 
 #[test]
 fn unknown_holder_waits() {
     let mut order_lease = OrderLease::new(Tick(0), OPTIONS);
-    assert!(
-        order_lease.handle(START, OrderLeaseEvent::Tick).is_empty(),
-        "nobody told whether one lives"
-    );
+    assert!(order_lease.handle(START, OrderLeaseEvent::Tick).is_empty(), "the holder is unknown");
     order_lease.handle(START, OrderLeaseEvent::HolderSeen(Some("other".into())));
     assert!(order_lease.handle(START, OrderLeaseEvent::Tick).is_empty());
 }
@@ -53,59 +50,61 @@
 }
 
 #[test]
-fn settles_first() {
+fn waits_before_first_order() {
     let order_lease = holder();
     assert_eq!(order_lease.token(START + 299), None);
     assert_eq!(order_lease.token(START + 300), Some(FencingToken(40)));
 }
 
 #[test]
-fn young_process_settles_longer() {
+fn new_process_waits_longer() {
     let mut order_lease = OrderLease::new(START, OPTIONS);
     order_lease.handle(START, OrderLeaseEvent::HolderSeen(None));
-    take(&mut order_lease, START, 40);
+    write_key(&mut order_lease, START, 40);
     order_lease.handle(START + 1_000, OrderLeaseEvent::Renewed { sent: START + 1_000 });
     order_lease.handle(START + 2_000, OrderLeaseEvent::Renewed { sent: START + 2_000 });
     assert_eq!(
         order_lease.token(START + 3_200),
         None,
-        "an earlier life may have ordered just before"
+        "a previous incarnation may have ordered just before"
     );
     assert_eq!(order_lease.token(START + 3_300), Some(FencingToken(40)));
 }
 
 #[test]
-fn retaken_settles_longer() {
+fn regained_key_waits_longer() {
     let mut order_lease = holder();
     assert_eq!(
         order_lease.handle(START + 500, OrderLeaseEvent::LeaseExpired),
         [OrderLeaseAction::End { lease: LEASE }]
     );
     let again = START + 1_000;
-    take(&mut order_lease, again, 50);
+    write_key(&mut order_lease, again, 50);
     order_lease.handle(again, OrderLeaseEvent::Renewed { sent: again + 1_500 });
     order_lease.handle(again, OrderLeaseEvent::Renewed { sent: again + 3_000 });
     assert_eq!(
         order_lease.token(again + 3_200),
         None,
-        "it must not take turns with the one between"
+        "it must not alternate with a holder in between"
     );
     assert_eq!(order_lease.token(again + 3_300), Some(FencingToken(50)));
 }
 
-/// A holder that is paused, or whose renewals go unanswered, stops before the store ends its lease.
+/// A holder that is paused, or whose renewals are not answered, stops before its lease expires in the
+/// store.
 #[rstest]
 #[case(1_599, true)]
 #[case(1_600, false)]
 #[case(60_000, false)]
-fn unrenewed_stops(#[case] after: u64, #[case] may_order: bool) {
+fn stops_without_renewal(#[case] after: u64, #[case] may_order: bool) {
     let order_lease = holder();
     assert_eq!(order_lease.token(START + after).is_some(), may_order);
 }
 
-/// The store is away for eight seconds and no lease runs out meanwhile: the first renewal that it answers is enough.
+/// The store is unavailable for eight seconds and keeps the lease: orders resume with the first
+/// answered renewal.
 #[test]
-fn outlives_outage() {
+fn survives_outage() {
     let mut order_lease = holder();
     let mut renewals = 0;
     for at in (0..8_000).step_by(20).map(|ms| START + ms) {
@@ -124,11 +123,11 @@
     order_lease.handle(START + 8_010, OrderLeaseEvent::Renewed { sent: START + 8_000 });
     assert_eq!(order_lease.token(START + 8_010), Some(FencingToken(40)));
     let actions = order_lease.handle(START + 8_020, OrderLeaseEvent::LeaseExpired);
-    assert_eq!(actions, [OrderLeaseAction::End { lease: LEASE }], "another one may have the key");
+    assert_eq!(actions, [OrderLeaseAction::End { lease: LEASE }], "another host may hold the key");
 }
 
 #[test]
-fn renewal_counts_from_sending() {
+fn renewal_counts_from_send_time() {
     let mut order_lease = holder();
     let late = OrderLeaseEvent::Renewed { sent: START + 100 };
     order_lease.handle(START + 1_500, late);
@@ -148,16 +147,16 @@
 }
 
 #[test]
-fn stopped_stays_out() {
+fn stopped_never_tries() {
     let mut order_lease = holder();
     order_lease.handle(START + 400, OrderLeaseEvent::Stop);
     order_lease.handle(START + 400, OrderLeaseEvent::HolderSeen(None));
     assert!(order_lease.handle(START + 10_000, OrderLeaseEvent::Tick).is_empty());
 }
 
-/// Without an answer the key may be written later: its lease is given back, the token never used.
+/// An unanswered key write may take effect later: the lease is ended and the token never used.
 #[test]
-fn unanswered_take() {
+fn unanswered_key_write() {
     let mut order_lease = follower();
     order_lease.handle(START, OrderLeaseEvent::Tick);
     order_lease
@@ -169,7 +168,7 @@
 }
 
 #[test]
-fn late_grant_given_back() {
+fn late_grant_ended() {
     let mut order_lease = follower();
     order_lease.handle(START, OrderLeaseEvent::Tick);
     order_lease.handle(START + 1_200, OrderLeaseEvent::GrantFailed);
@@ -178,7 +177,7 @@
 }
 
 #[test]
-fn ranks_try_in_turn() {
+fn ranks_delay_tries() {
     let mut order_lease = OrderLease::new(Tick(0), OPTIONS);
     order_lease.set_rank(5);
     order_lease.handle(START, OrderLeaseEvent::HolderSeen(Some("other".into())));
@@ -187,13 +186,17 @@
     assert!(!order_lease.handle(START + 200, OrderLeaseEvent::Tick).is_empty());
 }
 
-fn returned(own: Option<u64>) -> OrderLeaseEvent {
+fn restored(own_key: Option<u64>) -> OrderLeaseEvent {
     let era = Era(1);
-    OrderLeaseEvent::StoreRestored { era, own_key: own.map(|number| Revision::new(era, number)) }
+    OrderLeaseEvent::StoreRestored {
+        era,
+        own_key: own_key.map(|number| Revision::new(era, number)),
+    }
 }
 
-/// Takes the key of era 1 at `now`; gives back the first moment at which orders are given, within ten seconds.
-fn take_again(order_lease: &mut OrderLease, now: Tick) -> Option<u64> {
+/// Writes the key in era 1 at `now`. Returns after how many milliseconds orders may first be sent,
+/// within ten seconds.
+fn write_key_in_new_era(order_lease: &mut OrderLease, now: Tick) -> Option<u64> {
     assert_eq!(
         order_lease.handle(now, OrderLeaseEvent::Tick),
         [OrderLeaseAction::Grant { ttl_ms: 2_000 }]
@@ -209,93 +212,93 @@
     })
 }
 
-/// The copy has the key, and the last renewal still covers: orders go on, with the same token.
+/// The copy contains the key and the last renewal is still valid: orders continue with the same token.
 #[test]
-fn returned_with_key() {
+fn restored_with_key() {
     let mut order_lease = holder();
     order_lease.handle(START + 1_000, OrderLeaseEvent::Renewed { sent: START + 1_000 });
-    assert_eq!(order_lease.handle(START + 1_500, returned(Some(40))), []);
+    assert_eq!(order_lease.handle(START + 1_500, restored(Some(40))), []);
     order_lease.handle(START + 1_500, OrderLeaseEvent::HolderSeen(Some("me".into())));
     assert_eq!(order_lease.token(START + 1_600), Some(FencingToken(40)));
     let renew = [OrderLeaseAction::Renew { lease: LeaseId::new(Era(1), 7) }];
     assert_eq!(order_lease.handle(START + 1_600, OrderLeaseEvent::Tick), renew, "in the new era");
 }
 
-/// The copy has the key, but another host may have had it since: it is given up first.
+/// The copy contains the key, but another host may have held it since: the lease is ended first.
 #[test]
-fn returned_with_key_too_late() {
+fn restored_with_key_too_late() {
     let mut order_lease = holder();
     let end = [OrderLeaseAction::End { lease: LeaseId::new(Era(1), 7) }];
-    assert_eq!(order_lease.handle(START + 1_700, returned(Some(40))), end);
+    assert_eq!(order_lease.handle(START + 1_700, restored(Some(40))), end);
     order_lease.handle(START + 1_700, OrderLeaseEvent::HolderSeen(None));
-    assert_eq!(take_again(&mut order_lease, START + 1_700), Some(3_300));
+    assert_eq!(write_key_in_new_era(&mut order_lease, START + 1_700), Some(3_300));
 }
 
-/// The copy has a key of this host's from before.
+/// The copy contains an older key of this host.
 #[test]
-fn returned_with_older_key() {
+fn restored_with_older_key() {
     let mut order_lease = holder();
-    assert_eq!(order_lease.handle(START + 1_000, returned(Some(12))), []);
+    assert_eq!(order_lease.handle(START + 1_000, restored(Some(12))), []);
     order_lease.handle(START + 1_000, OrderLeaseEvent::HolderSeen(Some("me".into())));
     assert_eq!(order_lease.token(START + 1_000), None);
     assert!(
         order_lease.handle(START + 1_100, OrderLeaseEvent::Tick).is_empty(),
-        "it runs out first"
+        "the old lease has to expire first"
     );
 }
 
-/// Nobody can have given orders since: it goes on with the next key, and a higher token.
+/// No other host can have sent orders since: orders continue with a new key and a higher token.
 #[test]
-fn returned_without_key() {
+fn restored_without_key() {
     let mut order_lease = holder();
     order_lease.handle(START + 1_000, OrderLeaseEvent::Renewed { sent: START + 1_000 });
-    assert_eq!(order_lease.handle(START + 1_500, returned(None)), []);
+    assert_eq!(order_lease.handle(START + 1_500, restored(None)), []);
     assert_eq!(order_lease.token(START + 1_500), None);
     order_lease.handle(START + 1_500, OrderLeaseEvent::HolderSeen(None));
-    assert_eq!(take_again(&mut order_lease, START + 1_500), Some(0));
+    assert_eq!(write_key_in_new_era(&mut order_lease, START + 1_500), Some(0));
     assert_eq!(order_lease.token(START + 1_500), Some(FencingToken((1 << 40) + 5)));
 }
 
-/// Its cover is over: it waits as others do, and as one that has held before.
+/// The last renewal is no longer valid: the host waits like any previous holder.
 #[test]
-fn returned_without_key_too_late() {
+fn restored_without_key_too_late() {
     let mut order_lease = holder();
-    order_lease.handle(START + 1_500, returned(None));
+    order_lease.handle(START + 1_500, restored(None));
     order_lease.handle(START + 1_500, OrderLeaseEvent::HolderSeen(None));
-    assert_eq!(take_again(&mut order_lease, START + 1_700), Some(3_300));
+    assert_eq!(write_key_in_new_era(&mut order_lease, START + 1_700), Some(3_300));
 }
 
-/// Another host lets the one that held try first, then waits until it can't act any more.
+/// Another host lets the previous holder try first, then waits until that one must have stopped.
 #[test]
-fn successor_waits_out() {
+fn successor_waits() {
     let mut order_lease = follower();
     order_lease.handle(START, OrderLeaseEvent::HolderSeen(Some("other".into())));
-    order_lease.handle(START + 1_000, returned(None));
+    order_lease.handle(START + 1_000, restored(None));
     order_lease.handle(START + 1_000, OrderLeaseEvent::HolderSeen(None));
     assert!(
         order_lease.handle(START + 1_240, OrderLeaseEvent::Tick).is_empty(),
-        "the holder goes first"
+        "the previous holder tries first"
     );
     assert_eq!(
-        take_again(&mut order_lease, START + 1_250),
+        write_key_in_new_era(&mut order_lease, START + 1_250),
         Some(2_100),
-        "a lease after the return"
+        "one lease duration after the restore"
     );
 }
 
-/// A lease of an era that is over is another host's now.
+/// A lease granted in a previous era may belong to another host now and is not ended.
 #[test]
-fn granted_before_return() {
+fn granted_before_restore() {
     let mut order_lease = follower();
     order_lease.handle(START, OrderLeaseEvent::Tick);
-    order_lease.handle(START + 100, returned(None));
+    order_lease.handle(START + 100, restored(None));
     let granted = OrderLeaseEvent::Granted { sent: START, lease: LEASE, ttl_ms: 2_000 };
     assert_eq!(order_lease.handle(START + 200, granted), []);
 }
 
-/// Two eras in a row: another host may have held the key in the one between.
+/// Two restores in a row: another host may have held the key in the era between.
 #[test]
-fn returned_twice() {
+fn restored_twice() {
     let mut order_lease = holder();
     order_lease.handle(START + 1_000, OrderLeaseEvent::Renewed { sent: START + 1_000 });
     order_lease
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Which orders the holder gives, and what it believes of the runners.
+//! Tests of the orders that the placement sends and of its known state of the runners.
 
 mod support;
 
@@ -13,7 +13,7 @@
 #[test]
 fn missing_adapter_ordered() {
     let mut holder = Holder::new(&[("r1", &["m1"]), ("r2", &["m2"])]);
-    holder.want("m1", Some("a1"));
+    holder.request("m1", Some("a1"));
     assert_eq!(holder.orders.len(), 1);
     let order = &holder.orders[0];
     assert_eq!((&*order.runner.id, order.operation), ("r1", Operation::Load));
@@ -23,87 +23,87 @@
 #[test]
 fn missing_model_ordered() {
     let mut holder = Holder::new(&[("r1", &["m1"]), ("r2", &["m1"])]);
-    holder.want("m2", None);
-    holder.pass(ROUND_MS);
+    holder.request("m2", None);
+    holder.advance(ROUND_MS);
     assert_eq!(holder.loads("m2").len(), 1);
 }
 
 #[test]
 fn nothing_without_token() {
     let mut holder = Holder::new(&[("r1", &["m1"])]);
-    holder.tell(Event::Token(None));
-    holder.want("m1", Some("a1"));
-    holder.pass(500);
+    holder.handle(Event::Token(None));
+    holder.request("m1", Some("a1"));
+    holder.advance(500);
     assert!(holder.orders.is_empty());
 }
 
 #[test]
-fn fence_ends_it() {
+fn fenced_order_resigns() {
     let mut holder = Holder::new(&[("r1", &["m1"])]);
-    holder.want("m1", Some("a1"));
+    holder.request("m1", Some("a1"));
     let order = holder.orders[0].clone();
     holder.answer(order, OrderOutcome::Fenced);
     assert!(holder.resigned);
-    holder.want("m1", Some("a2"));
-    assert_eq!(holder.orders.len(), 1, "that token is used no more");
+    holder.request("m1", Some("a2"));
+    assert_eq!(holder.orders.len(), 1, "the token is no longer used");
 }
 
-/// Adapters that are there, coming or ordered never exceed the places.
+/// Held, loading and ordered adapters together never exceed the limit.
 #[test]
-fn adapter_places() {
+fn adapter_limit() {
     let mut holder = Holder::new(&[("r1", &["m1"])]);
     for number in 1..=6 {
-        holder.want("m1", Some(&format!("a{number}")));
+        holder.request("m1", Some(&format!("a{number}")));
         while let Some(order) = holder.orders.pop() {
             if order.operation == Operation::Load {
                 holder.answer(order, OrderOutcome::Accepted);
             }
         }
     }
-    let taken = 3;
-    holder.want("m1", Some("a9"));
+    let places = 3;
+    holder.request("m1", Some("a9"));
     let loads = holder.orders.iter().filter(|o| o.operation == Operation::Load).count();
-    assert_eq!(loads, 0, "all {taken} places are taken");
+    assert_eq!(loads, 0, "all {places} places are in use");
 }
 
-/// Found on a played day: a new holder did not know of the load under way and ordered another one,
-/// beyond the runner's room.
+/// A new holder doesn't know which load is in progress on a runner: another one could exceed the
+/// runner's memory.
 #[test]
 fn unknown_order_blocks() {
     let mut holder = Holder::new(&[("r1", &["m1"])]);
-    holder.tell(Event::Token(Some(FencingToken(11))));
-    holder.tell(Event::Tick);
+    holder.handle(Event::Token(Some(FencingToken(11))));
+    holder.handle(Event::Tick);
     holder.report("r1", Report { busy: true, ..report(&["m1"], 4) });
-    holder.want("m2", None);
-    holder.pass(400);
+    holder.request("m2", None);
+    holder.advance(400);
     assert!(holder.orders.is_empty(), "{:?}", holder.orders);
     holder.report("r1", report(&["m1", "m3"], 4));
-    holder.want("m2", None);
+    holder.request("m2", None);
     assert!(holder.loads("m2").is_empty(), "m1 and m3 fill the runner");
 }
 
-/// Found on a played day: an announcement older than it looked made the holder forget weights.
+/// An outdated announcement must not remove weights from the known state.
 #[test]
-fn old_announcement() {
+fn outdated_announcement() {
     let mut holder = Holder::new(&[("r1", &["m1", "m2"])]);
-    holder.tell(Event::UpstreamSeen { id: "r1".into(), state: state(&["m1"], 0) });
-    holder.want("m3", None);
+    holder.handle(Event::UpstreamSeen { id: "r1".into(), state: state(&["m1"], 0) });
+    holder.request("m3", None);
     assert!(holder.loads("m3").is_empty(), "{:?}", holder.orders);
 }
 
-/// An order without an answer may be carried out later: until a report settles it, nothing else is
-/// ordered there; after that only with the same count, so that one of both is taken at most.
+/// An unanswered order may be executed later: until a report settles it, the runner gets no other
+/// order; after that only one with the same count, so that at most one of the two is accepted.
 #[test]
 fn unanswered_order() {
     let mut holder = Holder::new(&[("r1", &["m1"])]);
-    holder.want("m1", Some("a1"));
+    holder.request("m1", Some("a1"));
     let order = holder.orders.pop().unwrap();
     holder.answer(order, OrderOutcome::Unknown);
-    holder.want("m1", Some("a2"));
+    holder.request("m1", Some("a2"));
     assert!(holder.orders.is_empty());
-    holder.pass(2_000);
+    holder.advance(2_000);
     holder.report("r1", report(&["m1"], 0));
-    holder.want("m1", Some("a2"));
+    holder.request("m1", Some("a2"));
     assert!(!holder.orders.is_empty());
     assert!(holder.orders.iter().all(|order| order.orders_before == 0));
 }
@@ -111,205 +111,208 @@
 #[test]
 fn stale_report_ignored() {
     let mut holder = Holder::new(&[("r1", &["m1"])]);
-    holder.want("m1", Some("a1"));
+    holder.request("m1", Some("a1"));
     let order = holder.orders.pop().unwrap();
     holder.answer(order, OrderOutcome::Accepted);
     holder.report("r1", report(&["m1"], 0));
-    holder.want("m1", Some("a2"));
+    holder.request("m1", Some("a2"));
     assert_eq!(holder.orders[0].orders_before, 1, "one order was answered since");
 }
 
-/// Loads from the weight store within any window stay below its rate.
+/// Loads from the weight store within any window stay below the load limit.
 #[test]
-fn store_rate_kept() {
+fn load_limit_respected() {
     let names: Vec<String> = (0..12).map(|number| format!("r{number}")).collect();
     let runners: Vec<(&str, &[&str])> =
         names.iter().map(|name| (name.as_str(), &["m1"] as &[&str])).collect();
     let mut holder = Holder::new(&runners);
-    let mut begun = Vec::new();
-    let mut coming: Vec<(Tick, Order)> = Vec::new();
+    let mut started = Vec::new();
+    let mut loading: Vec<(Tick, Order)> = Vec::new();
     for _ in 0..150 {
         holder.demand("m2", 2_000);
-        holder.pass(100);
+        holder.advance(100);
         for order in std::mem::take(&mut holder.orders) {
             if order.operation == Operation::Load {
-                begun.push(holder.now);
-                coming.push((holder.now + 8_000, order.clone()));
+                started.push(holder.now);
+                loading.push((holder.now + 8_000, order.clone()));
                 holder.answer(order, OrderOutcome::Accepted);
             }
         }
-        // Weights arrive after their time.
+        // Loads complete after eight seconds.
         let now = holder.now;
-        for (_, order) in coming.extract_if(.., |(at, _)| now >= *at) {
+        for (_, order) in loading.extract_if(.., |(at, _)| now >= *at) {
             let held = ["m1", &*order.subject.model];
             holder.report(&order.runner.id, report(&held, order.orders_before + 1));
         }
     }
-    assert!(begun.len() >= 8, "it does load: {}", begun.len());
-    for (number, at) in begun.iter().enumerate() {
-        let within = begun[number..].iter().filter(|later| later.since(*at) < 4_900).count();
-        assert!(within <= 5, "{within} loads begin within a window");
+    assert!(started.len() >= 8, "loads do start: {}", started.len());
+    for (number, at) in started.iter().enumerate() {
+        let within = started[number..].iter().filter(|later| later.since(*at) < 4_900).count();
+        assert!(within <= 5, "{within} loads start within a window");
     }
 }
 
-/// A model asked for takes the place of one that nobody asks for, never the other way round.
+/// A requested model evicts an idle one, never the other way round.
 #[rstest]
 #[case("m2", true)]
 #[case("m1", false)]
-fn idle_makes_way(#[case] busy: &str, #[case] m1_goes: bool) {
+fn idle_model_evicted(#[case] busy: &str, #[case] is_m1_evicted: bool) {
     let mut holder = Holder::new(&[("r1", &["m1", "m2"]), ("r2", &["m1", "m2"])]);
     for _ in 0..45 {
         holder.demand(busy, 200);
-        holder.pass(400);
+        holder.advance(400);
     }
-    holder.want("m3", None);
-    holder.pass(400);
+    holder.request("m3", None);
+    holder.advance(400);
     let unloads: Vec<&Order> =
         holder.orders.iter().filter(|order| order.operation == Operation::Unload).collect();
     assert!(!unloads.is_empty());
-    assert!(unloads.iter().all(|order| (&*order.subject.model == "m1") == m1_goes), "{unloads:?}");
+    assert!(
+        unloads.iter().all(|order| (&*order.subject.model == "m1") == is_m1_evicted),
+        "{unloads:?}"
+    );
 }
 
 #[test]
-fn leaving_runner_left_alone() {
+fn draining_runner_gets_no_orders() {
     let mut holder = Holder::new(&[("r1", &["m1"])]);
     let leaving = UpstreamState { draining: true, ..state(&["m1"], 0) };
-    holder.tell(Event::UpstreamSeen { id: "r1".into(), state: leaving });
-    holder.want("m1", Some("a1"));
-    holder.pass(500);
+    holder.handle(Event::UpstreamSeen { id: "r1".into(), state: leaving });
+    holder.request("m1", Some("a1"));
+    holder.advance(500);
     assert!(holder.orders.is_empty());
 }
 
-/// Found on a played day: an unload that waited for a busy runner was carried out seconds later, when
-/// the model had become the one most asked for.
+/// An unload that waits for a busy runner must be cancelled: seconds later its model may be the most
+/// requested one.
 #[test]
-fn late_unload_given_up() {
+fn late_unload_cancelled() {
     let mut holder = Holder::new(&[("r1", &["m1", "m2"]), ("r2", &["m1", "m2"])]);
     for _ in 0..45 {
         holder.demand("m2", 200);
-        holder.pass(400);
+        holder.advance(400);
     }
-    holder.want("m3", None);
-    // Each runner turns busy before the unload is due.
+    holder.request("m3", None);
+    // Each runner becomes busy before the unload is due.
     for runner in ["r1", "r2"] {
         holder.report(runner, Report { busy: true, ..report(&["m1", "m2"], 0) });
     }
-    holder.pass(3_000);
+    holder.advance(3_000);
     for _ in 0..10 {
         holder.demand("m1", 900);
-        holder.pass(100);
+        holder.advance(100);
     }
     for runner in ["r1", "r2"] {
         holder.report(runner, report(&["m1", "m2"], 0));
     }
-    holder.pass(20);
-    let gone = holder.orders.iter().find(|o| o.operation == Operation::Unload);
-    assert_eq!(gone, None);
+    holder.advance(20);
+    let unload = holder.orders.iter().find(|o| o.operation == Operation::Unload);
+    assert_eq!(unload, None);
 }
 
-/// A last replica that made way is not brought back before somebody asks for it again.
+/// An evicted last replica is not loaded again before the model is requested again.
 #[test]
-fn no_turning() {
+fn evicted_model_stays_unloaded() {
     let mut holder = Holder::new(&[("r1", &["m1", "m2"])]);
     holder.demand("m1", 10);
     holder.demand("m2", 10);
-    holder.pass(15_200);
-    holder.want("m3", None);
-    holder.pass(400);
-    let unload = holder.orders.pop().expect("something makes way");
-    let gone = unload.subject.model.clone();
-    let rest = if &*gone == "m1" { "m2" } else { "m1" };
+    holder.advance(15_200);
+    holder.request("m3", None);
+    holder.advance(400);
+    let unload = holder.orders.pop().expect("a model is evicted");
+    let evicted = unload.subject.model.clone();
+    let remaining = if &*evicted == "m1" { "m2" } else { "m1" };
     holder.answer(unload, OrderOutcome::Accepted);
-    holder.pass(600);
-    holder.want("m3", None);
-    holder.report("r1", report(&[rest], 1));
-    holder.pass(ROUND_MS);
-    let load = holder.orders.pop().expect("what was asked for comes");
+    holder.advance(600);
+    holder.request("m3", None);
+    holder.report("r1", report(&[remaining], 1));
+    holder.advance(ROUND_MS);
+    let load = holder.orders.pop().expect("the requested model is loaded");
     assert_eq!(&*load.subject.model, "m3");
-    assert!(holder.loads(&gone).is_empty(), "{:?}", holder.orders);
+    assert!(holder.loads(&evicted).is_empty(), "{:?}", holder.orders);
     holder.answer(load, OrderOutcome::Accepted);
-    holder.pass(600);
-    holder.report("r1", report(&[rest, "m3"], 2));
-    holder.pass(1_000);
+    holder.advance(600);
+    holder.report("r1", report(&[remaining, "m3"], 2));
+    holder.advance(1_000);
     assert!(holder.orders.is_empty(), "{:?}", holder.orders);
 }
 
-/// Found on a played day with 112 runners: until the first unload was done, every turn of the plan
-/// made room for the same model on one more runner.
+/// Until the first unload is done, further planning rounds must not free memory for the same model on
+/// more runners.
 #[test]
-fn room_made_once() {
+fn memory_freed_once() {
     let full: &[&str] = &["m1", "m2"];
     let mut holder = Holder::new(&[("r1", full), ("r2", full), ("r3", full), ("r4", full)]);
     for _ in 0..10 {
-        holder.want("m3", None);
-        holder.pass(60);
+        holder.request("m3", None);
+        holder.advance(60);
     }
     let unloads = holder.orders.iter().filter(|o| o.operation == Operation::Unload).count();
     assert_eq!(unloads, 1, "{:?}", holder.orders);
-    // The room is used for what it was made for.
+    // The freed memory is used for the model it was freed for.
     let unload = holder.orders.pop().unwrap();
-    let (runner, gone) = (unload.runner.clone(), unload.subject.model.clone());
+    let (runner, evicted) = (unload.runner.clone(), unload.subject.model.clone());
     holder.answer(unload, OrderOutcome::Accepted);
-    holder.pass(600);
-    holder.want("m3", None);
-    let rest: Vec<&str> = full.iter().filter(|model| **model != &*gone).copied().collect();
-    holder.report(&runner.id, report(&rest, 1));
-    holder.pass(40);
+    holder.advance(600);
+    holder.request("m3", None);
+    let remaining: Vec<&str> = full.iter().filter(|model| **model != &*evicted).copied().collect();
+    holder.report(&runner.id, report(&remaining, 1));
+    holder.advance(40);
     assert_eq!(holder.loads("m3").len(), 1, "{:?}", holder.orders);
     assert_eq!(holder.loads("m3")[0].runner, runner);
 }
 
-/// Fit that is being made is given up when the model has come elsewhere.
+/// A reservation is dropped once the model was loaded elsewhere.
 #[test]
-fn needless_room_given_up() {
+fn unneeded_reservation_dropped() {
     let mut holder = Holder::new(&[("r1", &["m1", "m2"]), ("r2", &["m1", "m4"])]);
-    holder.want("m3", None);
-    holder.pass(400);
-    let unload = holder.orders.pop().expect("something makes way");
+    holder.request("m3", None);
+    holder.advance(400);
+    let unload = holder.orders.pop().expect("a model is evicted");
     let runner = unload.runner.clone();
-    let (rest, other) = if &*runner.id == "r1" { ("m2", "r2") } else { ("m4", "r1") };
-    assert_eq!(&*unload.subject.model, "m1", "the one that is there twice");
+    let (remaining, other) = if &*runner.id == "r1" { ("m2", "r2") } else { ("m4", "r1") };
+    assert_eq!(&*unload.subject.model, "m1", "the model with two replicas");
     holder.answer(unload, OrderOutcome::Accepted);
-    holder.tell(Event::UpstreamSeen { id: other.into(), state: state(&["m1", "m3"], 1) });
-    holder.pass(20);
+    holder.handle(Event::UpstreamSeen { id: other.into(), state: state(&["m1", "m3"], 1) });
+    holder.advance(20);
     holder.report(other, report(&["m1", "m3"], 1));
-    holder.pass(600);
-    holder.report(&runner.id, report(&[rest], 1));
-    holder.pass(1_000);
+    holder.advance(600);
+    holder.report(&runner.id, report(&[remaining], 1));
+    holder.advance(1_000);
     assert!(holder.loads("m3").is_empty(), "{:?}", holder.orders);
 }
 
-/// A model that nobody asks for fills free room, and nothing makes way for it.
+/// An idle model fills free memory but evicts nothing.
 #[rstest]
 #[case(&["m1", "m2"], 0)]
 #[case(&["m1"], 1)]
-fn free_room_is_filled(#[case] held: &[&str], #[case] loads: usize) {
+fn free_memory_filled(#[case] held: &[&str], #[case] loads: usize) {
     let mut holder = Holder::new(&[("r1", held), ("r2", &["m1", "m4"])]);
-    holder.pass(1_000);
+    holder.advance(1_000);
     assert!(holder.orders.iter().all(|order| order.operation == Operation::Load));
     let orders = holder.orders.len();
     assert_eq!(orders, loads, "{:?}", holder.orders);
 }
 
-/// A runner that has copies of its own is filled from them first: they are there in a fraction of the time.
+/// A runner with local copies is filled from them first: they load in a fraction of the time.
 #[test]
-fn copies_come_first() {
+fn local_copies_first() {
     let mut holder = Holder::new(&[("r1", &["m1", "m4"]), ("r2", &["m1", "m4"])]);
-    holder.tell(Event::UpstreamSeen { id: "r3".into(), state: state(&[], 0) });
-    holder.pass(ROUND_MS);
+    holder.handle(Event::UpstreamSeen { id: "r3".into(), state: state(&[], 0) });
+    holder.advance(ROUND_MS);
     for _ in 0..5 {
         holder.demand("m1", 900);
     }
     holder.demand("m2", 10);
     holder.report("r3", Report { at_hand: vec!["m2".into()], ..report(&[], 0) });
-    holder.pass(ROUND_MS);
+    holder.advance(ROUND_MS);
     let order = holder.orders.iter().find(|order| &*order.runner.id == "r3");
     assert_eq!(&*order.expect("an order").subject.model, "m2");
 }
 
-/// Only a part of the runners is busy with more replicas at once: the demand may move meanwhile.
+/// Only a share of the runners loads more replicas at once: the demand may change meanwhile.
 #[test]
-fn some_runners_stay_open() {
+fn some_runners_stay_available() {
     let names: Vec<String> = (0..20).map(|number| format!("r{number}")).collect();
     let runners: Vec<(&str, &[&str])> =
         names.iter().map(|name| (name.as_str(), &["m1", "m4"] as &[&str])).collect();
@@ -317,147 +320,147 @@
     holder.report("r0", Report { at_hand: Vec::new(), ..report(&["m2", "m3"], 0) });
     for _ in 0..20 {
         holder.demand("m2", 9_000);
-        holder.pass(100);
+        holder.advance(100);
     }
     let mut busy: Vec<&Incarnation> = holder.orders.iter().map(|order| &order.runner).collect();
     busy.sort();
     busy.dedup();
-    assert!(!busy.is_empty() && busy.len() <= 11, "of 20 at most 0.55: {busy:?}");
+    assert!(!busy.is_empty() && busy.len() <= 11, "at most 0.55 of 20: {busy:?}");
 }
 
-/// Found on a played day: a model whose callers waited for seconds got no more replicas, since each
-/// one took little off the others, as the measure had it; what they can't serve at all counted nothing.
+/// The value of a replica must include the load that the present replicas can't serve at all. By the
+/// relief of each replica alone, a model whose callers wait for seconds would get no more replicas.
 #[test]
-fn overload_makes_room() {
+fn overload_evicts() {
     let names: Vec<String> = (10..23).map(|number| format!("r{number}")).collect();
     let held = |number: usize| -> &[&str] { if number < 6 { &["m1"] } else { &["m2", "m3"] } };
     let runners: Vec<(&str, &[&str])> =
         names.iter().enumerate().map(|(number, name)| (name.as_str(), held(number))).collect();
     let mut holder = Holder::new(&runners);
     for _ in 0..40 {
-        // Four runner-seconds a second on six replicas, two on seven.
+        // Four runner-seconds per second on six replicas, two on seven.
         holder.demand("m1", 400);
         holder.demand("m2", 200);
         holder.demand("m3", 200);
-        holder.pass(100);
+        holder.advance(100);
     }
     let unloads = holder.orders.iter().filter(|order| order.operation == Operation::Unload);
-    let gone: Vec<&Name> = unloads.map(|order| &order.subject.model).collect();
-    assert!(!gone.is_empty(), "nothing makes way for m1");
-    assert!(gone.iter().all(|model| &***model != "m1"), "{gone:?}");
+    let evicted: Vec<&Name> = unloads.map(|order| &order.subject.model).collect();
+    assert!(!evicted.is_empty(), "nothing is evicted for m1");
+    assert!(evicted.iter().all(|model| &***model != "m1"), "{evicted:?}");
 }
 
-/// Found on a played day with 90 runners: the plan was made anew for each report and each answer, which
-/// took the holder's whole processor, until its lease ran out.
+/// Planning on each report and each answer could use the holder's whole CPU time, until its lease
+/// expires.
 #[test]
 fn rounds_are_spaced() {
     let names: Vec<String> = (0..60).map(|number| format!("r{number}")).collect();
     let runners: Vec<(&str, &[&str])> =
         names.iter().map(|name| (name.as_str(), &["m1"] as &[&str])).collect();
     let mut holder = Holder::new(&runners);
-    let (mut bursts, mut last) = (Vec::new(), holder.now);
+    let (mut gaps, mut last) = (Vec::new(), holder.now);
     for step in 0..200_u64 {
         holder.now = START + 1 + step;
         holder.demand("m1", 4_000);
         holder.demand("m2", 4_000);
         holder.report(&names[step as usize % 60], report(&["m1"], 0));
         if !std::mem::take(&mut holder.orders).is_empty() {
-            bursts.push(holder.now.since(last));
+            gaps.push(holder.now.since(last));
             last = holder.now;
         }
     }
-    assert!(!bursts.is_empty(), "it does order");
-    assert!(bursts[1..].iter().all(|pause| *pause >= ROUND_MS), "{bursts:?}");
+    assert!(!gaps.is_empty(), "orders are sent");
+    assert!(gaps[1..].iter().all(|gap| *gap >= ROUND_MS), "{gaps:?}");
 }
 
-/// Found on the same day: the lease was in doubt for a moment, and all books were thrown away with it.
+/// The ledgers stay valid if the lease is lost for a moment and regained with the same token.
 #[test]
-fn books_survive_a_doubt() {
+fn ledgers_survive_lease_gap() {
     let mut holder = Holder::new(&[("r1", &["m1"]), ("r2", &["m1"])]);
-    holder.tell(Event::Token(None));
-    holder.tell(Event::Token(Some(FencingToken(9))));
-    holder.asked.clear();
-    holder.pass(20);
-    assert!(holder.asked.is_empty(), "nothing is in doubt: {:?}", holder.asked);
-    assert!(holder.placement.summary(holder.now).iter().all(|one| one.holders == 2));
+    holder.handle(Event::Token(None));
+    holder.handle(Event::Token(Some(FencingToken(9))));
+    holder.report_requests.clear();
+    holder.advance(20);
+    assert!(holder.report_requests.is_empty(), "no report is needed: {:?}", holder.report_requests);
+    assert!(holder.placement.summary(holder.now).iter().all(|model| model.holders == 2));
 }
 
-/// Another holder may have changed everything in between.
+/// With a new token the ledgers are reset: another holder may have sent orders meanwhile.
 #[test]
-fn books_end_with_another_token() {
+fn new_token_resets_ledgers() {
     let mut holder = Holder::new(&[("r1", &["m1"]), ("r2", &["m1"])]);
-    holder.tell(Event::Token(None));
-    holder.tell(Event::Token(Some(FencingToken(12))));
-    holder.asked.clear();
-    holder.pass(20);
-    assert_eq!(holder.asked.len(), 2);
+    holder.handle(Event::Token(None));
+    holder.handle(Event::Token(Some(FencingToken(12))));
+    holder.report_requests.clear();
+    holder.advance(20);
+    assert_eq!(holder.report_requests.len(), 2);
 }
 
-/// Before the runners have reported, what they announce in the store tells where models are.
+/// Before the first reports, announced models count as held.
 #[test]
 fn announced_models_count() {
     let mut holder = Holder::configured();
     for id in ["r1", "r2", "r3"] {
-        holder.tell(Event::UpstreamSeen { id: id.into(), state: state(&["m1"], 4) });
+        holder.handle(Event::UpstreamSeen { id: id.into(), state: state(&["m1"], 4) });
     }
-    holder.tell(Event::Token(Some(FencingToken(9))));
-    holder.tell(Event::Tick);
+    holder.handle(Event::Token(Some(FencingToken(9))));
+    holder.handle(Event::Tick);
     holder.demand("m1", 300);
     let summary = holder.placement.summary(holder.now);
-    assert_eq!(summary.iter().map(|one| one.holders).collect::<Vec<_>>(), [3]);
+    assert_eq!(summary.iter().map(|model| model.holders).collect::<Vec<_>>(), [3]);
     holder.report("r3", report(&["m1"], 4));
-    holder.want("m1", None);
-    holder.pass(ROUND_MS);
-    assert!(holder.orders.is_empty(), "it is there three times: {:?}", holder.orders);
+    holder.request("m1", None);
+    holder.advance(ROUND_MS);
+    assert!(holder.orders.is_empty(), "it has three replicas: {:?}", holder.orders);
 }
 
-/// Found on a played day: an adapter was at one runner only, and its callers waited there while others
-/// that hold its model were free.
+/// A saturated adapter is copied to another holder of its model: its callers must not wait for one
+/// runner while others are free.
 #[test]
-fn crowded_adapter_copied() {
+fn saturated_adapter_copied() {
     let full = [("r1", &["m1", "m3"] as &[&str]), ("r2", &["m1", "m4"]), ("r3", &["m2", "m4"])];
     let mut holder = Holder::new(&full);
-    holder.want("m1", Some("a1"));
+    holder.request("m1", Some("a1"));
     let order = holder.orders.pop().expect("an order");
     let first = order.runner.clone();
     holder.answer(order, OrderOutcome::Accepted);
-    holder.pass(100);
+    holder.advance(100);
     let subject = ModelRef { model: "m1".into(), adapter: Some("a1".into()) };
     for _ in 0..3 {
         let subject = subject.clone();
-        holder.tell(Event::Requested { service: "llm".into(), subject, is_saturated: true });
+        holder.handle(Event::Requested { service: "llm".into(), subject, is_saturated: true });
     }
     let copies: Vec<&Order> =
         holder.orders.iter().filter(|o| o.subject.adapter.is_some()).collect();
     assert_eq!(copies.len(), 1, "{copies:?}");
     let second = copies[0].clone();
     assert!(copies[0].runner != first && &*copies[0].runner.id != "r3", "{copies:?}");
-    // Callers go on asking while it comes; the next copy is not before half a second.
+    // Requests continue while it is loading; the next copy follows after half a second at the earliest.
     holder.orders.clear();
     holder.answer(second, OrderOutcome::Accepted);
-    holder.tell(Event::UpstreamSeen { id: "r4".into(), state: state(&["m1", "m4"], 0) });
+    holder.handle(Event::UpstreamSeen { id: "r4".into(), state: state(&["m1", "m4"], 0) });
     for _ in 0..30 {
-        holder.pass(20);
+        holder.advance(20);
         holder.report("r4", report(&["m1", "m4"], 0));
         let subject = subject.clone();
-        holder.tell(Event::Requested { service: "llm".into(), subject, is_saturated: true });
+        holder.handle(Event::Requested { service: "llm".into(), subject, is_saturated: true });
     }
     let copies = holder.orders.iter().filter(|o| o.subject.adapter.is_some()).count();
     assert_eq!(copies, 1, "{:?}", holder.orders);
 }
 
-/// Found in the soak (seed 1796243945000): copies of crowded adapters took the last places, and one that was
-/// nowhere never came, since all others were asked for without pause.
+/// When copies of saturated adapters use all places and every adapter is requested continuously, a copy
+/// must be evicted for an adapter that no runner holds.
 #[test]
-fn copy_makes_way() {
+fn adapter_copy_evicted() {
     let mut holder = Holder::new(&[]);
     let full = |names: &[&str]| {
         let adapters = names.iter().map(|name| Name::from(*name)).collect();
         vec![HeldModel { name: "m1".into(), adapters }]
     };
     for (id, names) in [("r1", ["a1", "a2", "a3"]), ("r2", ["a1", "a4", "a5"])] {
-        holder.tell(Event::UpstreamSeen { id: id.into(), state: state(&["m1"], 0) });
-        holder.pass(20);
+        holder.handle(Event::UpstreamSeen { id: id.into(), state: state(&["m1"], 0) });
+        holder.advance(20);
         holder.report(id, Report { models: full(&names), ..report(&["m1"], 0) });
     }
     holder.orders.clear();
@@ -465,11 +468,11 @@
         for adapter in ["a1", "a2", "a3", "a4", "a5"] {
             let subject = ModelRef { model: "m1".into(), adapter: Some(adapter.into()) };
             let sample = DemandSample { service: "llm".into(), subject, arrived: 1, work_ms: 1 };
-            holder.tell(Event::Demand(vec![sample]));
+            holder.handle(Event::Demand(vec![sample]));
         }
-        holder.want("m1", Some("a6"));
-        holder.pass(100);
+        holder.request("m1", Some("a6"));
+        holder.advance(100);
     }
     let unload = holder.orders.iter().find(|order| order.operation == Operation::Unload);
-    assert_eq!(unload.expect("a copy goes").subject.adapter.as_deref(), Some("a1"));
+    assert_eq!(unload.expect("a copy is evicted").subject.adapter.as_deref(), Some("a1"));
 }
--- a/crates/placement/tests/saturation.rs
+++ b/crates/placement/tests/saturation.rs
@@ -1,4 +1,4 @@
-//! Demand moves to one model within seconds, beside many that are asked for as before.
+//! The demand for one model rises within seconds, while that for many others stays constant.
 
 use std::{collections::BTreeMap, rc::Rc};
 use vanetally_placement::{Action, DemandSample, Event, Options, Placement};
@@ -8,18 +8,18 @@
 };
 use vanetally_types::{Incarnation, Name, Tick};
 
-const RUNNERS: usize = 40;
-/// Models that are asked for, the rising one first; each is held by three runners.
-const MODELS: usize = 25;
-const HOT: &str = "m0";
+const RUNNER_COUNT: usize = 40;
+/// Number of requested models, the one with rising demand first; three runners hold each.
+const MODEL_COUNT: usize = 25;
+const HOT_MODEL: &str = "m0";
 const START: Tick = Tick(1_000_000);
 
-/// The holder of orders, with runners that take every order and need eight seconds for a load.
+/// A placement with runners that accept every order and need eight seconds for a load.
 struct Fleet {
     placement: Placement,
     now: Tick,
     orders: Vec<Order>,
-    taken: BTreeMap<Incarnation, u64>,
+    accepted: BTreeMap<Incarnation, u64>,
 }
 
 impl Fleet {
@@ -29,30 +29,30 @@
             placement: Placement::new(options),
             now: START,
             orders: Vec::new(),
-            taken: BTreeMap::new(),
+            accepted: BTreeMap::new(),
         };
-        fleet.tell(Event::Configured(configuration()));
-        for number in 0..RUNNERS {
+        fleet.handle(Event::Configured(configuration()));
+        for number in 0..RUNNER_COUNT {
             let (id, state) = (runner(number), state(number));
-            fleet.tell(Event::UpstreamSeen { id, state });
+            fleet.handle(Event::UpstreamSeen { id, state });
         }
-        fleet.tell(Event::Token(Some(FencingToken(9))));
-        fleet.tell(Event::Tick);
-        for number in 0..RUNNERS {
+        fleet.handle(Event::Token(Some(FencingToken(9))));
+        fleet.handle(Event::Tick);
+        for number in 0..RUNNER_COUNT {
             let report = Report { models: held(number), ..Report::default() };
-            let (runner, asked) = (runner(number), fleet.now);
-            fleet.tell(Event::Reported { runner, requested_at: asked, report: Some(report) });
+            let (runner, requested_at) = (runner(number), fleet.now);
+            fleet.handle(Event::Reported { runner, requested_at, report: Some(report) });
         }
         fleet.orders.clear();
         fleet
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             for action in self.placement.handle(self.now, event) {
                 if let Action::Order { order, .. } = action {
-                    *self.taken.entry(order.runner.clone()).or_default() += 1;
+                    *self.accepted.entry(order.runner.clone()).or_default() += 1;
                     self.orders.push(order.clone());
                     events.push(Event::OrderAnswered { order, outcome: OrderOutcome::Accepted });
                 }
@@ -60,27 +60,31 @@
         }
     }
 
-    /// Plays so long; `rising` is how much of the demand for the hot model comes on top, each second.
-    fn play(&mut self, millis: u64, rising: f64, is_saturated: bool) {
+    /// Simulates `millis` milliseconds. The load of the hot model grows by `load_growth` each second.
+    fn simulate(&mut self, millis: u64, load_growth: f64, is_saturated: bool) {
         for step in 0..millis / 100 {
             self.now = self.now + 100;
             let seconds = (step as f64) / 10.0;
             let sample = |number: usize| {
-                let load = if number == 0 { 0.6 + rising * seconds } else { 1.2 };
+                let load = if number == 0 { 0.6 + load_growth * seconds } else { 1.2 };
                 sample(number, load)
             };
-            self.tell(Event::Demand((0..MODELS).map(sample).collect()));
+            self.handle(Event::Demand((0..MODEL_COUNT).map(sample).collect()));
             if is_saturated && step % 3 == 0 {
-                let subject = ModelRef { model: HOT.into(), adapter: None };
-                self.tell(Event::Requested { service: "llm".into(), subject, is_saturated: true });
+                let subject = ModelRef { model: HOT_MODEL.into(), adapter: None };
+                self.handle(Event::Requested {
+                    service: "llm".into(),
+                    subject,
+                    is_saturated: true,
+                });
             }
-            self.tell(Event::Tick);
+            self.handle(Event::Tick);
         }
     }
 
-    fn loads(&self, of: impl Fn(&str) -> bool) -> usize {
+    fn loads(&self, matches: impl Fn(&str) -> bool) -> usize {
         let loads = self.orders.iter().filter(|order| order.operation == Operation::Load);
-        loads.filter(|order| of(&order.subject.model)).count()
+        loads.filter(|order| matches(&order.subject.model)).count()
     }
 }
 
@@ -98,10 +102,10 @@
     format!("r{number:02}").into()
 }
 
-/// Two models on each runner, and room for one more.
+/// Each runner holds two models and has memory for one more.
 fn held(number: usize) -> Vec<HeldModel> {
     let held = |model_number: usize| HeldModel {
-        name: model(model_number % MODELS),
+        name: model(model_number % MODEL_COUNT),
         adapters: Vec::new(),
     };
     vec![held(number), held(number + 12)]
@@ -136,7 +140,7 @@
         weights_mb: 190.0,
         max_adapters: 3,
         loads_per_s: 10.0,
-        models: (0..MODELS).map(|number| (model(number), spec.clone())).collect(),
+        models: (0..MODEL_COUNT).map(|number| (model(number), spec.clone())).collect(),
     };
     let service = Service { name: "llm".into(), max_connections: 900, engine: Some(engine) };
     Rc::new(Configuration {
@@ -148,36 +152,35 @@
     })
 }
 
-/// Found in a played day: the demand for one model rose to 98 requests a second, which eleven replicas could
-/// not serve; 234 of 256 refusals were its. For six seconds it got two more, since other models, whose
-/// callers did not wait, had taken all orders that may be under way at once.
+/// Orders for models whose callers don't wait must not use up all orders that may be in progress at
+/// once: a model whose demand exceeds its replicas would get almost no more of them for seconds.
 #[test]
-fn waiting_callers_first() {
+fn saturated_model_first() {
     let mut fleet = Fleet::new();
-    fleet.play(4_000, 0.0, false);
-    let others = fleet.loads(|model| model != HOT);
-    assert!(others >= RUNNERS / 3, "{others} others are under way");
-    let before = fleet.loads(|model| model == HOT);
-    fleet.play(2_000, 0.6, true);
-    let hot = fleet.loads(|model| model == HOT) - before;
-    assert!(hot >= 4, "{hot} replicas more");
+    fleet.simulate(4_000, 0.0, false);
+    let others = fleet.loads(|model| model != HOT_MODEL);
+    assert!(others >= RUNNER_COUNT / 3, "{others} loads of others in progress");
+    let before = fleet.loads(|model| model == HOT_MODEL);
+    fleet.simulate(2_000, 0.6, true);
+    let hot = fleet.loads(|model| model == HOT_MODEL) - before;
+    assert!(hot >= 4, "{hot} more replicas");
 }
 
-/// What nobody waits for leaves runners free for what may come.
+/// Loads for unsaturated models leave some runners available for later demand.
 #[test]
-fn others_leave_room() {
+fn runners_stay_available() {
     let mut fleet = Fleet::new();
-    fleet.play(3_000, 0.6, false);
+    fleet.simulate(3_000, 0.6, false);
     let all = fleet.loads(|_| true);
-    assert!(all <= RUNNERS * 6 / 10, "{all} loads");
+    assert!(all <= RUNNER_COUNT * 6 / 10, "{all} loads");
 }
 
-/// Replicas of a crowded model are doubled at most while the first ones come.
+/// The replicas of a saturated model at most double while the first new ones are loading.
 #[test]
-fn doubled_at_most() {
+fn at_most_doubled() {
     let mut fleet = Fleet::new();
-    fleet.play(3_000, 0.0, true);
-    let hot = fleet.loads(|model| model == HOT);
-    let held = (0..RUNNERS).filter(|n| held(*n).iter().any(|h| &*h.name == HOT)).count();
-    assert!(hot <= held + 2, "{hot} beside {held}");
+    fleet.simulate(3_000, 0.0, true);
+    let hot = fleet.loads(|model| model == HOT_MODEL);
+    let held = (0..RUNNER_COUNT).filter(|n| held(*n).iter().any(|h| &*h.name == HOT_MODEL)).count();
+    assert!(hot <= held + 2, "{hot} loads beside {held} replicas");
 }
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A holder of orders and the runners that it knows.
+//! Test driver for a placement that holds the order lease.
 
-// Not every test uses all of it.
+// Each test file uses only some of these functions.
 #![allow(dead_code)]
 
 use std::{collections::BTreeMap, rc::Rc};
@@ -12,41 +12,41 @@
 use vanetally_types::{Incarnation, Name, Tick};
 
 pub const START: Tick = Tick(1_000_000);
-/// The plan takes what changed into account within this time, in milliseconds.
+/// Time within which a planning round accounts for a change.
 pub const ROUND_MS: u64 = 40;
 
-/// The holder, with the orders that it gave.
+/// A placement that holds the order lease, with the actions it returned.
 pub struct Holder {
     pub placement: Placement,
     pub now: Tick,
     pub orders: Vec<Order>,
-    pub asked: Vec<Incarnation>,
+    pub report_requests: Vec<Incarnation>,
     pub resigned: bool,
 }
 
 impl Holder {
-    /// A holder that knows the configuration and no runner.
+    /// A holder with a configuration and without runners.
     pub fn configured() -> Self {
         let options = Options { holder: "front-1".into(), load_window_ms: 5_000 };
         let mut holder = Self {
             placement: Placement::new(options),
             now: START,
             orders: Vec::new(),
-            asked: Vec::new(),
+            report_requests: Vec::new(),
             resigned: false,
         };
-        holder.tell(Event::Configured(configuration()));
+        holder.handle(Event::Configured(configuration()));
         holder
     }
 
-    /// A holder that knows `runners`, each with the models it holds.
+    /// A holder with `runners`, each with the models that it holds and has reported.
     pub fn new(runners: &[(&str, &[&str])]) -> Self {
         let mut holder = Self::configured();
         for (id, models) in runners {
-            holder.tell(Event::UpstreamSeen { id: (*id).into(), state: state(models, 0) });
+            holder.handle(Event::UpstreamSeen { id: (*id).into(), state: state(models, 0) });
         }
-        holder.tell(Event::Token(Some(FencingToken(9))));
-        holder.tell(Event::Tick);
+        holder.handle(Event::Token(Some(FencingToken(9))));
+        holder.handle(Event::Tick);
         for (id, models) in runners {
             holder.report(id, report(models, 0));
         }
@@ -54,11 +54,11 @@
         holder
     }
 
-    pub fn tell(&mut self, event: Event) {
+    pub fn handle(&mut self, event: Event) {
         for action in self.placement.handle(self.now, event) {
             match action {
                 Action::Order { order, .. } => self.orders.push(order),
-                Action::RequestReport { runner, .. } => self.asked.push(runner),
+                Action::RequestReport { runner, .. } => self.report_requests.push(runner),
                 Action::Resign => self.resigned = true,
                 Action::Announce { .. } => {}
             }
@@ -66,25 +66,21 @@
     }
 
     pub fn report(&mut self, runner: &str, report: Report) {
-        let asked = self.now;
-        self.tell(Event::Reported {
-            runner: runner.into(),
-            requested_at: asked,
-            report: Some(report),
-        });
+        let requested_at = self.now;
+        self.handle(Event::Reported { runner: runner.into(), requested_at, report: Some(report) });
     }
 
     pub fn answer(&mut self, order: Order, outcome: OrderOutcome) {
-        self.tell(Event::OrderAnswered { order, outcome });
+        self.handle(Event::OrderAnswered { order, outcome });
     }
 
-    pub fn want(&mut self, model: &str, adapter: Option<&str>) {
+    pub fn request(&mut self, model: &str, adapter: Option<&str>) {
         let subject = ModelRef { model: model.into(), adapter: adapter.map(Name::from) };
-        self.tell(Event::Requested { service: "llm".into(), subject, is_saturated: false });
+        self.handle(Event::Requested { service: "llm".into(), subject, is_saturated: false });
     }
 
     pub fn demand(&mut self, model: &str, work_ms: u32) {
-        self.tell(Event::Demand(vec![DemandSample {
+        self.handle(Event::Demand(vec![DemandSample {
             service: "llm".into(),
             subject: ModelRef { model: model.into(), adapter: None },
             arrived: 10,
@@ -92,11 +88,11 @@
         }]));
     }
 
-    pub fn pass(&mut self, millis: u64) {
+    pub fn advance(&mut self, millis: u64) {
         let end = self.now + millis;
         while self.now < end {
             self.now = self.now + 20;
-            self.tell(Event::Tick);
+            self.handle(Event::Tick);
         }
     }
 
--- a/crates/placement/tests/unsettled_orders.rs
+++ b/crates/placement/tests/unsettled_orders.rs
@@ -1,5 +1,6 @@
-//! Long walks of a holder of orders and one runner that starts again and again under its id, while orders are lost or
-//! carried out late, by whatever life is there when they come: its memory is never overcommitted.
+//! Simulates a holder of the order lease and one runner that restarts repeatedly under its id, while
+//! orders are lost or executed late by whichever incarnation receives them: the runner's memory is never
+//! overcommitted.
 
 mod support;
 
@@ -10,65 +11,65 @@
 use vanetally_ports::{FencingToken, Operation, Order, OrderOutcome};
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// Models that fit into the runner's memory.
-const FIT: usize = 2;
-/// No order comes later than this after it was sent, in milliseconds.
-const LATEST_MS: u64 = 50_000;
+/// Number of models that fit into the runner's memory.
+const MAX_MODELS: usize = 2;
+/// Maximum time between sending and delivery of an order.
+const MAX_DELAY_MS: u64 = 50_000;
 const MODELS: [&str; 4] = ["m1", "m2", "m3", "m4"];
 
-/// One thing that happens. Numbers choose among what is there.
+/// One step of the simulation. Numbers are indices.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Pass(u64),
-    Want(usize),
-    /// An order comes to the runner, and its answer to the holder.
+    Advance(u64),
+    Request(usize),
+    /// Delivers an order to the runner and its answer to the holder.
     Deliver(usize),
-    /// The holder gives an order up; it stays on its way.
-    GiveUp(usize),
-    /// An order that was given up comes to the runner when that expects it.
-    ComeLate,
+    /// An order times out at the holder but stays in transit.
+    TimeOut(usize),
+    /// Delivers a timed-out order whose expected count matches.
+    DeliverLate,
     Restart,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        3 => prop_oneof![Just(100), Just(1_700)].prop_map(Step::Pass),
-        4 => (0..MODELS.len()).prop_map(Step::Want),
+        3 => prop_oneof![Just(100), Just(1_700)].prop_map(Step::Advance),
+        4 => (0..MODELS.len()).prop_map(Step::Request),
         6 => (0..2_usize).prop_map(Step::Deliver),
-        2 => (0..2_usize).prop_map(Step::GiveUp),
-        4 => Just(Step::ComeLate),
+        2 => (0..2_usize).prop_map(Step::TimeOut),
+        4 => Just(Step::DeliverLate),
         1 => Just(Step::Restart),
     ]
 }
 
-/// The holder, the runner, and orders on their way.
-struct World {
+/// The holder, the runner and the orders in transit.
+struct Simulation {
     holder: Holder,
     born: u64,
-    count: u64,
+    order_count: u64,
     held: BTreeSet<Name>,
-    waiting: Vec<(Order, Tick)>,
-    late: Vec<(Order, Tick)>,
+    in_flight: Vec<(Order, Tick)>,
+    timed_out: Vec<(Order, Tick)>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let mut holder = Holder::configured();
-        holder.tell(Event::Token(Some(FencingToken(9))));
-        holder.pass(6_000);
-        let mut world = Self {
+        holder.handle(Event::Token(Some(FencingToken(9))));
+        holder.advance(6_000);
+        let mut simulation = Self {
             holder,
             born: 1,
-            count: 0,
+            order_count: 0,
             held: BTreeSet::new(),
-            waiting: Vec::new(),
-            late: Vec::new(),
+            in_flight: Vec::new(),
+            timed_out: Vec::new(),
         };
-        world.announce();
-        world
+        simulation.announce();
+        simulation
     }
 
-    fn life(&self) -> Incarnation {
+    fn incarnation(&self) -> Incarnation {
         Incarnation::new("r1", Some(self.born))
     }
 
@@ -77,16 +78,16 @@
     }
 
     fn announce(&mut self) {
-        let state = state(&self.models(), self.count);
-        self.holder.tell(Event::UpstreamSeen { id: self.life(), state });
+        let state = state(&self.models(), self.order_count);
+        self.holder.handle(Event::UpstreamSeen { id: self.incarnation(), state });
     }
 
-    /// The runner takes an order if it expects the right count; the id is the same in all lives.
-    fn take(&mut self, order: &Order) -> OrderOutcome {
-        if order.orders_before != self.count {
+    /// The runner accepts an order that expects its count; all incarnations share the runner id.
+    fn execute(&mut self, order: &Order) -> OrderOutcome {
+        if order.orders_before != self.order_count {
             return OrderOutcome::Conflict;
         }
-        self.count += 1;
+        self.order_count += 1;
         match order.operation {
             Operation::Load => self.held.insert(order.subject.model.clone()),
             Operation::Unload => self.held.remove(&order.subject.model),
@@ -94,54 +95,56 @@
         OrderOutcome::Accepted
     }
 
-    fn go(&mut self, step: Step) {
+    fn run(&mut self, step: Step) {
         match step {
-            Step::Pass(millis) => self.holder.pass(millis),
-            Step::Want(model) => self.holder.want(MODELS[model], None),
-            Step::Deliver(at) if at < self.waiting.len() => {
-                let (order, _) = self.waiting.remove(at);
-                let outcome = self.take(&order);
+            Step::Advance(millis) => self.holder.advance(millis),
+            Step::Request(model) => self.holder.request(MODELS[model], None),
+            Step::Deliver(at) if at < self.in_flight.len() => {
+                let (order, _) = self.in_flight.remove(at);
+                let outcome = self.execute(&order);
                 self.holder.answer(order, outcome);
             }
-            Step::GiveUp(at) if at < self.waiting.len() => {
-                let (order, sent) = self.waiting.remove(at);
-                self.late.push((order.clone(), sent));
+            Step::TimeOut(at) if at < self.in_flight.len() => {
+                let (order, sent) = self.in_flight.remove(at);
+                self.timed_out.push((order.clone(), sent));
                 self.holder.answer(order, OrderOutcome::Unknown);
             }
-            Step::ComeLate => {
-                let expected =
-                    self.late.iter().position(|(order, _)| order.orders_before == self.count);
-                if let Some((order, _)) = expected.map(|at| self.late.remove(at)) {
-                    self.take(&order);
+            Step::DeliverLate => {
+                let expected = self
+                    .timed_out
+                    .iter()
+                    .position(|(order, _)| order.orders_before == self.order_count);
+                if let Some((order, _)) = expected.map(|at| self.timed_out.remove(at)) {
+                    self.execute(&order);
                 }
             }
             Step::Restart => self.restart(),
-            Step::Deliver(_) | Step::GiveUp(_) => {}
+            Step::Deliver(_) | Step::TimeOut(_) => {}
         }
-        // Reports always come; what they tell is the matter of other tests.
+        // Reports are always delivered; other tests cover them.
         self.report();
-        self.holder.pass(100);
+        self.holder.advance(100);
         self.report();
         let now = self.holder.now;
-        self.waiting.extend(self.holder.orders.drain(..).map(|order| (order, now)));
-        // Orders come late, but not for ever.
-        self.waiting.retain(|(_, sent)| now.since(*sent) < LATEST_MS);
-        self.late.retain(|(_, sent)| now.since(*sent) < LATEST_MS);
+        self.in_flight.extend(self.holder.orders.drain(..).map(|order| (order, now)));
+        // The delay of orders is bounded.
+        self.in_flight.retain(|(_, sent)| now.since(*sent) < MAX_DELAY_MS);
+        self.timed_out.retain(|(_, sent)| now.since(*sent) < MAX_DELAY_MS);
     }
 
     fn report(&mut self) {
-        for runner in std::mem::take(&mut self.holder.asked) {
-            let mut report = report(&self.models(), self.count);
+        for runner in std::mem::take(&mut self.holder.report_requests) {
+            let mut report = report(&self.models(), self.order_count);
             report.born = Some(self.born);
-            let asked = self.holder.now;
-            self.holder.tell(Event::Reported { runner, requested_at: asked, report: Some(report) });
+            let requested_at = self.holder.now;
+            self.holder.handle(Event::Reported { runner, requested_at, report: Some(report) });
         }
     }
 
     fn restart(&mut self) {
-        self.holder.tell(Event::UpstreamGone { id: self.life() });
+        self.holder.handle(Event::UpstreamGone { id: self.incarnation() });
         self.born += 1;
-        self.count = 0;
+        self.order_count = 0;
         self.held.clear();
         self.announce();
     }
@@ -156,12 +159,12 @@
     }
 }
 
-fn walk(steps: Vec<Step>) -> Result<(), TestCaseError> {
-    let mut world = World::new();
+fn simulate(steps: Vec<Step>) -> Result<(), TestCaseError> {
+    let mut simulation = Simulation::new();
     for step in steps {
-        world.go(step);
-        let held = world.models();
-        prop_assert!(held.len() <= FIT, "{held:?} after {step:?}");
+        simulation.run(step);
+        let held = simulation.models();
+        prop_assert!(held.len() <= MAX_MODELS, "{held:?} after {step:?}");
     }
     Ok(())
 }
@@ -171,20 +174,19 @@
 
     #[test]
     fn never_overcommitted(steps in prop::collection::vec(step(), 60..160)) {
-        walk(steps)?;
+        simulate(steps)?;
     }
 }
 
 proptest! {
     #![proptest_config(config(600, 23))]
 
-    /// Found by this seed: an order that was not answered was sent again, the same in all it says. One copy was
-    /// refused, for which both were struck from the books; the other one was carried out by a later life:
-    ///
-    /// `t13200 sent Load m1 @1` (twice), `t14500 Deliver` of one of them, refused at count 2,
-    /// `t22100 sent Load m2 @0` beside `late ["Load m1 @1", "Load m3 @2"]`: three models where two fit.
+    /// An unanswered order is sent again with the same contents. One copy is refused; the other one must
+    /// stay unsettled, because a later incarnation may still execute it. This seed contains the sequence:
+    /// `Load m1 @1` is sent twice and one copy refused at count 2; `Load m2 @0` follows while
+    /// `Load m1 @1` and `Load m3 @2` are still in transit: three models where two fit.
     #[test]
-    fn same_order_twice(steps in prop::collection::vec(step(), 60..160)) {
-        walk(steps)?;
+    fn resent_order(steps in prop::collection::vec(step(), 60..160)) {
+        simulate(steps)?;
     }
 }
