--- a/crates/claim/src/backup.rs
+++ b/crates/claim/src/backup.rs
@@ -1,4 +1,4 @@
-//! The backup's promise and messages between hosts.
+//! Messages between hosts, and the backup's promise.
 
 use crate::{
     Action, Message, Slot,
@@ -7,34 +7,41 @@
 use vanetally_types::HostId;
 
 impl Slot {
-    pub(crate) fn message(&mut self, from: HostId, message: Message, out: &mut Vec<Action>) {
+    pub(crate) fn handle_message(
+        &mut self,
+        from: HostId,
+        message: Message,
+        actions: &mut Vec<Action>,
+    ) {
         match message {
             Message::RequestPromise { epoch, term } => {
-                self.promise_requested(from, epoch, term, out)
+                self.promise_requested(from, epoch, term, actions)
+            }
+            Message::Promise { epoch, term, given } => {
+                self.promise_answered(&from, epoch, term, given, actions)
             }
-            Message::Promise { epoch, term, given } => self.promise(&from, epoch, term, given, out),
             Message::ReleasePromise { epoch, term } => self.release_promise(epoch, term),
             Message::Handover { claims, running, answers } => {
                 if self.role != Role::Holder {
                     return;
                 }
                 for (id, deadline) in &claims {
-                    self.learn(*id, *deadline, State::Unknown);
+                    self.merge_claim(*id, *deadline, State::Unknown);
                 }
                 for (id, ticket) in running {
-                    self.learn(id, 0, State::Running(ticket));
+                    self.merge_claim(id, 0, State::Running(ticket));
                 }
                 for (id, answer) in answers {
-                    self.learn(id, 0, State::Ran(Some(answer)));
+                    self.merge_claim(id, 0, State::Ran(Some(answer)));
                 }
                 if self.unresolved.remove(&from).is_some() {
-                    self.stale = true;
+                    self.needs_write = true;
                 }
-                // The earlier holder may forget only what is written down.
-                let unwritten = claims.iter().any(|(id, _)| self.unrecorded.contains(id));
-                let doubted = self.record().is_none_or(|r| r.unresolved.contains_key(&from));
-                if !self.options.guards.handover || !(unwritten || doubted) {
-                    out.push(Action::Send { to: from, message: Message::HandoverAck });
+                // The earlier holder may drop only what is recorded.
+                let is_unrecorded = claims.iter().any(|(id, _)| self.unrecorded.contains(id));
+                let is_unresolved = self.record().is_none_or(|r| r.unresolved.contains_key(&from));
+                if !self.options.guards.handover || !(is_unrecorded || is_unresolved) {
+                    actions.push(Action::Send { to: from, message: Message::HandoverAck });
                 }
             }
             Message::HandoverAck => {
@@ -45,72 +52,78 @@
         }
     }
 
-    /// Takes over what an earlier holder knows of `id`, where this host knows less.
-    pub(crate) fn learn(&mut self, id: crate::Id, deadline: u64, state: State) {
+    /// Adopts an earlier holder's state of `id`, unless this host knows more.
+    pub(crate) fn merge_claim(&mut self, id: crate::Id, deadline: u64, state: State) {
         if !self.claims.contains_key(&id) {
             self.unrecorded.insert(id);
         }
-        let unknown = Claim { deadline, state: State::Unknown, waiters: Vec::new() };
-        let claim = self.claims.entry(id).or_insert(unknown);
+        let new_claim = Claim { deadline, state: State::Unknown, waiters: Vec::new() };
+        let claim = self.claims.entry(id).or_insert(new_claim);
         if claim.state == State::Unknown {
             claim.state = state;
         }
     }
 
-    fn promise_requested(&mut self, from: HostId, epoch: u64, term: u64, out: &mut Vec<Action>) {
-        let known = self.record().map_or(0, |r| r.epoch);
-        let barred =
-            self.options.guards.takeover_bar && self.barred.is_some_and(|(e, _)| epoch <= e);
-        let given = !barred && epoch >= known && matches!(self.role, Role::Other);
+    fn promise_requested(
+        &mut self,
+        from: HostId,
+        epoch: u64,
+        term: u64,
+        actions: &mut Vec<Action>,
+    ) {
+        let known_epoch = self.record().map_or(0, |r| r.epoch);
+        let is_taking_over = self.options.guards.takeover_bar
+            && self.takeover_attempt.is_some_and(|(e, _)| epoch <= e);
+        let given = !is_taking_over && epoch >= known_epoch && matches!(self.role, Role::Other);
         if given && self.promised.is_none_or(|p| p < (epoch, term)) {
             self.promised = Some((epoch, term));
         }
-        out.push(Action::Send { to: from, message: Message::Promise { epoch, term, given } });
+        actions.push(Action::Send { to: from, message: Message::Promise { epoch, term, given } });
     }
 
     fn release_promise(&mut self, epoch: u64, term: u64) {
-        let over = |(e, t): (u64, u64)| e == epoch && (t <= term || !self.options.guards.term);
-        if self.promised.is_some_and(over) {
+        let is_over = |(e, t): (u64, u64)| e == epoch && (t <= term || !self.options.guards.term);
+        if self.promised.is_some_and(is_over) {
             self.promised = None;
         }
     }
 
-    fn promise(
+    fn promise_answered(
         &mut self,
         from: &HostId,
         epoch: u64,
         term: u64,
         given: bool,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let current = self.record().is_some_and(|r| r.epoch == epoch) && self.term == term;
-        if !current || !given {
+        let is_current = self.record().is_some_and(|r| r.epoch == epoch) && self.term == term;
+        if !is_current || !given {
             return;
         }
-        if let Mode::Asking(missing) = &mut self.mode {
+        if let Mode::AwaitingPromises(missing) = &mut self.mode {
             missing.remove(from);
         }
-        self.enter_memory(out);
+        self.try_memory_mode(actions);
     }
 
-    /// Starts asking for the promises that granting from memory needs.
-    pub(crate) fn ask_promises(&mut self, out: &mut Vec<Action>) {
+    /// Starts to request the promises needed to grant from memory.
+    pub(crate) fn request_promises(&mut self, actions: &mut Vec<Action>) {
         if self.role != Role::Holder || self.mode != Mode::Recorded {
             return;
         }
         self.term += 1;
-        let records = [self.stored.as_ref().map(|s| &s.record), self.lost.as_ref()];
+        let records = [self.stored.as_ref().map(|s| &s.record), self.unconfirmed.as_ref()];
         let backups = records.into_iter().flatten().filter_map(|r| r.backup.clone());
-        self.mode = Mode::Asking(backups.collect());
+        self.mode = Mode::AwaitingPromises(backups.collect());
         if !self.options.guards.promise {
-            self.mode = Mode::Asking(Default::default());
+            self.mode = Mode::AwaitingPromises(Default::default());
         }
-        self.repeat_asking(out);
-        self.enter_memory(out);
+        self.resend_promise_requests(actions);
+        self.try_memory_mode(actions);
     }
 
-    pub(crate) fn repeat_asking(&self, out: &mut Vec<Action>) {
-        let Mode::Asking(missing) = &self.mode else {
+    pub(crate) fn resend_promise_requests(&self, actions: &mut Vec<Action>) {
+        let Mode::AwaitingPromises(missing) = &self.mode else {
             return;
         };
         let Some(epoch) = self.record().map(|r| r.epoch) else {
@@ -118,16 +131,16 @@
         };
         for to in missing {
             let message = Message::RequestPromise { epoch, term: self.term };
-            out.push(Action::Send { to: to.clone(), message });
+            actions.push(Action::Send { to: to.clone(), message });
         }
     }
 
     /// Grants from memory once no promise is missing.
-    pub(crate) fn enter_memory(&mut self, out: &mut Vec<Action>) {
-        if !matches!(&self.mode, Mode::Asking(missing) if missing.is_empty()) {
+    pub(crate) fn try_memory_mode(&mut self, actions: &mut Vec<Action>) {
+        if !matches!(&self.mode, Mode::AwaitingPromises(missing) if missing.is_empty()) {
             return;
         }
         self.mode = Mode::Memory;
-        self.grant_pending(|_| true, out);
+        self.grant_pending(|_| true, actions);
     }
 }
--- a/crates/claim/src/holder.rs
+++ b/crates/claim/src/holder.rs
@@ -1,4 +1,4 @@
-//! The holder's part: granting, remembering, writing.
+//! The holder's side: granting ids, keeping them and writing the record.
 
 use crate::{
     Action, ClaimRequest, Id, Outcome, Record, Reply, Slot, Ticket,
@@ -7,74 +7,76 @@
 use std::collections::BTreeMap;
 use vanetally_types::{HostId, Tick};
 
-/// When to ask again after a slot was full or could neither write nor grant from memory.
-const RETRY_MILLIS: u64 = 2_000;
+/// Retry delay sent to entry hosts when the slot is full or can neither write nor grant from memory.
+const RETRY_AFTER_MS: u64 = 2_000;
 
-/// Between two looks for ids to forget, in milliseconds.
-const FORGET_EVERY: u64 = 5_000;
+/// Time between two checks for expired ids.
+const EXPIRY_INTERVAL_MS: u64 = 5_000;
 
 impl Slot {
-    pub(crate) fn ask(&mut self, now: Tick, ask: ClaimRequest, out: &mut Vec<Action>) {
-        match self.judge(now, &ask) {
-            Some(reply) => out.push(Action::Reply { ticket: ask.ticket, id: ask.id, reply }),
-            None => self.wait(ask),
+    pub(crate) fn request(&mut self, now: Tick, request: ClaimRequest, actions: &mut Vec<Action>) {
+        match self.decide(now, &request) {
+            Some(reply) => {
+                actions.push(Action::Reply { ticket: request.ticket, id: request.id, reply })
+            }
+            None => self.add_waiter(request),
         }
     }
 
-    /// The reply that can be given at once; `None` when the attempt has to wait.
-    fn judge(&mut self, now: Tick, ask: &ClaimRequest) -> Option<Reply> {
+    /// Returns the reply that can be given at once, or `None` if the attempt has to wait.
+    fn decide(&mut self, now: Tick, request: &ClaimRequest) -> Option<Reply> {
         if self.role != Role::Holder {
             let holder = self.record().map(|r| r.holder.clone());
-            return Some(Reply::NotHolder(holder.filter(|h| *h != self.me)));
+            return Some(Reply::NotHolder(holder.filter(|h| *h != self.host)));
         }
-        let Some(claim) = self.claims.get_mut(&ask.id) else {
-            return self.judge_new(now, ask);
+        let Some(claim) = self.claims.get_mut(&request.id) else {
+            return self.decide_new(now, request);
         };
         match &claim.state {
             State::Ran(Some(answer)) => Some(Reply::Replay(answer.clone())),
             State::Ran(None) => Some(Reply::AlreadyRan),
             State::Unknown => Some(Reply::MayHaveRun),
-            State::Running(ticket) if *ticket == ask.ticket => Some(Reply::Grant),
+            State::Running(ticket) if *ticket == request.ticket => Some(Reply::Grant),
             State::Running(_) | State::Pending(..) => None,
-            State::Free => {
-                claim.state = State::Running(ask.ticket.clone());
+            State::NotRun => {
+                claim.state = State::Running(request.ticket.clone());
                 Some(Reply::Grant)
             }
         }
     }
 
-    fn judge_new(&mut self, now: Tick, ask: &ClaimRequest) -> Option<Reply> {
-        if ask.deadline <= self.expired_until || self.is_doubtful(ask.deadline) {
+    fn decide_new(&mut self, now: Tick, request: &ClaimRequest) -> Option<Reply> {
+        if request.deadline <= self.expired_until || self.is_unresolved(request.deadline) {
             return Some(Reply::MayHaveRun);
         }
         if self.claims.len() >= self.options.max_ids {
-            return Some(Reply::RetryAfter(RETRY_MILLIS));
+            return Some(Reply::RetryAfter(RETRY_AFTER_MS));
         }
-        let at_once = self.mode == Mode::Memory || !self.options.guards.record_first;
-        let ticket = ask.ticket.clone();
-        let state = match at_once {
+        let grant_now = self.mode == Mode::Memory || !self.options.guards.record_first;
+        let ticket = request.ticket.clone();
+        let state = match grant_now {
             true => State::Running(ticket),
             false => State::Pending(ticket, now),
         };
-        let claim = Claim { deadline: ask.deadline, state, waiters: Vec::new() };
-        self.claims.insert(ask.id, claim);
-        self.unrecorded.insert(ask.id);
-        at_once.then_some(Reply::Grant)
+        let claim = Claim { deadline: request.deadline, state, waiters: Vec::new() };
+        self.claims.insert(request.id, claim);
+        self.unrecorded.insert(request.id);
+        grant_now.then_some(Reply::Grant)
     }
 
     /// Whether an earlier holder may have granted an unknown id with this deadline.
-    fn is_doubtful(&self, deadline: u64) -> bool {
+    fn is_unresolved(&self, deadline: u64) -> bool {
         let covers = |until: &Option<u64>| until.is_none_or(|u| deadline <= u);
         self.options.guards.unresolved && self.unresolved.values().any(covers)
     }
 
-    fn wait(&mut self, ask: ClaimRequest) {
-        let Some(claim) = self.claims.get_mut(&ask.id) else {
+    fn add_waiter(&mut self, request: ClaimRequest) {
+        let Some(claim) = self.claims.get_mut(&request.id) else {
             return;
         };
-        let own = matches!(&claim.state, State::Pending(t, _) if *t == ask.ticket);
-        if !own && !claim.waiters.contains(&ask.ticket) {
-            claim.waiters.push(ask.ticket);
+        let is_requester = matches!(&claim.state, State::Pending(t, _) if *t == request.ticket);
+        if !is_requester && !claim.waiters.contains(&request.ticket) {
+            claim.waiters.push(request.ticket);
         }
     }
 
@@ -83,16 +85,16 @@
         id: Id,
         ticket: Ticket,
         outcome: Outcome,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if self.role == Role::Other {
             let holder = self.record().map(|r| r.holder.clone());
-            if let Some(to) = holder.filter(|h| *h != self.me) {
-                out.push(Action::Forward { to, id, ticket, outcome });
+            if let Some(to) = holder.filter(|h| *h != self.host) {
+                actions.push(Action::Forward { to, id, ticket, outcome });
             }
             return;
         }
-        let checks = self.options.guards.ticket;
+        let checks_ticket = self.options.guards.ticket;
         let Some(claim) = self.claims.get_mut(&id) else {
             return;
         };
@@ -100,18 +102,18 @@
         if matches!(&claim.state, State::Pending(t, _) if *t == ticket) {
             return self.withdraw(id);
         }
-        let last = matches!(&claim.state, State::Running(t) if *t == ticket);
-        let unknown = claim.state == State::Unknown;
+        let is_current = matches!(&claim.state, State::Running(t) if *t == ticket);
+        let is_unknown = claim.state == State::Unknown;
         match outcome {
-            Outcome::Ran(answer) if last || unknown => claim.state = State::Ran(answer),
-            Outcome::NotRun if last || !checks => claim.state = State::Free,
-            Outcome::Unknown if last => claim.state = State::Unknown,
+            Outcome::Ran(answer) if is_current || is_unknown => claim.state = State::Ran(answer),
+            Outcome::NotRun if is_current || !checks_ticket => claim.state = State::NotRun,
+            Outcome::Unknown if is_current => claim.state = State::Unknown,
             _ => return,
         }
-        self.answer_waiters(id, out);
+        self.answer_waiters(id, actions);
     }
 
-    /// An attempt that was never granted is given up: the next one takes its place.
+    /// Withdraws an attempt that was never granted in favour of the next waiter.
     fn withdraw(&mut self, id: Id) {
         let Some(claim) = self.claims.get_mut(&id) else {
             return;
@@ -127,8 +129,8 @@
         *ticket = claim.waiters.remove(0);
     }
 
-    /// Answers those who waited for an attempt that has ended.
-    fn answer_waiters(&mut self, id: Id, out: &mut Vec<Action>) {
+    /// Answers the attempts that waited for one that has ended.
+    fn answer_waiters(&mut self, id: Id, actions: &mut Vec<Action>) {
         let Some(claim) = self.claims.get_mut(&id) else {
             return;
         };
@@ -136,7 +138,7 @@
             let reply = match &claim.state {
                 State::Ran(Some(answer)) => Reply::Replay(answer.clone()),
                 State::Ran(None) => Reply::AlreadyRan,
-                State::Free => {
+                State::NotRun => {
                     claim.state = State::Running(ticket.clone());
                     Reply::Grant
                 }
@@ -146,71 +148,77 @@
                     continue;
                 }
             };
-            out.push(Action::Reply { ticket, id, reply });
+            actions.push(Action::Reply { ticket, id, reply });
         }
     }
 
-    pub(crate) fn unreachable(&mut self, host: &HostId, out: &mut Vec<Action>) {
-        let runs = |c: &Claim| matches!(&c.state, State::Running(t) if t.entry == *host);
-        let ids: Vec<Id> = self.claims.iter().filter(|(_, c)| runs(c)).map(|(id, _)| *id).collect();
+    pub(crate) fn unreachable(&mut self, host: &HostId, actions: &mut Vec<Action>) {
+        let is_running_there =
+            |c: &Claim| matches!(&c.state, State::Running(t) if t.entry == *host);
+        let ids: Vec<Id> =
+            self.claims.iter().filter(|(_, c)| is_running_there(c)).map(|(id, _)| *id).collect();
         for id in ids {
             if let Some(claim) = self.claims.get_mut(&id) {
                 claim.state = State::Unknown;
             }
-            self.answer_waiters(id, out);
+            self.answer_waiters(id, actions);
         }
     }
 
-    /// Grants the waiting attempts on ids for which `ready` holds.
-    pub(crate) fn grant_pending(&mut self, ready: impl Fn(&Id) -> bool, out: &mut Vec<Action>) {
+    /// Grants the pending attempts on ids for which `is_ready` returns true.
+    pub(crate) fn grant_pending(
+        &mut self,
+        is_ready: impl Fn(&Id) -> bool,
+        actions: &mut Vec<Action>,
+    ) {
         for (id, claim) in &mut self.claims {
             let State::Pending(ticket, _) = &claim.state else {
                 continue;
             };
-            if !ready(id) {
+            if !is_ready(id) {
                 continue;
             }
             let ticket = ticket.clone();
             claim.state = State::Running(ticket.clone());
-            out.push(Action::Reply { ticket, id: *id, reply: Reply::Grant });
+            actions.push(Action::Reply { ticket, id: *id, reply: Reply::Grant });
         }
     }
 
-    /// Gives up on attempts that have waited too long, and forgets old ids.
-    pub(crate) fn tick(&mut self, now: Tick, out: &mut Vec<Action>) {
-        self.held_back = false;
-        self.repeat_asking(out);
+    /// Refuses attempts that have waited too long, and drops expired ids.
+    pub(crate) fn tick(&mut self, now: Tick, actions: &mut Vec<Action>) {
+        self.is_write_deferred = false;
+        self.resend_promise_requests(actions);
         if let Some((to, message)) = &self.handover {
-            out.push(Action::Send { to: to.clone(), message: message.clone() });
+            actions.push(Action::Send { to: to.clone(), message: message.clone() });
         }
         if self.role != Role::Holder {
             return;
         }
-        self.refuse_late(now, out);
-        if now >= self.next_forget {
-            self.next_forget = now + FORGET_EVERY;
-            self.forget(now);
+        self.refuse_overdue(now, actions);
+        if now >= self.next_expiry {
+            self.next_expiry = now + EXPIRY_INTERVAL_MS;
+            self.expire_ids(now);
         }
     }
 
-    fn refuse_late(&mut self, now: Tick, out: &mut Vec<Action>) {
+    fn refuse_overdue(&mut self, now: Tick, actions: &mut Vec<Action>) {
         let wait_limit_ms = self.options.wait_limit_ms;
-        let mut late = Vec::new();
-        // Ids that wait to be written are among those that the record lacks.
+        let mut overdue = Vec::new();
+        // Ids that wait to be written are among the unrecorded ones.
         for id in &self.unrecorded {
             let state = self.claims.get(id).map(|c| &c.state);
             if matches!(state, Some(State::Pending(_, since)) if now.since(*since) > wait_limit_ms)
             {
-                late.push(*id);
+                overdue.push(*id);
             }
         }
-        for id in late {
-            self.refuse_pending(id, Reply::RetryAfter(RETRY_MILLIS), out);
+        for id in overdue {
+            self.refuse_pending(id, Reply::RetryAfter(RETRY_AFTER_MS), actions);
         }
     }
 
-    /// Drops an id that was never granted, with `reply` to all who wait for it.
-    pub(crate) fn refuse_pending(&mut self, id: Id, reply: Reply, out: &mut Vec<Action>) {
+    /// Drops an id that was never granted, and sends `reply` to all attempts that wait for it.
+    pub(crate) fn refuse_pending(&mut self, id: Id, reply: Reply, actions: &mut Vec<Action>) {
         let Some(claim) = self.claims.remove(&id) else {
             return;
         };
@@ -220,18 +228,18 @@
             _ => None,
         };
         for ticket in first.into_iter().chain(claim.waiters) {
-            out.push(Action::Reply { ticket, id, reply: reply.clone() });
+            actions.push(Action::Reply { ticket, id, reply: reply.clone() });
         }
     }
 
-    fn forget(&mut self, now: Tick) {
+    fn expire_ids(&mut self, now: Tick) {
         let retention_ms = self.options.retention_ms;
-        let over = |deadline: u64| deadline.saturating_add(retention_ms) < now.0;
+        let is_expired = |deadline: u64| deadline.saturating_add(retention_ms) < now.0;
         let unrecorded = &self.unrecorded;
         let mut expired_until = self.expired_until;
         self.claims.retain(|id, claim| {
-            let waits = matches!(claim.state, State::Pending(..) | State::Running(_));
-            if waits || unrecorded.contains(id) || !over(claim.deadline) {
+            let is_active = matches!(claim.state, State::Pending(..) | State::Running(_));
+            if is_active || unrecorded.contains(id) || !is_expired(claim.deadline) {
                 return true;
             }
             expired_until = expired_until.max(claim.deadline);
@@ -241,9 +249,15 @@
         self.unresolved.retain(|_, until| until.is_none_or(|u| u >= now.0));
     }
 
-    /// The record as it should stand, under `epoch` and `holder`.
-    pub(crate) fn draft(&self, epoch: u64, holder: HostId, backup: Option<HostId>) -> Record {
-        let seqs = [self.stored.as_ref().map(|s| s.record.seq), self.lost.as_ref().map(|r| r.seq)];
+    /// Returns the record to write under `epoch` and `holder`.
+    pub(crate) fn draft_record(
+        &self,
+        epoch: u64,
+        holder: HostId,
+        backup: Option<HostId>,
+    ) -> Record {
+        let seqs =
+            [self.stored.as_ref().map(|s| s.record.seq), self.unconfirmed.as_ref().map(|r| r.seq)];
         let claims: BTreeMap<Id, u64> =
             self.claims.iter().map(|(id, claim)| (*id, claim.deadline)).collect();
         Record {
@@ -257,34 +271,35 @@
         }
     }
 
-    /// Writes when there is something to write and the write_interval_ms allows it.
-    pub(crate) fn step(&mut self, now: Tick, out: &mut Vec<Action>) {
-        let quiet = self.writing.is_some() || self.held_back || now < self.next_write;
-        if quiet {
+    /// Writes the record if it has changed and the write interval has passed.
+    pub(crate) fn write_if_due(&mut self, now: Tick, actions: &mut Vec<Action>) {
+        let is_blocked = self.writing.is_some() || self.is_write_deferred || now < self.next_write;
+        if is_blocked {
             return;
         }
         let Some(stored) = &self.stored else { return };
         let (base, epoch) = (stored.version, stored.record.epoch);
-        let record = match (self.role, &self.heir) {
+        let record = match (self.role, &self.successor) {
             (Role::Holder, _) => {
-                let due = self.stale || !self.unrecorded.is_empty() || self.lost.is_some();
-                let memory = self.mode != Mode::Recorded;
-                if !due && !memory {
+                let has_changes =
+                    self.needs_write || !self.unrecorded.is_empty() || self.unconfirmed.is_some();
+                let in_memory_mode = self.mode != Mode::Recorded;
+                if !has_changes && !in_memory_mode {
                     return;
                 }
-                // The backup stays while promises count on it.
+                // The backup must not change while its promise is in use.
                 let backup =
-                    if memory { stored.record.backup.clone() } else { self.backup.clone() };
-                self.draft(epoch, self.me.clone(), backup)
+                    if in_memory_mode { stored.record.backup.clone() } else { self.backup.clone() };
+                self.draft_record(epoch, self.host.clone(), backup)
             }
-            (Role::Releasing, Some((heir, backup))) => {
-                self.draft(epoch + 1, heir.clone(), backup.clone())
+            (Role::Releasing, Some((successor, backup))) => {
+                self.draft_record(epoch + 1, successor.clone(), backup.clone())
             }
             _ => return,
         };
-        self.stale = false;
+        self.needs_write = false;
         self.next_write = now + self.options.write_interval_ms;
         self.writing = Some(record.clone());
-        out.push(Action::Write { base, record });
+        actions.push(Action::Write { base, record });
     }
 }
--- a/crates/claim/src/record.rs
+++ b/crates/claim/src/record.rs
@@ -1,37 +1,37 @@
-//! What is written down of a slot, and the identities in it.
+//! The stored record of a slot, and the identifiers in it.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use vanetally_types::{HostId, hash64, hash128};
 
-/// A request's identity: the hash of its caller, its target and the id that the caller gave.
+/// Identifies a request: the hash of its caller and the key that the caller gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Id(pub u128);
 
 impl Id {
-    /// The identity of `key` as given by `caller`.
+    /// Returns the id of the request with `key` by `caller`.
     pub fn from_key(caller: &str, key: &str) -> Self {
         Self(hash128(format!("{caller}\n{key}").as_bytes()))
     }
 }
 
-/// The slot among `slots` that decides on `id`.
+/// Returns which of `slots` slots decides on `id`.
 pub fn slot_of(id: Id, slots: u16) -> u16 {
     let spread = hash64(&id.0.to_le_bytes()) % u64::from(slots.max(1));
     spread as u16
 }
 
-/// One attempt of an entry host to have a request granted.
+/// Identifies one attempt of an entry host to have a request granted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ticket {
     /// The entry host.
     pub entry: HostId,
-    /// Never used twice by that entry host.
+    /// Unique among the attempts of that entry host.
     pub number: u64,
 }
 
-/// An answer kept for repeats.
+/// An answer kept for repeated requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
 pub struct Answer {
     /// HTTP status.
@@ -39,14 +39,14 @@
     /// Content type.
     #[serde(rename = "kind")]
     pub content_type: String,
-    /// Hash of the request that it answers, so that another request under the same id is noticed.
+    /// Hash of the answered request, to detect a different request under the same id.
     pub fingerprint: u64,
-    /// Body as the first caller got it.
+    /// Body as sent to the first caller.
     #[serde(with = "body")]
     pub body: Vec<u8>,
 }
 
-/// Bodies as byte strings rather than lists of numbers.
+/// Serializes bodies as byte strings rather than lists of numbers.
 mod body {
     use serde::{Deserializer, Serializer, de};
 
@@ -85,17 +85,17 @@
     }
 }
 
-/// A slot's record in the platform's service.
+/// The record of a slot in the platform's service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
 pub struct Record {
-    /// Grows by one with each change of holder.
+    /// Incremented with each change of holder.
     pub epoch: u64,
-    /// The host that grants.
+    /// The host that grants ids.
     pub holder: HostId,
     /// The host whose promise the holder needs before it grants from memory.
     #[serde(rename = "deputy")]
     pub backup: Option<HostId>,
-    /// Grows with each write; with the holder it tells a writer its own write.
+    /// Increases with each write; together with the holder it identifies a write.
     pub seq: u64,
     /// Ids that may have been granted, with their deadlines in Unix milliseconds.
     #[serde(with = "ids")]
@@ -103,13 +103,13 @@
     /// Ids with deadlines up to this one may have been dropped from `claims`.
     #[serde(rename = "forgotten")]
     pub expired_until: u64,
-    /// Earlier holders that may have granted ids which stand nowhere. `Some`: that holder has
-    /// ended, and no id with a later deadline can be one of its own.
+    /// Earlier holders that may have granted ids that are recorded nowhere. `Some` if that holder has
+    /// ended: it can't have granted an id with a later deadline.
     #[serde(rename = "doubts", with = "pairs")]
     pub unresolved: BTreeMap<HostId, Option<u64>>,
 }
 
-/// Ids as hexadecimal text, since JSON has no 128-bit numbers.
+/// Serializes ids as hexadecimal text, since JSON has no 128-bit numbers.
 mod ids {
     use super::{BTreeMap, Deserialize, Id};
     use serde::{Deserializer, Serializer, de::Error};
@@ -128,18 +128,21 @@
     }
 }
 
-/// Maps with structured keys as lists of pairs.
+/// Serializes maps with structured keys as lists of pairs.
 mod pairs {
     use super::{BTreeMap, Deserialize, HostId};
     use serde::{Deserializer, Serializer};
 
-    type Doubts = BTreeMap<HostId, Option<u64>>;
+    type UnresolvedHolders = BTreeMap<HostId, Option<u64>>;
 
-    pub fn serialize<S: Serializer>(unresolved: &Doubts, s: S) -> Result<S::Ok, S::Error> {
+    pub fn serialize<S: Serializer>(
+        unresolved: &UnresolvedHolders,
+        s: S,
+    ) -> Result<S::Ok, S::Error> {
         s.collect_seq(unresolved)
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<Doubts, D::Error> {
+    pub fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<UnresolvedHolders, D::Error> {
         let pairs = Vec::<(HostId, Option<u64>)>::deserialize(d)?;
         Ok(pairs.into_iter().collect())
     }
--- a/crates/claim/src/slot.rs
+++ b/crates/claim/src/slot.rs
@@ -1,4 +1,4 @@
-//! A slot as one host sees it: its types and the dispatch of events.
+//! The state of a slot on one host: its types and the dispatch of events.
 
 use crate::{Answer, Id, Record, Ticket, VersionedRecord};
 use serde::{Deserialize, Serialize};
@@ -8,12 +8,12 @@
 };
 use vanetally_types::{HostId, Tick};
 
-/// What an entry host asks of a slot's holder.
+/// A request of an entry host to a slot's holder to run an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
 pub struct ClaimRequest {
-    /// The request.
+    /// The request's id.
     pub id: Id,
-    /// Its deadline in Unix milliseconds.
+    /// The request's deadline in Unix milliseconds.
     pub deadline: u64,
     /// The attempt.
     pub ticket: Ticket,
@@ -22,54 +22,54 @@
 /// How a granted attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
 pub enum Outcome {
-    /// It ran; the answer is kept unless it was too large or broke off.
+    /// It ran; the answer is kept unless it was too large or incomplete.
     Ran(Option<Arc<Answer>>),
     /// It certainly did not run: the id may be granted again.
     NotRun,
-    /// It can't be known.
+    /// It may have run.
     Unknown,
 }
 
-/// What a holder tells an entry host about an attempt.
+/// The holder's reply to an entry host about an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
 pub enum Reply {
-    /// Run it. Counts once for a ticket, however often it arrives.
+    /// The attempt may run. Repeats for the same ticket count once.
     Grant,
-    /// It ran before; this was the answer.
+    /// The request ran before, with this answer.
     #[serde(rename = "Kept")]
     Replay(Arc<Answer>),
-    /// It ran before; the answer is not kept.
+    /// The request ran before; the answer is not kept.
     AlreadyRan,
-    /// An earlier attempt may have run. This one was not granted.
+    /// An earlier attempt may have run; this one was not granted.
     MayHaveRun,
-    /// Not granted, nothing known to have run; ask again after so many milliseconds.
+    /// Not granted, and no attempt is known to have run; retry after this many milliseconds.
     #[serde(rename = "Later")]
     RetryAfter(u64),
     /// This host does not hold the slot.
     NotHolder(Option<HostId>),
 }
 
-/// Between hosts, about one slot.
+/// A message between hosts about one slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
 pub enum Message {
-    /// Holder to backup: promise not to take over as if nothing was granted from memory.
+    /// Holder to backup: requests the promise not to take over as if nothing was granted from memory.
     #[serde(rename = "AskMemory")]
     RequestPromise {
         /// The record's epoch.
         epoch: u64,
-        /// Counts the holder's spells of granting from memory.
+        /// Number of the holder's current period of granting from memory.
         term: u64,
     },
-    /// Backup to holder: the promise, or its refusal.
+    /// Backup to holder: gives or refuses the promise.
     Promise {
-        /// The epoch that was asked for.
+        /// The requested epoch.
         epoch: u64,
-        /// The term that was asked for.
+        /// The requested term.
         term: u64,
-        /// Whether it is given.
+        /// Whether the promise is given.
         given: bool,
     },
-    /// Holder to backup: everything granted in this term is recorded.
+    /// Holder to backup: every id granted in this term is recorded.
     #[serde(rename = "MemoryOver")]
     ReleasePromise {
         /// The record's epoch.
@@ -77,25 +77,25 @@
         /// The term that ended.
         term: u64,
     },
-    /// Earlier holder to the present one: it grants no more, and this is what it knows.
+    /// Earlier holder to the present one: it grants no more ids and hands over its state.
     #[serde(rename = "Farewell")]
     Handover {
-        /// Ids that it may have granted, with deadlines.
+        /// Ids that it may have granted, with their deadlines.
         claims: Vec<(Id, u64)>,
-        /// Attempts that run now.
+        /// Attempts that are running.
         running: Vec<(Id, Ticket)>,
-        /// Answers that it kept.
+        /// Answers that it keeps.
         answers: Vec<(Id, Arc<Answer>)>,
     },
-    /// Present holder to the earlier one: the handover arrived.
+    /// Present holder to the earlier one: the handed over state is recorded.
     #[serde(rename = "FarewellSeen")]
     HandoverAck,
 }
 
-/// What happens to a slot.
+/// An input of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// An entry host asks.
+    /// An entry host requests to run an attempt.
     Request(ClaimRequest),
     /// A granted attempt ended.
     Finished {
@@ -103,12 +103,12 @@
         id: Id,
         /// The attempt.
         ticket: Ticket,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
     },
-    /// An entry host can't be reached: nothing more is to be expected of its attempts soon.
+    /// An entry host is unreachable: the outcome of its attempts is unknown.
     Unreachable(HostId),
-    /// It is proved that this process has ended.
+    /// This process has provably ended.
     Ended(HostId),
     /// The record as read; `None` when there is none.
     Read(Option<VersionedRecord>),
@@ -121,55 +121,55 @@
     WriteUnconfirmed,
     /// The last write did not take effect; this is the record.
     WriteConflict(Option<VersionedRecord>),
-    /// A peer tells of a record with this epoch and holder.
+    /// A peer announced a record with this epoch and holder.
     EpochAnnounced {
         /// The epoch.
         epoch: u64,
         /// The holder.
         holder: HostId,
     },
-    /// Take the slot over, with this backup.
+    /// Take over the slot.
     TakeOver {
         /// The backup to name.
         backup: Option<HostId>,
     },
-    /// Name another backup.
+    /// Set another backup.
     SetBackup(Option<HostId>),
     /// Hand the slot over for a planned stop.
     Release {
         /// The next holder.
         to: HostId,
-        /// Its backup.
+        /// The next holder's backup.
         backup: Option<HostId>,
     },
-    /// A message of another host.
+    /// A message from another host.
     Message {
-        /// Its sender.
+        /// The sender.
         from: HostId,
         /// The message.
         message: Message,
     },
-    /// Time passes.
+    /// Time has passed.
     Tick,
 }
 
-/// What the driver is to do.
+/// An output of a slot, to be carried out by the driver.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Write the record by compare-and-swap on `base`; 0 means that there must be none.
+    /// Write the record by compare-and-swap on `base`; 0 requires that there is none.
     Write {
         /// The version to replace.
         base: u64,
         /// The record.
         record: Record,
     },
-    /// Answer an attempt.
+    /// Send a reply to an attempt.
     Reply {
         /// The attempt.
         ticket: Ticket,
         /// The request.
         id: Id,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
     /// Send a message to another host.
@@ -179,7 +179,7 @@
         /// The message.
         message: Message,
     },
-    /// Pass on how an attempt ended to the present holder.
+    /// Forward an attempt's outcome to the present holder.
     Forward {
         /// The present holder.
         to: HostId,
@@ -192,24 +192,24 @@
     },
 }
 
-/// Guards that the model check switches off one at a time to see that it notices.
+/// Safety rules that the model check disables one at a time to verify that it detects their absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// While the platform answers, an id is granted only once it is written.
+    /// While the platform is available, an id is granted only after it is written.
     pub record_first: bool,
     /// The holder grants from memory only with the backup's promise.
     pub promise: bool,
-    /// A backup that has begun to take over promises no more.
+    /// A backup that has started to take over gives no promise.
     pub takeover_bar: bool,
-    /// A successor without proof refuses ids that it does not know.
+    /// A successor that can't rule out grants from memory refuses ids that it doesn't know.
     pub unresolved: bool,
-    /// "Not run" counts only for the attempt that was granted last.
+    /// [`Outcome::NotRun`] counts only for the attempt that was granted last.
     pub ticket: bool,
-    /// A promise ends only with the term that it was given for.
+    /// A promise is released only by the term that it was given for.
     pub term: bool,
-    /// A record of an older epoch than one seen before is never followed.
+    /// A record of an older epoch than a known one is never followed.
     pub epoch: bool,
-    /// An earlier holder keeps what it knows until that is written down.
+    /// An earlier holder keeps its state until it is recorded.
     pub handover: bool,
 }
 
@@ -227,44 +227,45 @@
     };
 }
 
-/// Spans and bounds of a slot.
+/// Settings of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// How long past its deadline an id is remembered, in milliseconds; no deadline lies further
-    /// ahead than this.
+    /// How long past its deadline an id is kept, in milliseconds; no deadline lies further ahead than
+    /// this.
     pub retention_ms: u64,
-    /// Least time between two writes, in milliseconds.
+    /// Minimum time between two writes, in milliseconds.
     pub write_interval_ms: u64,
-    /// How long an attempt waits for the record or a promise, in milliseconds.
+    /// Maximum time that an attempt waits for the record or a promise, in milliseconds.
     pub wait_limit_ms: u64,
-    /// Most ids remembered at once.
+    /// Maximum number of ids kept at once.
     pub max_ids: usize,
-    /// The model check's switches.
+    /// Safety rules that are enabled.
     pub guards: Guards,
 }
 
-/// Whether this host holds the slot.
+/// This host's role for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Another host does, or none.
+    /// Another host holds the slot, or none does.
     Other,
-    /// This host has begun to take it over.
+    /// This host is taking over the slot.
     Taking,
-    /// This host does.
+    /// This host holds the slot.
     Holder,
-    /// This host has begun to hand it over.
+    /// This host is handing over the slot.
     Releasing,
 }
 
-/// How a holder grants.
+/// How a holder grants ids.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
     /// After writing the id to the record.
     Recorded,
-    /// Not at all: it waits for these promises.
-    Asking(BTreeSet<HostId>),
+    /// Not at all: the promises of these hosts are missing.
+    #[serde(rename = "asking")]
+    AwaitingPromises(BTreeSet<HostId>),
     /// From memory.
     Memory,
 }
@@ -274,76 +275,81 @@
     pub fn as_str(&self) -> &'static str {
         match self {
             Mode::Recorded => "recorded",
-            Mode::Asking(_) => "asking",
+            Mode::AwaitingPromises(_) => "asking",
             Mode::Memory => "memory",
         }
     }
 }
 
-/// What a holder knows of an id.
+/// State of an id at the holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum State {
     /// Waiting to be written.
     Pending(Ticket, Tick),
     /// Granted.
     Running(Ticket),
-    /// Granted and certainly not run: free for the next attempt.
-    Free,
-    /// Ran, with the answer if it is kept.
+    /// Granted and certainly not run: the next attempt may be granted.
+    NotRun,
+    /// Ran, with the answer if it was kept.
     Ran(Option<Arc<Answer>>),
-    /// Granted by somebody, outcome unknown.
+    /// Granted by this or an earlier holder, with unknown outcome.
     Unknown,
 }
 
+/// An id that may have been granted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Claim {
+    /// The deadline in Unix milliseconds.
     pub deadline: u64,
     pub state: State,
+    /// Attempts that wait for the outcome of the granted or pending one.
     pub waiters: Vec<Ticket>,
 }
 
-/// One slot as one host sees it.
+/// State of one slot on one host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Slot {
-    pub(crate) me: HostId,
+    pub(crate) host: HostId,
     pub(crate) options: Options,
     pub(crate) role: Role,
     pub(crate) stored: Option<VersionedRecord>,
     pub(crate) mode: Mode,
-    /// Counts this host's spells of granting from memory.
+    /// Number of this host's last period of granting from memory.
     pub(crate) term: u64,
     pub(crate) claims: BTreeMap<Id, Claim>,
-    /// Ids that the written record lacks.
+    /// Ids that the written record doesn't contain.
     pub(crate) unrecorded: BTreeSet<Id>,
-    /// The record differs from what it should say in something else than ids.
-    pub(crate) stale: bool,
+    /// Whether something other than ids has changed since the record was written.
+    pub(crate) needs_write: bool,
     pub(crate) expired_until: u64,
     pub(crate) unresolved: BTreeMap<HostId, Option<u64>>,
     pub(crate) backup: Option<HostId>,
+    /// The write in progress.
     pub(crate) writing: Option<Record>,
-    /// A write of which it is unknown whether it took effect.
-    pub(crate) lost: Option<Record>,
+    /// A write that may or may not have taken effect.
+    pub(crate) unconfirmed: Option<Record>,
     pub(crate) next_write: Tick,
-    pub(crate) next_forget: Tick,
-    pub(crate) held_back: bool,
-    /// The next holder while a hand-over goes on.
-    pub(crate) heir: Option<(HostId, Option<HostId>)>,
-    /// What the present holder has not confirmed yet.
+    pub(crate) next_expiry: Tick,
+    /// Whether no write is started until the next tick, after one failed.
+    pub(crate) is_write_deferred: bool,
+    /// The next holder and its backup, during a handover.
+    pub(crate) successor: Option<(HostId, Option<HostId>)>,
+    /// The present holder and the handover that it has not acknowledged yet.
     pub(crate) handover: Option<(HostId, Message)>,
-    /// As backup: the promise given, epoch and term.
+    /// As backup: epoch and term of the promise given.
     pub(crate) promised: Option<(u64, u64)>,
-    /// As backup: the epoch and version that this host tried to replace; no promise for that
-    /// epoch while the attempt may still take effect.
-    pub(crate) barred: Option<(u64, u64)>,
-    /// The highest epoch that any peer told of, with its holder.
-    pub(crate) highest: Option<(u64, HostId)>,
+    /// As backup: epoch and version of the record that this host tried to replace. It gives no promise
+    /// for that epoch while the attempt may still take effect.
+    pub(crate) takeover_attempt: Option<(u64, u64)>,
+    /// The highest epoch that a peer announced, with its holder.
+    pub(crate) highest_epoch: Option<(u64, HostId)>,
 }
 
 impl Slot {
-    /// A slot of which nothing is known yet.
-    pub fn new(me: HostId, options: Options) -> Self {
+    /// Creates a slot with an unknown record.
+    pub fn new(host: HostId, options: Options) -> Self {
         Self {
-            me,
+            host,
             options,
             role: Role::Other,
             stored: None,
@@ -351,29 +357,29 @@
             term: 0,
             claims: BTreeMap::new(),
             unrecorded: BTreeSet::new(),
-            stale: false,
+            needs_write: false,
             expired_until: 0,
             unresolved: BTreeMap::new(),
             backup: None,
             writing: None,
-            lost: None,
+            unconfirmed: None,
             next_write: Tick::default(),
-            next_forget: Tick::default(),
-            held_back: false,
-            heir: None,
+            next_expiry: Tick::default(),
+            is_write_deferred: false,
+            successor: None,
             handover: None,
             promised: None,
-            barred: None,
-            highest: None,
+            takeover_attempt: None,
+            highest_epoch: None,
         }
     }
 
-    /// Whether this host holds the slot.
+    /// This host's role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// How a holder grants.
+    /// How this host grants ids while it is the holder.
     pub fn mode(&self) -> &Mode {
         &self.mode
     }
@@ -383,12 +389,12 @@
         self.stored.as_ref().map(|s| &s.record)
     }
 
-    /// How many ids are remembered, and how many of them the record lacks.
+    /// Number of ids kept, and how many of them are unrecorded.
     pub fn counts(&self) -> (usize, usize) {
         (self.claims.len(), self.unrecorded.len())
     }
 
-    /// The processes that run granted attempts now.
+    /// The entry hosts of running attempts.
     pub fn running_entries(&self) -> Vec<HostId> {
         let mut entries = BTreeSet::new();
         for claim in self.claims.values() {
@@ -399,36 +405,40 @@
         entries.into_iter().collect()
     }
 
-    /// Earlier holders for whose sake unknown ids are refused.
+    /// Earlier holders because of which unknown ids are refused.
     pub fn unresolved_holders(&self) -> impl Iterator<Item = &HostId> {
         self.unresolved.keys()
     }
 
-    /// Whether a handover is still to be confirmed.
+    /// Whether a handover is in progress or not acknowledged yet.
     pub fn is_handing_over(&self) -> bool {
         self.role == Role::Releasing || self.handover.is_some()
     }
 
-    /// Takes an event and says what to do.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, now: Tick, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         match event {
-            Event::Request(ask) => self.ask(now, ask, &mut out),
-            Event::Finished { id, ticket, outcome } => self.finished(id, ticket, outcome, &mut out),
-            Event::Unreachable(host) => self.unreachable(&host, &mut out),
-            Event::Ended(host) => self.ended(now, &host, &mut out),
-            Event::Read(stored) => self.read(stored, &mut out),
-            Event::Written { version } => self.wrote(version, &mut out),
-            Event::WriteUnconfirmed => self.write_lost(&mut out),
-            Event::WriteConflict(stored) => self.write_refused(stored, &mut out),
-            Event::EpochAnnounced { epoch, holder } => self.heard(epoch, holder, &mut out),
-            Event::TakeOver { backup } => self.take(backup, &mut out),
+            Event::Request(request) => self.request(now, request, &mut actions),
+            Event::Finished { id, ticket, outcome } => {
+                self.finished(id, ticket, outcome, &mut actions)
+            }
+            Event::Unreachable(host) => self.unreachable(&host, &mut actions),
+            Event::Ended(host) => self.host_ended(now, &host, &mut actions),
+            Event::Read(stored) => self.record_read(stored, &mut actions),
+            Event::Written { version } => self.write_succeeded(version, &mut actions),
+            Event::WriteUnconfirmed => self.write_unconfirmed(&mut actions),
+            Event::WriteConflict(stored) => self.write_conflict(stored, &mut actions),
+            Event::EpochAnnounced { epoch, holder } => {
+                self.epoch_announced(epoch, holder, &mut actions)
+            }
+            Event::TakeOver { backup } => self.take_over(backup, &mut actions),
             Event::SetBackup(backup) => self.set_backup(backup),
             Event::Release { to, backup } => self.release(to, backup),
-            Event::Message { from, message } => self.message(from, message, &mut out),
-            Event::Tick => self.tick(now, &mut out),
+            Event::Message { from, message } => self.handle_message(from, message, &mut actions),
+            Event::Tick => self.tick(now, &mut actions),
         }
-        self.step(now, &mut out);
-        out
+        self.write_if_due(now, &mut actions);
+        actions
     }
 }
--- a/crates/claim/src/succession.rs
+++ b/crates/claim/src/succession.rs
@@ -1,4 +1,4 @@
-//! How a slot changes hands, and what answers of the platform mean.
+//! Takeover and handover of a slot, and handling of the platform's answers.
 
 use crate::{
     Action, Id, Message, Record, Reply, Slot, VersionedRecord,
@@ -6,73 +6,73 @@
 };
 use vanetally_types::{HostId, Tick};
 
-/// Allowance for hosts whose clocks differ, in milliseconds.
-const CLOCK_SKEW: u64 = 60_000;
+/// Maximum assumed difference between the clocks of two hosts.
+const MAX_CLOCK_SKEW_MS: u64 = 60_000;
 
 impl Slot {
-    /// Begins to take the slot over from the record as last read.
-    pub(crate) fn take(&mut self, backup: Option<HostId>, out: &mut Vec<Action>) {
+    /// Starts to take the slot over, based on the record as last read.
+    pub(crate) fn take_over(&mut self, backup: Option<HostId>, actions: &mut Vec<Action>) {
         if self.role != Role::Other || self.writing.is_some() {
             return;
         }
-        let backup = backup.filter(|d| *d != self.me);
+        let backup = backup.filter(|b| *b != self.host);
         let (base, epoch) = self.stored.as_ref().map_or((0, 0), |s| (s.version, s.record.epoch));
-        let record = self.succeed(backup);
-        self.barred = Some((epoch, base));
+        let record = self.successor_record(backup);
+        self.takeover_attempt = Some((epoch, base));
         self.role = Role::Taking;
         self.writing = Some(record.clone());
-        out.push(Action::Write { base, record });
+        actions.push(Action::Write { base, record });
     }
 
-    /// The record that makes this host the successor of the holder last known.
-    fn succeed(&self, backup: Option<HostId>) -> Record {
+    /// Returns the record that makes this host the successor of the last known holder.
+    fn successor_record(&self, backup: Option<HostId>) -> Record {
         let mut next = match &self.stored {
-            None => self.draft(0, self.me.clone(), None),
+            None => self.draft_record(0, self.host.clone(), None),
             Some(stored) => stored.record.clone(),
         };
-        let promised = self.promised.is_some_and(|(epoch, _)| epoch == next.epoch);
-        let proved = next.backup.as_ref() == Some(&self.me) && !promised;
-        if !proved && next.holder != self.me {
+        let has_promised = self.promised.is_some_and(|(epoch, _)| epoch == next.epoch);
+        let has_proof = next.backup.as_ref() == Some(&self.host) && !has_promised;
+        if !has_proof && next.holder != self.host {
             next.unresolved.insert(next.holder.clone(), None);
         }
-        if let Some((epoch, holder)) = &self.highest
+        if let Some((epoch, holder)) = &self.highest_epoch
             && *epoch > next.epoch
         {
-            // The platform was restored to an older state: what `holder` granted is not there.
+            // The platform was restored to an older state, which lacks the ids that `holder` granted.
             next.epoch = *epoch;
             next.unresolved.insert(holder.clone(), None);
         }
         if let Some((_, Message::Handover { claims, .. })) = &self.handover {
-            // What this host granted before is known here and nowhere else yet.
+            // Ids that this host granted as an earlier holder may be recorded nowhere yet.
             next.claims.extend(claims.iter().copied());
-            next.unresolved.remove(&self.me);
+            next.unresolved.remove(&self.host);
         }
         next.epoch += 1;
-        next.holder = self.me.clone();
+        next.holder = self.host.clone();
         next.backup = backup;
         next.seq += 1;
         next
     }
 
-    /// Follows `stored` as a host that does not hold the slot.
+    /// Adopts `stored` as a host that doesn't hold the slot.
     fn follow(&mut self, stored: VersionedRecord) {
-        if self.barred.is_some_and(|(_, version)| stored.version != version) {
-            self.barred = None;
+        if self.takeover_attempt.is_some_and(|(_, version)| stored.version != version) {
+            self.takeover_attempt = None;
         }
         self.stored = Some(stored);
     }
 
-    /// Goes on from `stored` as its holder: what it lacks is to be written.
+    /// Continues as holder from `stored`; ids missing from it will be written.
     fn rebase(&mut self, stored: VersionedRecord) {
         let recorded = &stored.record.claims;
-        let lacking = self.claims.keys().filter(|id| !recorded.contains_key(id));
-        self.unrecorded = lacking.copied().collect();
-        self.stale = true;
+        let missing = self.claims.keys().filter(|id| !recorded.contains_key(id));
+        self.unrecorded = missing.copied().collect();
+        self.needs_write = true;
         self.stored = Some(stored);
     }
 
-    /// Starts to hold the slot by the record `stored`.
-    fn hold(&mut self, stored: VersionedRecord) {
+    /// Becomes the holder according to `stored`.
+    fn become_holder(&mut self, stored: VersionedRecord) {
         let record = &stored.record;
         for (id, deadline) in &record.claims {
             let claim = Claim { deadline: *deadline, state: State::Unknown, waiters: Vec::new() };
@@ -83,189 +83,206 @@
         self.expired_until = self.expired_until.max(record.expired_until);
         self.unresolved = record.unresolved.clone();
         self.backup = record.backup.clone();
-        self.lost = None;
-        self.heir = None;
+        self.unconfirmed = None;
+        self.successor = None;
         self.stored = Some(stored);
-        self.recall();
+        self.restore_handover();
     }
 
-    /// Takes back what this host granted when it held the slot before.
-    fn recall(&mut self) {
+    /// Restores the ids that this host granted when it held the slot before.
+    fn restore_handover(&mut self) {
         let Some((_, Message::Handover { claims, .. })) = self.handover.take() else { return };
         for (id, deadline) in claims {
-            self.learn(id, deadline, State::Unknown);
+            self.merge_claim(id, deadline, State::Unknown);
         }
-        if self.unresolved.remove(&self.me).is_some() {
-            self.stale = true;
+        if self.unresolved.remove(&self.host).is_some() {
+            self.needs_write = true;
         }
     }
 
-    pub(crate) fn read(&mut self, stored: Option<VersionedRecord>, out: &mut Vec<Action>) {
+    pub(crate) fn record_read(
+        &mut self,
+        stored: Option<VersionedRecord>,
+        actions: &mut Vec<Action>,
+    ) {
         if self.writing.is_some() {
             return;
         }
-        let Some(new) = stored else { return };
-        if self.is_older(&new.record) {
+        let Some(current) = stored else { return };
+        if self.is_outdated(&current.record) {
             return;
         }
-        let mine = new.record.holder == self.me;
+        let is_own = current.record.holder == self.host;
         match self.role {
-            Role::Other if mine => self.hold(new),
-            Role::Other => self.follow(new),
-            _ if !mine => self.depose(new, out),
+            Role::Other if is_own => self.become_holder(current),
+            Role::Other => self.follow(current),
+            _ if !is_own => self.step_down(current, actions),
             _ => {}
         }
     }
 
-    /// Whether `record` stands before one that this host has seen.
-    fn is_older(&self, record: &Record) -> bool {
-        let place = |r: &Record| (r.epoch, r.seq);
-        let known = self.stored.as_ref().is_some_and(|s| place(&s.record) > place(record));
-        let heard = self.highest.as_ref().is_some_and(|(epoch, _)| *epoch > record.epoch);
-        let restored = self.role == Role::Other && record.holder != self.me;
-        self.options.guards.epoch && (known || heard) && !restored
+    /// Whether `record` is older than one that this host knows of and must not be followed.
+    fn is_outdated(&self, record: &Record) -> bool {
+        let position = |r: &Record| (r.epoch, r.seq);
+        let is_older_than_stored =
+            self.stored.as_ref().is_some_and(|s| position(&s.record) > position(record));
+        let is_older_than_announced =
+            self.highest_epoch.as_ref().is_some_and(|(epoch, _)| *epoch > record.epoch);
+        let may_follow_older = self.role == Role::Other && record.holder != self.host;
+        self.options.guards.epoch
+            && (is_older_than_stored || is_older_than_announced)
+            && !may_follow_older
     }
 
-    pub(crate) fn wrote(&mut self, version: u64, out: &mut Vec<Action>) {
+    pub(crate) fn write_succeeded(&mut self, version: u64, actions: &mut Vec<Action>) {
         let Some(record) = self.writing.take() else {
             return;
         };
-        self.confirm(VersionedRecord { version, record }, out);
+        self.write_confirmed(VersionedRecord { version, record }, actions);
     }
 
-    /// The record `stored` is known to stand, and this host wrote it.
-    fn confirm(&mut self, stored: VersionedRecord, out: &mut Vec<Action>) {
-        self.lost = None;
+    /// Handles the confirmation that this host's write of `stored` took effect.
+    fn write_confirmed(&mut self, stored: VersionedRecord, actions: &mut Vec<Action>) {
+        self.unconfirmed = None;
         match self.role {
-            Role::Taking => self.hold(stored),
-            Role::Releasing => self.depose(stored, out),
-            Role::Holder => self.recorded(stored, out),
+            Role::Taking => self.become_holder(stored),
+            Role::Releasing => self.step_down(stored, actions),
+            Role::Holder => self.record_written(stored, actions),
             Role::Other => {}
         }
     }
 
-    fn recorded(&mut self, stored: VersionedRecord, out: &mut Vec<Action>) {
+    fn record_written(&mut self, stored: VersionedRecord, actions: &mut Vec<Action>) {
         let claims = &stored.record.claims;
         self.unrecorded.retain(|id| !claims.contains_key(id));
         let claims = claims.clone();
         let (epoch, backup) = (stored.record.epoch, stored.record.backup.clone());
         self.stored = Some(stored);
-        self.grant_pending(|id| claims.contains_key(id), out);
+        self.grant_pending(|id| claims.contains_key(id), actions);
         if self.mode == Mode::Recorded || !self.unrecorded.is_empty() {
             return;
         }
         self.mode = Mode::Recorded;
         if let Some(to) = backup {
             let message = Message::ReleasePromise { epoch, term: self.term };
-            out.push(Action::Send { to, message });
+            actions.push(Action::Send { to, message });
         }
     }
 
-    pub(crate) fn write_lost(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn write_unconfirmed(&mut self, actions: &mut Vec<Action>) {
         let Some(record) = self.writing.take() else {
             return;
         };
-        self.held_back = true;
+        self.is_write_deferred = true;
         match self.role {
             Role::Taking => self.role = Role::Other,
             Role::Holder => {
-                self.lost = Some(record);
-                self.ask_promises(out);
+                self.unconfirmed = Some(record);
+                self.request_promises(actions);
             }
             Role::Releasing | Role::Other => {}
         }
     }
 
-    pub(crate) fn write_refused(&mut self, stored: Option<VersionedRecord>, out: &mut Vec<Action>) {
-        let Some(wrote) = self.writing.take() else {
+    pub(crate) fn write_conflict(
+        &mut self,
+        stored: Option<VersionedRecord>,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(written) = self.writing.take() else {
             return;
         };
-        let Some(new) = stored else {
-            self.held_back = true;
-            return self.lose_record(out);
+        let Some(current) = stored else {
+            self.is_write_deferred = true;
+            return self.record_missing(actions);
         };
-        let own = |r: &Record| r.epoch == new.record.epoch && r.seq == new.record.seq;
-        let ours = new.record.holder == wrote.holder;
-        if ours && (own(&wrote) || self.lost.as_ref().is_some_and(own)) {
-            return self.confirm(new, out);
+        let is_same = |r: &Record| r.epoch == current.record.epoch && r.seq == current.record.seq;
+        let is_ours = current.record.holder == written.holder;
+        if is_ours && (is_same(&written) || self.unconfirmed.as_ref().is_some_and(is_same)) {
+            return self.write_confirmed(current, actions);
         }
-        let mine = new.record.holder == self.me;
-        let older = self.record().is_some_and(|r| new.record.epoch < r.epoch);
+        let is_own = current.record.holder == self.host;
+        let is_older = self.record().is_some_and(|r| current.record.epoch < r.epoch);
         match self.role {
-            Role::Taking if mine && !older => self.hold(new),
+            Role::Taking if is_own && !is_older => self.become_holder(current),
             Role::Taking => {
                 self.role = Role::Other;
-                self.follow(new);
+                self.follow(current);
             }
-            Role::Holder | Role::Releasing if older => self.write_over(new),
-            Role::Holder | Role::Releasing if mine => self.rebase(new),
-            _ => self.depose(new, out),
+            Role::Holder | Role::Releasing if is_older => self.overwrite_restored(current),
+            Role::Holder | Role::Releasing if is_own => self.rebase(current),
+            _ => self.step_down(current, actions),
         }
     }
 
-    /// The platform was restored to an older state: this holder's record goes over it.
-    fn write_over(&mut self, old: VersionedRecord) {
+    /// Prepares to overwrite the record of a platform that was restored to an older state.
+    fn overwrite_restored(&mut self, restored: VersionedRecord) {
         let Some(stored) = &self.stored else { return };
         let mut record = stored.record.clone();
-        record.claims = old.record.claims;
-        record.seq = record.seq.max(old.record.seq);
-        self.rebase(VersionedRecord { version: old.version, record });
+        record.claims = restored.record.claims;
+        record.seq = record.seq.max(restored.record.seq);
+        self.rebase(VersionedRecord { version: restored.version, record });
     }
 
-    /// The platform has no record: it was restored to an older state.
-    fn lose_record(&mut self, out: &mut Vec<Action>) {
+    /// Handles a missing record: the platform was restored to an older state.
+    fn record_missing(&mut self, actions: &mut Vec<Action>) {
         match self.role {
             Role::Taking => self.role = Role::Other,
             Role::Holder => {
                 if let Some(stored) = &mut self.stored {
                     stored.version = 0;
                 }
-                self.ask_promises(out);
+                self.request_promises(actions);
             }
             Role::Releasing | Role::Other => {}
         }
     }
 
-    pub(crate) fn heard(&mut self, epoch: u64, holder: HostId, out: &mut Vec<Action>) {
-        if self.highest.as_ref().is_none_or(|(e, _)| epoch > *e) {
-            self.highest = Some((epoch, holder.clone()));
+    pub(crate) fn epoch_announced(
+        &mut self,
+        epoch: u64,
+        holder: HostId,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.highest_epoch.as_ref().is_none_or(|(e, _)| epoch > *e) {
+            self.highest_epoch = Some((epoch, holder.clone()));
         }
-        let known = self.record().map_or(0, |r| r.epoch);
-        let held = matches!(self.role, Role::Holder | Role::Releasing);
-        if epoch <= known || !held || holder == self.me || self.writing.is_some() {
+        let known_epoch = self.record().map_or(0, |r| r.epoch);
+        let is_holder = matches!(self.role, Role::Holder | Role::Releasing);
+        if epoch <= known_epoch || !is_holder || holder == self.host || self.writing.is_some() {
             return;
         }
         let Some(stored) = &self.stored else { return };
-        let mut new = stored.clone();
-        new.record.epoch = epoch;
-        new.record.holder = holder;
-        self.depose(new, out);
+        let mut current = stored.clone();
+        current.record.epoch = epoch;
+        current.record.holder = holder;
+        self.step_down(current, actions);
     }
 
-    /// Stops holding the slot, tells the present holder what this host knows, and sends those
-    /// who wait there.
-    fn depose(&mut self, stored: VersionedRecord, out: &mut Vec<Action>) {
+    /// Stops holding the slot, hands its state over to the present holder, and redirects waiting
+    /// attempts there.
+    fn step_down(&mut self, stored: VersionedRecord, actions: &mut Vec<Action>) {
         let holder = stored.record.holder.clone();
-        let pending: Vec<Id> = self.ids_where(|s| matches!(s, State::Pending(..)));
+        let pending: Vec<Id> = self.ids_in_state(|s| matches!(s, State::Pending(..)));
         for id in pending {
-            self.refuse_pending(id, Reply::NotHolder(Some(holder.clone())), out);
+            self.refuse_pending(id, Reply::NotHolder(Some(holder.clone())), actions);
         }
         let message = self.handover_message();
-        self.turn_waiters_away(&holder, out);
-        out.push(Action::Send { to: holder.clone(), message: message.clone() });
+        self.redirect_waiters(&holder, actions);
+        actions.push(Action::Send { to: holder.clone(), message: message.clone() });
         self.handover = Some((holder, message));
         self.role = Role::Other;
         self.mode = Mode::Recorded;
         self.claims.clear();
         self.unrecorded.clear();
         self.unresolved.clear();
-        self.lost = None;
-        self.heir = None;
-        self.stale = false;
+        self.unconfirmed = None;
+        self.successor = None;
+        self.needs_write = false;
         self.stored = Some(stored);
     }
 
-    fn ids_where(&self, test: impl Fn(&State) -> bool) -> Vec<Id> {
+    fn ids_in_state(&self, test: impl Fn(&State) -> bool) -> Vec<Id> {
         self.claims.iter().filter(|(_, c)| test(&c.state)).map(|(id, _)| *id).collect()
     }
 
@@ -283,43 +300,44 @@
         Message::Handover { claims, running, answers }
     }
 
-    fn turn_waiters_away(&mut self, holder: &HostId, out: &mut Vec<Action>) {
+    fn redirect_waiters(&mut self, holder: &HostId, actions: &mut Vec<Action>) {
         for (id, claim) in &mut self.claims {
             for ticket in std::mem::take(&mut claim.waiters) {
                 let reply = Reply::NotHolder(Some(holder.clone()));
-                out.push(Action::Reply { ticket, id: *id, reply });
+                actions.push(Action::Reply { ticket, id: *id, reply });
             }
         }
     }
 
-    /// A process is proved to have ended: it grants no more and runs nothing more.
-    pub(crate) fn ended(&mut self, now: Tick, host: &HostId, out: &mut Vec<Action>) {
-        self.unreachable(host, out);
+    /// Handles proof that a process has ended: it grants no ids and runs no attempts any more.
+    pub(crate) fn host_ended(&mut self, now: Tick, host: &HostId, actions: &mut Vec<Action>) {
+        self.unreachable(host, actions);
         if let Some(until) = self.unresolved.get_mut(host)
             && until.is_none()
         {
-            *until = Some(now.0.saturating_add(self.options.retention_ms + CLOCK_SKEW));
-            self.stale = true;
+            *until = Some(now.0.saturating_add(self.options.retention_ms + MAX_CLOCK_SKEW_MS));
+            self.needs_write = true;
         }
         if self.handover.as_ref().is_some_and(|(to, _)| to == host) {
             self.handover = None;
         }
-        // A backup that has ended may have taken the slot over before: its end is no promise.
+        // A backup that has ended may have taken the slot over before, so its end doesn't replace its
+        // promise.
     }
 
     pub(crate) fn set_backup(&mut self, backup: Option<HostId>) {
-        let backup = backup.filter(|d| *d != self.me);
+        let backup = backup.filter(|b| *b != self.host);
         if self.role == Role::Holder && self.backup != backup {
             self.backup = backup;
-            self.stale = true;
+            self.needs_write = true;
         }
     }
 
     pub(crate) fn release(&mut self, to: HostId, backup: Option<HostId>) {
-        let idle = self.writing.is_none() && self.mode == Mode::Recorded;
-        if self.role == Role::Holder && idle && to != self.me {
+        let is_idle = self.writing.is_none() && self.mode == Mode::Recorded;
+        if self.role == Role::Holder && is_idle && to != self.host {
             self.role = Role::Releasing;
-            self.heir = Some((to.clone(), backup.filter(|d| *d != to)));
+            self.successor = Some((to.clone(), backup.filter(|b| *b != to)));
         }
     }
 }
--- a/crates/claim/tests/succession.rs
+++ b/crates/claim/tests/succession.rs
@@ -1,4 +1,4 @@
-//! What an earlier holder keeps, and what it never follows again.
+//! Tests of what an earlier holder keeps, and which records it no longer follows.
 
 use std::collections::BTreeMap;
 use vanetally_claim::{
@@ -18,7 +18,7 @@
     seq: u64,
     holder: &str,
     backup: &str,
-    doubt: Option<&str>,
+    unresolved: Option<&str>,
 ) -> VersionedRecord {
     let record = Record {
         epoch,
@@ -27,7 +27,7 @@
         seq,
         claims: BTreeMap::new(),
         expired_until: 0,
-        unresolved: doubt.map(|d| (host(d), None)).into_iter().collect(),
+        unresolved: unresolved.map(|name| (host(name), None)).into_iter().collect(),
     };
     VersionedRecord { version: seq, record }
 }
@@ -45,7 +45,7 @@
     slot
 }
 
-fn ask(id: u128) -> Event {
+fn request(id: u128) -> Event {
     let ticket = Ticket { entry: host("entry"), number: 1 };
     Event::Request(ClaimRequest { id: Id(id), deadline: 10, ticket })
 }
@@ -56,13 +56,13 @@
     Event::Message { from: host("a"), message }
 }
 
-fn is_seen(actions: &[Action]) -> bool {
-    let seen = |a: &Action| matches!(a, Action::Send { message: Message::HandoverAck, .. });
-    actions.iter().any(seen)
+fn has_ack(actions: &[Action]) -> bool {
+    let is_ack = |a: &Action| matches!(a, Action::Send { message: Message::HandoverAck, .. });
+    actions.iter().any(is_ack)
 }
 
-/// Host a hears that c holds the slot, c confirms its handover, then an old read arrives.
-fn role_after_old_read(guards: Guards) -> Role {
+/// Host a learns that c holds the slot, c acknowledges the handover, then an outdated read arrives.
+fn role_after_outdated_read(guards: Guards) -> Role {
     let mut a = slot("a", guards, stored(1, 1, "a", "b", None));
     a.handle(NOW, Event::EpochAnnounced { epoch: 2, holder: host("c") });
     a.handle(NOW, Event::Message { from: host("c"), message: Message::HandoverAck });
@@ -71,28 +71,28 @@
 }
 
 #[test]
-fn old_read() {
-    assert_eq!(role_after_old_read(Guards::ON), Role::Other);
+fn outdated_read() {
+    assert_eq!(role_after_outdated_read(Guards::ON), Role::Other);
     let off = Guards { epoch: false, ..Guards::ON };
-    assert_eq!(role_after_old_read(off), Role::Holder, "the guard matters");
+    assert_eq!(role_after_outdated_read(off), Role::Holder, "differs without the guard");
 }
 
 #[test]
-fn late_confirmation() {
+fn ack_after_recording() {
     let mut c = slot("c", Guards::ON, stored(2, 2, "c", "a", Some("a")));
-    assert!(!is_seen(&c.handle(NOW, handover())), "nothing is written yet");
+    assert!(!has_ack(&c.handle(NOW, handover())), "the claim is not recorded yet");
     c.handle(NOW, Event::Written { version: 3 });
-    assert!(is_seen(&c.handle(NOW, handover())), "the record has it");
+    assert!(has_ack(&c.handle(NOW, handover())), "the record contains the claim");
     let off = Guards { handover: false, ..Guards::ON };
     let mut c = slot("c", off, stored(2, 2, "c", "a", Some("a")));
-    assert!(is_seen(&c.handle(NOW, handover())), "the guard matters");
+    assert!(has_ack(&c.handle(NOW, handover())), "differs without the guard");
 }
 
 #[test]
 fn returning_holder() {
-    // Host a granted id 1 from memory, lost the slot, and takes it back before that is recorded.
+    // Host a granted id 1 from memory, lost the slot, and takes it over again before id 1 is recorded.
     let mut a = slot("a", Guards::ON, stored(1, 1, "a", "b", None));
-    a.handle(NOW, ask(1));
+    a.handle(NOW, request(1));
     a.handle(NOW, Event::WriteUnconfirmed);
     let message = Message::Promise { epoch: 1, term: 1, given: true };
     let granted = a.handle(NOW, Event::Message { from: host("b"), message });
@@ -103,7 +103,7 @@
     a.handle(NOW, Event::TakeOver { backup: None });
     a.handle(NOW, Event::Written { version: 3 });
     assert_eq!(a.role(), Role::Holder);
-    let again = a.handle(NOW, ask(1));
-    let refused = |g: &Action| matches!(g, Action::Reply { reply: Reply::MayHaveRun, .. });
-    assert!(again.iter().any(refused), "{again:?}");
+    let repeated = a.handle(NOW, request(1));
+    let is_refused = |g: &Action| matches!(g, Action::Reply { reply: Reply::MayHaveRun, .. });
+    assert!(repeated.iter().any(is_refused), "{repeated:?}");
 }
