--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -1,24 +1,25 @@
-//! The planner: demand over time, the last placement, and the limits of moves.
+//! The planner: keeps the demand, the last placement and the rate limit of loads.
 
 use crate::{Demand, Input, Options, Placement, PlacementBuilder};
 use vanetally_types::{Name, Tick};
 
-/// Limits of the weight store and weights of the plan.
+/// Limits of the weight store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreLimits {
-    /// Loads started in 10 seconds.
+    /// Maximum number of loads started in 10 seconds.
     pub loads_per_10s: u32,
-    /// Loads at once.
+    /// Maximum number of concurrent loads.
     pub concurrent_loads: u32,
 }
 
-/// Keeps demand and makes placements no faster than the weight store allows.
+/// Plans placements by demand, with no more loads than the weight store allows.
 #[derive(Clone, Debug)]
 pub struct Planner {
     /// Demand by target.
     pub demand: Demand,
-    tokens: f64,
-    at: Tick,
+    /// Tokens of the rate limit: the number of loads that may be planned now.
+    load_tokens: f64,
+    updated_at: Tick,
     placement: Placement,
 }
 
@@ -26,18 +27,18 @@
     fn default() -> Self {
         Self {
             demand: Demand::default(),
-            tokens: f64::from(BURST),
-            at: Tick::default(),
+            load_tokens: f64::from(MAX_BURST),
+            updated_at: Tick::default(),
             placement: Placement::new(),
         }
     }
 }
 
-/// Loads that may be ordered at once after a quiet time.
-const BURST: u32 = 4;
+/// Maximum number of loads at once after an idle period.
+const MAX_BURST: u32 = 4;
 
 impl Planner {
-    /// What the last plan says that `runner` should hold.
+    /// Returns the entries that `runner` should hold according to the last plan.
     pub fn planned(&self, runner: &Name) -> Option<&std::collections::BTreeSet<Name>> {
         self.placement.get(runner)
     }
@@ -47,37 +48,40 @@
         &self.placement
     }
 
-    /// Makes a plan. `loading` loads are under way now; they count against the store's slots.
+    /// Makes a plan. `running_loads` loads are in progress and count against the concurrent ones.
     pub fn plan(
         &mut self,
         now: Tick,
         input: &Input,
         limits: StoreLimits,
-        loading: usize,
+        running_loads: usize,
         move_price: f64,
     ) -> &Placement {
         let rate = f64::from(limits.loads_per_10s) / 10_000.0;
-        let most = f64::from(limits.concurrent_loads.min(BURST.max(limits.loads_per_10s / 10)));
-        self.tokens = (self.tokens + now.since(self.at) as f64 * rate).min(most);
-        self.at = now;
-        let slots = (limits.concurrent_loads as usize).saturating_sub(loading);
+        let max_tokens =
+            f64::from(limits.concurrent_loads.min(MAX_BURST.max(limits.loads_per_10s / 10)));
+        self.load_tokens =
+            (self.load_tokens + now.since(self.updated_at) as f64 * rate).min(max_tokens);
+        self.updated_at = now;
+        let free_slots = (limits.concurrent_loads as usize).saturating_sub(running_loads);
         let options = Options {
             move_price,
-            horizon_s: HORIZON_SECONDS,
-            target_utilization: TARGET,
-            max_loads: (self.tokens as usize).min(slots),
+            horizon_s: HORIZON_S,
+            target_utilization: TARGET_UTILIZATION,
+            max_loads: (self.load_tokens as usize).min(free_slots),
         };
-        let before: usize = input.runners.iter().map(|r| r.entries.len()).sum();
+        let entries_before: usize = input.runners.iter().map(|r| r.entries.len()).sum();
         let placement = PlacementBuilder::from_input(input, options).build();
-        let after: usize = placement.values().map(|held| held.len()).sum();
-        self.tokens = (self.tokens - after.saturating_sub(before) as f64).max(0.0);
+        let entries_after: usize = placement.values().map(|held| held.len()).sum();
+        self.load_tokens =
+            (self.load_tokens - entries_after.saturating_sub(entries_before) as f64).max(0.0);
         self.placement = placement;
         &self.placement
     }
 }
 
-/// How long a move is expected to pay.
-const HORIZON_SECONDS: f64 = 60.0;
+/// Time over which a move must pay for itself.
+const HORIZON_S: f64 = 60.0;
 
-/// Busy share of a runner above which its entries get further replicas.
-const TARGET: f64 = 0.7;
+/// Utilization of a runner above which its entries get more replicas.
+const TARGET_UTILIZATION: f64 = 0.7;
--- a/crates/plan/tests/placement.rs
+++ b/crates/plan/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Every entry gets a place, memory fits, and moves have to pay.
+//! Tests that every entry is placed, memory is not overcommitted and moves pay for themselves.
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use std::collections::BTreeSet;
@@ -40,22 +40,22 @@
 }
 
 #[test]
-fn spread_domains() {
+fn replicas_spread_over_domains() {
     let entries = vec![entry(0, 30, 30.0, 6)];
     let input = Input { entries, runners: (0..6).map(|n| runner(n, &[])).collect() };
     let placement = place(&input);
-    let used: BTreeSet<&Name> = input
+    let used_domains: BTreeSet<&Name> = input
         .runners
         .iter()
         .filter(|r| placement[&r.name].contains("m0"))
         .map(|r| &r.domain)
         .collect();
-    assert_eq!(used.len(), 3, "{placement:?}");
+    assert_eq!(used_domains.len(), 3, "{placement:?}");
 }
 
 #[test]
-fn idle_stays() {
-    // Nothing is overloaded or worth a second replica: what is resident stays, however unevenly.
+fn resident_entries_stay() {
+    // Nothing is overloaded or worth a second replica: resident entries stay, even if unbalanced.
     let entries = vec![entry(0, 30, 0.1, 2), entry(1, 30, 0.1, 2)];
     let runners = vec![runner(0, &["m0", "m1"]), runner(1, &["m0"])];
     let placement = place(&Input { entries, runners });
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn second_domain() {
-    // An entry that is asked for gets a second replica in another domain, if memory is free.
+fn second_replica_in_other_domain() {
+    // A requested entry gets a second replica in another domain if memory is free.
     let entries = vec![entry(0, 30, 1.0, 4), entry(1, 80, 1.0, 4)];
     let runners = vec![runner(0, &["m0"]), runner(3, &[]), runner(1, &["m1"]), runner(2, &[])];
     let placement = place(&Input { entries, runners });
@@ -75,26 +75,26 @@
 }
 
 #[test]
-fn price_holds() {
-    let input = |move_price| {
+fn moves_must_pay() {
+    let place_at = |move_price| {
         let entries = vec![entry(0, 30, 9.0, 2)];
         let input = Input { entries, runners: vec![runner(0, &["m0"]), runner(1, &[])] };
         PlacementBuilder::from_input(&input, Options { move_price, ..OPTIONS }).build()
     };
-    assert_eq!(replicas(&input(1.0), "m0"), 2, "a cheap move pays");
-    assert_eq!(replicas(&input(10_000.0), "m0"), 1, "a dear one does not");
+    assert_eq!(replicas(&place_at(1.0), "m0"), 2, "a cheap move pays");
+    assert_eq!(replicas(&place_at(10_000.0), "m0"), 1, "an expensive one does not");
 }
 
 #[test]
-fn last_replica() {
-    // The new entry has room only where another entry has its only replica.
+fn last_replica_kept() {
+    // The new entry fits only where another entry has its only replica.
     let entries = vec![entry(0, 80, 0.1, 1), entry(1, 80, 9.0, 1)];
     let placement = place(&Input { entries, runners: vec![runner(0, &["m0"])] });
     assert_eq!((replicas(&placement, "m0"), replicas(&placement, "m1")), (1, 0));
 }
 
 #[test]
-fn adapter_base() {
+fn adapter_placed_with_base() {
     let mut adapter = entry(1, 5, 1.0, 2);
     adapter.base = Some("m0".into());
     let runners = vec![runner(0, &[]), runner(1, &[])];
@@ -104,8 +104,8 @@
 }
 
 #[test]
-fn early_rise() {
-    // Demand rises tenfold: after three seconds most of it is believed.
+fn rising_demand_detected() {
+    // Demand rises tenfold: after three seconds the estimate includes a large part of the rise.
     let mut demand = Demand::default();
     let target: Name = "m".into();
     let mut at = 0;
@@ -124,14 +124,14 @@
     assert!(after > 2.5 * before, "{after} after {before}");
 }
 
-/// The same cases every time, so that the verdict is the same.
-fn fixed() -> ProptestConfig {
+/// Uses a fixed seed, so that the result is reproducible.
+fn fixed_seed() -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(1);
     ProptestConfig { rng_seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(fixed_seed())]
 
     #[test]
     fn memory_fits(
@@ -142,10 +142,10 @@
         let entries: Vec<Entry> =
             sizes.iter().enumerate().map(|(n, (size, load))| entry(n, *size, *load, count)).collect();
         let mut runners = Vec::new();
-        for (n, wanted) in held.iter().enumerate() {
+        for (n, resident) in held.iter().enumerate() {
             let mut runner = runner(n, &[]);
             let mut free = 100;
-            for e in wanted.iter().filter(|e| **e < entries.len()) {
+            for e in resident.iter().filter(|e| **e < entries.len()) {
                 if entries[*e].size <= free && runner.entries.insert(entries[*e].id.clone()) {
                     free -= entries[*e].size;
                 }
@@ -155,8 +155,8 @@
         let before: BTreeSet<Name> = runners.iter().flat_map(|r| r.entries.clone()).collect();
         let placement = place(&Input { entries: entries.clone(), runners });
         for held in placement.values() {
-            let taken: u64 = entries.iter().filter(|e| held.contains(&e.id)).map(|e| e.size).sum();
-            prop_assert!(taken <= 100, "{placement:?}");
+            let used_bytes: u64 = entries.iter().filter(|e| held.contains(&e.id)).map(|e| e.size).sum();
+            prop_assert!(used_bytes <= 100, "{placement:?}");
         }
         for name in before {
             prop_assert!(replicas(&placement, &name) > 0, "{name} lost its last replica");
