--- a/crates/placement/src/weights.rs
+++ b/crates/placement/src/weights.rs
@@ -1,30 +1,30 @@
-//! Weights come and go as the plan says, within the weight store's rate.
+//! Loads and unloads weights as planned, within the weight store's load limit.
 
 use crate::{
-    Action, Ceiling, Placement, Room,
-    census::Basis,
+    Action, Fit, LoadLimit, Placement,
+    inventory::PlanInput,
     machine::announce,
-    plan::{Round, Step},
+    plan::{PlanningRound, Step},
 };
 use vanetally_ports::{EngineSpec, FencingToken, Operation, Subject};
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// A new holder waits this long for the reports of all runners, in milliseconds.
-const REPORTS_MS: u64 = 700;
+/// How long a new holder waits for the reports of all runners.
+const REPORT_WAIT_MS: u64 = 700;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// Steps of one round of the plan.
-const MOST_STEPS: usize = 16;
-/// Room that could not be made within this time is given up, in milliseconds: an unload waits for
-/// its runs.
-const RESERVED_MS: u64 = 10_000;
+/// Maximum number of steps per planning round.
+const MAX_STEPS: usize = 16;
+/// A reservation is dropped if its memory is not free after this time. An unload waits for running
+/// requests.
+const RESERVATION_TIMEOUT_MS: u64 = 10_000;
 
-/// Room that is being made on a runner.
+/// Memory that is being freed on a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Reservation {
-    /// The model that it is for.
+    /// The model to be loaded there.
     pub model: Name,
-    /// Since when.
+    /// When the reservation was made.
     pub since: Tick,
 }
 
@@ -38,41 +38,46 @@
         actions: &mut Vec<Action>,
     ) {
         self.use_reserved(now, token, service, engine, actions);
-        let from_store = self.store_room(now, service, engine);
-        let round = Round::new(self.basis(now, service, engine));
-        for step in round.steps(MOST_STEPS, from_store) {
-            self.take_step(now, token, service, step, actions);
+        let store_loads = self.remaining_store_loads(now, service, engine);
+        let round = PlanningRound::new(self.plan_input(now, service, engine));
+        for step in round.steps(MAX_STEPS, store_loads) {
+            self.apply_step(now, token, service, step, actions);
         }
     }
 
-    fn basis<'a>(&'a self, now: Tick, service: &'a Name, engine: &'a EngineSpec) -> Basis<'a> {
-        Basis {
+    fn plan_input<'a>(
+        &'a self,
+        now: Tick,
+        service: &'a Name,
+        engine: &'a EngineSpec,
+    ) -> PlanInput<'a> {
+        PlanInput {
             now,
             service,
             engine,
             demand: &self.demand,
-            crowded: &self.crowded,
-            cramped: &self.cramped,
+            saturated: &self.saturated,
+            adapter_full: &self.adapter_full,
             ledgers: &self.ledgers,
-            closing: &self.closing,
+            pending_unloads: &self.pending_unloads,
             reserved: &self.reserved,
         }
     }
 
-    /// How many more loads from the weight store may begin.
-    fn store_room(&mut self, now: Tick, service: &Name, engine: &EngineSpec) -> usize {
-        let unsettled = self.ledgers.values().filter(|l| l.has_lost_load()).count();
-        let window = self.options.window_ms;
-        if !self.ceilings.contains_key(service)
-            && let Some(ceiling) = self.first_ceiling(now, service, engine, window)
+    /// Returns how many more loads from the weight store may start.
+    fn remaining_store_loads(&mut self, now: Tick, service: &Name, engine: &EngineSpec) -> usize {
+        let unanswered = self.ledgers.values().filter(|l| l.has_lost_load()).count();
+        let window = self.options.load_window_ms;
+        if !self.load_limits.contains_key(service)
+            && let Some(load_limit) = self.initial_load_limit(now, service, engine, window)
         {
-            self.ceilings.insert(service.clone(), ceiling);
+            self.load_limits.insert(service.clone(), load_limit);
         }
-        let ceiling = self.ceilings.get_mut(service);
-        ceiling.map_or(0, |ceiling| ceiling.room(now, unsettled))
+        let load_limit = self.load_limits.get_mut(service);
+        load_limit.map_or(0, |load_limit| load_limit.remaining(now, unanswered))
     }
 
-    /// Orders the loads for which room was made; gives up the room that is not needed any more.
+    /// Orders the loads for which memory was freed, and drops reservations that are no longer needed.
     fn use_reserved(
         &mut self,
         now: Tick,
@@ -84,63 +89,72 @@
         if self.reserved.is_empty() {
             return;
         }
-        let reserved: Vec<(Incarnation, Reservation)> =
-            self.reserved.iter().map(|(runner, one)| (runner.clone(), one.clone())).collect();
-        let round = Round::new(self.basis(now, service, engine));
-        let is_needed = |one: &Reservation| round.is_needy(&one.model, 1);
-        let reserved: Vec<_> =
-            reserved.into_iter().map(|(runner, one)| (runner, is_needed(&one), one)).collect();
+        let reserved: Vec<(Incarnation, Reservation)> = self
+            .reserved
+            .iter()
+            .map(|(runner, reservation)| (runner.clone(), reservation.clone()))
+            .collect();
+        let round = PlanningRound::new(self.plan_input(now, service, engine));
+        let is_needed = |reservation: &Reservation| round.needs_more(&reservation.model, 1);
+        let reserved: Vec<_> = reserved
+            .into_iter()
+            .map(|(runner, reservation)| (runner, is_needed(&reservation), reservation))
+            .collect();
         for (runner, is_needed, Reservation { model, since }) in reserved {
             let Some(ledger) = self.ledgers.get(&runner) else {
                 self.reserved.remove(&runner);
                 continue;
             };
-            let is_closing = self.closing.keys().any(|(closing, _)| *closing == runner);
-            if ledger.state.service != *service || is_closing {
+            let is_unloading =
+                self.pending_unloads.keys().any(|(unloading, _)| *unloading == runner);
+            if ledger.state.service != *service || is_unloading {
                 continue;
             }
-            let is_open = ledger.next_count().is_some();
-            let has_room = ledger.room_for_model(engine, &model) == Room::Fits;
-            let is_at_hand = ledger.has_at_hand(&model);
-            // Room that was not made, or is not needed any more, is given up.
-            let is_failed = is_open && !has_room;
-            if is_failed || !is_needed || now.since(since) > RESERVED_MS {
+            let can_order = ledger.next_count().is_some();
+            let has_room = ledger.model_fit(engine, &model) == Fit::Fits;
+            let has_copy = ledger.has_local_copy(&model);
+            // Drops reservations whose memory was not freed or is no longer needed.
+            let has_failed = can_order && !has_room;
+            if has_failed || !is_needed || now.since(since) > RESERVATION_TIMEOUT_MS {
                 self.reserved.remove(&runner);
-            } else if is_open && (is_at_hand || self.store_room(now, service, engine) > 0) {
+            } else if can_order
+                && (has_copy || self.remaining_store_loads(now, service, engine) > 0)
+            {
                 self.reserved.remove(&runner);
                 let subject = Subject { model: model.clone(), adapter: None };
-                let from_store = !is_at_hand;
+                let from_store = !has_copy;
                 let step = Step { runner, operation: Operation::Load, subject, model, from_store };
-                self.take_step(now, token, service, step, actions);
+                self.apply_step(now, token, service, step, actions);
             }
         }
     }
 
-    /// The ceiling of a new holder; none while too few runners have reported.
+    /// Returns the load limit of a new holder, or `None` while too few runners have reported.
     ///
-    /// What an earlier holder began is seen from the runners: where loads from the weight store take
-    /// longer than its window, those of the window are still under way.
-    fn first_ceiling(
+    /// Where every load from the weight store takes longer than the window, the loads that an earlier
+    /// holder started within the window are still running and show in the runners' reports.
+    fn initial_load_limit(
         &self,
         now: Tick,
         service: &Name,
         engine: &EngineSpec,
         window_ms: u64,
-    ) -> Option<Ceiling> {
+    ) -> Option<LoadLimit> {
         let own = || self.ledgers.values().filter(|l| l.state.service == *service);
-        let silent = own().filter(|ledger| !ledger.is_known() && !ledger.state.draining).count();
-        if silent > 0 && now.since(self.token_since) < REPORTS_MS {
+        let unreported =
+            own().filter(|ledger| !ledger.is_known() && !ledger.state.draining).count();
+        if unreported > 0 && now.since(self.token_since) < REPORT_WAIT_MS {
             return None;
         }
         let shortest = engine.models.values().map(|spec| spec.load_s).fold(f64::MAX, f64::min);
-        let outlasts = shortest * MILLIS_PER_SECOND > (window_ms + REPORTS_MS) as f64;
-        let begun = own().filter(|ledger| ledger.has_unknown_order()).count() + silent;
-        let begun = outlasts.then_some(begun);
-        Some(Ceiling::new(now, engine.loads_per_s, window_ms, begun))
+        let outlasts_window = shortest * MILLIS_PER_SECOND > (window_ms + REPORT_WAIT_MS) as f64;
+        let started = own().filter(|ledger| ledger.has_unknown_order()).count() + unreported;
+        let started = outlasts_window.then_some(started);
+        Some(LoadLimit::new(now, engine.loads_per_s, window_ms, started))
     }
 
-    /// Carries a step out, or begins to.
-    fn take_step(
+    /// Orders the load of a step, or announces its unload to be ordered later.
+    fn apply_step(
         &mut self,
         now: Tick,
         token: FencingToken,
@@ -152,13 +166,13 @@
             actions.push(announce(&step.runner, &step.subject, false, 0));
             let reservation = Reservation { model: step.model, since: now };
             self.reserved.insert(step.runner.clone(), reservation);
-            self.closing.insert((step.runner, step.subject), now);
+            self.pending_unloads.insert((step.runner, step.subject), now);
             return;
         }
         if step.from_store
-            && let Some(ceiling) = self.ceilings.get_mut(service)
+            && let Some(load_limit) = self.load_limits.get_mut(service)
         {
-            ceiling.begin(now);
+            load_limit.record_start(now);
         }
         self.order(now, token, &step.runner, Operation::Load, step.subject, actions);
     }
