--- a/crates/dispatch/src/access.rs
+++ b/crates/dispatch/src/access.rs
@@ -11,9 +11,9 @@
 /// Where keys that were taken away must not be used, a host uses those that it knows only for this share of the
 /// time allowed since the store confirmed them: a request that was judged may wait for a tenth of that time before
 /// its first byte leaves.
-const CONFIRMED_SHARE: f64 = 0.9;
+const CONFIRMATION_SHARE: f64 = 0.9;
 /// When to come back to a host that can't tell whether a key holds, in milliseconds: another one may.
-const UNCONFIRMED_RETRY_MS: u64 = 500;
+const UNCONFIRMED_RETRY_AFTER_MS: u64 = 500;
 
 /// The organisations of one configuration, by key.
 #[derive(Clone, Debug, Default)]
@@ -93,8 +93,8 @@
 
     /// Why a request that has arrived must not be sent now, if anything bars it: keys and contents are judged anew
     /// at each sending.
-    pub(crate) fn bar(&self, now: Tick, request: &Request) -> Option<Refusal> {
-        if let Some(rest_ms) = self.held.remaining_ms(now, request.content_hash) {
+    pub(crate) fn send_refusal(&self, now: Tick, request: &Request) -> Option<Refusal> {
+        if let Some(rest_ms) = self.quarantine.remaining_ms(now, request.content_hash) {
             return Some(Refusal::not_run(RefusalCause::Quarantined, Some(rest_ms)));
         }
         let key = request.access.key?;
@@ -113,8 +113,8 @@
         let Some(revoke_ms) = self.options.revoke_ms else {
             return true;
         };
-        let most = (revoke_ms as f64 * CONFIRMED_SHARE) as u64;
-        self.confirmed.is_some_and(|at| now.since(at) <= most)
+        let most = (revoke_ms as f64 * CONFIRMATION_SHARE) as u64;
+        self.confirmed_at.is_some_and(|at| now.since(at) <= most)
     }
 
     /// Whether requests that bear keys can be served.
@@ -124,5 +124,5 @@
 }
 
 fn unconfirmed() -> Refusal {
-    Refusal::not_run(RefusalCause::Unconfirmed, Some(UNCONFIRMED_RETRY_MS))
+    Refusal::not_run(RefusalCause::Unconfirmed, Some(UNCONFIRMED_RETRY_AFTER_MS))
 }
--- a/crates/dispatch/src/answers.rs
+++ b/crates/dispatch/src/answer_times.rs
@@ -2,16 +2,16 @@
 
 /// The mean of the last answers, from the sending to the end.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Answers {
+pub(crate) struct AnswerTimes {
     mean_ms: Option<f64>,
 }
 
 /// Weight of one answer in the mean.
 const WEIGHT: f64 = 0.1;
 
-impl Answers {
+impl AnswerTimes {
     /// An answer was whole after `took_ms`.
-    pub(crate) fn learn(&mut self, took_ms: u64) {
+    pub(crate) fn record(&mut self, took_ms: u64) {
         let took_ms = took_ms as f64;
         let mean = self.mean_ms.map_or(took_ms, |mean| mean + WEIGHT * (took_ms - mean));
         self.mean_ms = Some(mean);
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -20,28 +20,28 @@
     options: RetryBudgetOptions,
     hosts: usize,
     requests: VecDeque<Tick>,
-    repeats: VecDeque<Tick>,
+    retries: VecDeque<Tick>,
 }
 
 /// Share of the bound that is used: clocks and windows of hosts don't line up.
-const SAFETY: f64 = 0.8;
+const SAFETY_FACTOR: f64 = 0.8;
 
 /// Hosts that may live beside those that are known.
-const UNKNOWN_HOSTS: usize = 2;
+const SPARE_HOSTS: usize = 2;
 
 impl RetryBudget {
     /// An untouched budget.
     pub fn new(options: RetryBudgetOptions) -> Self {
-        Self { options, hosts: 1, requests: VecDeque::new(), repeats: VecDeque::new() }
+        Self { options, hosts: 1, requests: VecDeque::new(), retries: VecDeque::new() }
     }
 
     /// The slack is shared by `hosts` that may live.
-    pub fn share_among(&mut self, hosts: usize) {
+    pub fn set_hosts(&mut self, hosts: usize) {
         self.hosts = hosts.max(1);
     }
 
     /// A request arrived.
-    pub fn earn(&mut self, now: Tick) {
+    pub fn record_request(&mut self, now: Tick) {
         self.forget(now);
         self.requests.push_back(now);
     }
@@ -49,23 +49,23 @@
     /// Whether a repeat is allowed now; takes it from the budget.
     pub fn try_spend(&mut self, now: Tick) -> bool {
         self.forget(now);
-        let slack = self.options.slack / (self.hosts + UNKNOWN_HOSTS) as f64;
-        let most = SAFETY * (self.options.ratio * self.requests.len() as f64 + slack);
-        if (self.repeats.len() + 1) as f64 > most {
+        let slack = self.options.slack / (self.hosts + SPARE_HOSTS) as f64;
+        let allowed = SAFETY_FACTOR * (self.options.ratio * self.requests.len() as f64 + slack);
+        if (self.retries.len() + 1) as f64 > allowed {
             return false;
         }
-        self.repeats.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
     fn forget(&mut self, now: Tick) {
         let window = self.options.window_ms;
-        let is_old = |at: &Tick| now.since(*at) > window;
-        while self.requests.front().is_some_and(is_old) {
+        let is_expired = |at: &Tick| now.since(*at) > window;
+        while self.requests.front().is_some_and(is_expired) {
             self.requests.pop_front();
         }
-        while self.repeats.front().is_some_and(is_old) {
-            self.repeats.pop_front();
+        while self.retries.front().is_some_and(is_expired) {
+            self.retries.pop_front();
         }
     }
 }
--- a/crates/dispatch/src/choice.rs
+++ b/crates/dispatch/src/choice.rs
@@ -8,11 +8,11 @@
 pub(crate) struct Choice {
     pub upstream: Incarnation,
     /// What is expected there.
-    pub expected: Expected,
+    pub expected: ReadEstimate,
     /// Whether the engine's pacer has to hear of the answer.
     pub is_trial: bool,
     /// What it takes from all hosts, if it is in need.
-    pub limit: Option<Limit>,
+    pub limit: Option<ChosenLimit>,
 }
 
 impl Choice {
@@ -28,7 +28,7 @@
     }
 
     /// The same choice; whether the request would wait for it if it is in need.
-    pub(crate) fn waiting(mut self, may_wait: bool) -> Self {
+    pub(crate) fn with_may_wait(mut self, may_wait: bool) -> Self {
         if let Some(limit) = &mut self.limit {
             limit.may_wait = may_wait;
         }
@@ -38,7 +38,7 @@
 
 /// An upstream in need that was chosen.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Limit {
+pub(crate) struct ChosenLimit {
     /// Requests a second that it takes.
     pub rate: f64,
     /// Whether the request would wait for it: nobody else could take it.
@@ -49,9 +49,9 @@
 
 /// What an upstream has to read before a request's first piece.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Expected {
+pub(crate) struct ReadEstimate {
     /// Tokens of the request's own prompt that the upstream has not read before.
-    pub unread: u32,
+    pub unread_tokens: u32,
     /// Milliseconds of reading for others.
     pub ahead_ms: u32,
 }
--- a/crates/dispatch/src/rest.rs
+++ b/crates/dispatch/src/cooldown.rs
@@ -1,4 +1,4 @@
-//! Rest that an upstream has asked this host for.
+//! Cooldown that an upstream has asked this host for.
 //!
 //! An upstream that turns a request away may want nothing from this host for some seconds. After that one request goes
 //! first: only when it is answered all others follow, since the upstream may want more rest.
@@ -7,10 +7,10 @@
 
 /// Whether an upstream rests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Rest {
+pub(crate) enum Cooldown {
     /// It takes requests.
     #[default]
-    Over,
+    Inactive,
     /// It wants nothing before this; then a first request may go.
     Until(Tick),
     /// The first request after its rest went out then.
@@ -18,17 +18,17 @@
 }
 
 /// The longest rest that is kept, in milliseconds: what asks for more is asked again with one request after that.
-const MOST_REST_MS: u64 = 300_000;
+const MAX_COOLDOWN_MS: u64 = 300_000;
 /// A first request that is not answered within this time, in milliseconds, keeps no others back.
 const TRIAL_MS: u64 = 1_000;
 
-impl Rest {
+impl Cooldown {
     /// The upstream wants rest for `for_ms`; of several rests the one that ends last holds.
-    pub(crate) fn ask(&mut self, now: Tick, for_ms: u64) {
-        let until = now + for_ms.min(MOST_REST_MS);
+    pub(crate) fn request(&mut self, now: Tick, for_ms: u64) {
+        let until = now + for_ms.min(MAX_COOLDOWN_MS);
         let until = match *self {
             Self::Until(known) => known.max(until),
-            Self::Over | Self::Trial(_) => until,
+            Self::Inactive | Self::Trial(_) => until,
         };
         *self = Self::Until(until);
     }
@@ -43,7 +43,7 @@
 
     /// Milliseconds until a request may be chosen to go there; none if one may now. Beside a first request that is out
     /// others wait for its answer.
-    pub(crate) fn closed_ms(&self, now: Tick) -> Option<u64> {
+    pub(crate) fn blocked_ms(&self, now: Tick) -> Option<u64> {
         match self {
             Self::Trial(since) => TRIAL_MS.checked_sub(now.since(*since)).filter(|left| *left > 0),
             _ => self.left_ms(now),
@@ -51,18 +51,18 @@
     }
 
     /// A request is chosen to go there.
-    pub(crate) fn sent(&mut self, now: Tick) {
+    pub(crate) fn record_send(&mut self, now: Tick) {
         if matches!(self, Self::Until(_)) {
             *self = Self::Trial(now);
         }
     }
 
     /// A request that was chosen at `sent` was answered, or ended without an answer.
-    pub(crate) fn ended(&mut self, now: Tick, sent: Tick, is_answered: bool) {
+    pub(crate) fn record_end(&mut self, now: Tick, sent_at: Tick, is_answered: bool) {
         if let Self::Trial(since) = *self
-            && sent >= since
+            && sent_at >= since
         {
-            *self = if is_answered { Self::Over } else { Self::Until(now) };
+            *self = if is_answered { Self::Inactive } else { Self::Until(now) };
         }
     }
 }
--- a/crates/dispatch/src/directory.rs
+++ b/crates/dispatch/src/directory.rs
@@ -11,62 +11,62 @@
 /// stays here until the next announcement, and only what was never announced nor told is missing.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Directory {
-    services: HashMap<Name, Service>,
-    upstreams: HashMap<Incarnation, Listed>,
+    services: HashMap<Name, ServiceIndex>,
+    upstreams: HashMap<Incarnation, UpstreamEntry>,
 }
 
 /// Where an upstream stands.
 #[derive(Clone, Debug)]
-struct Listed {
+struct UpstreamEntry {
     service: Name,
     models: BTreeSet<Name>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Service {
+struct ServiceIndex {
     upstreams: BTreeSet<Incarnation>,
     holders: HashMap<Name, BTreeSet<Incarnation>>,
 }
 
 impl Directory {
     /// An upstream announced itself. `told` are the models that it was told to hold beside.
-    pub(crate) fn announced<'a>(
+    pub(crate) fn insert<'a>(
         &mut self,
         id: &Incarnation,
         state: &'a UpstreamState,
-        told: impl Iterator<Item = &'a Name>,
+        reported: impl Iterator<Item = &'a Name>,
     ) {
-        self.gone(id);
+        self.remove(id);
         let service = self.services.entry(state.service.clone()).or_default();
         service.upstreams.insert(id.clone());
-        let listed = Listed { service: state.service.clone(), models: BTreeSet::new() };
-        self.upstreams.insert(id.clone(), listed);
-        for model in state.models.iter().map(|held| &held.name).chain(told) {
-            self.told(id, model);
+        let entry = UpstreamEntry { service: state.service.clone(), models: BTreeSet::new() };
+        self.upstreams.insert(id.clone(), entry);
+        for model in state.models.iter().map(|held| &held.name).chain(reported) {
+            self.add_holder(id, model);
         }
     }
 
     /// An upstream that announced itself was told to hold a model.
-    pub(crate) fn told(&mut self, id: &Incarnation, model: &Name) {
-        let Some(listed) = self.upstreams.get_mut(id) else {
+    pub(crate) fn add_holder(&mut self, id: &Incarnation, model: &Name) {
+        let Some(entry) = self.upstreams.get_mut(id) else {
             return;
         };
-        listed.models.insert(model.clone());
-        if let Some(service) = self.services.get_mut(&listed.service) {
+        entry.models.insert(model.clone());
+        if let Some(service) = self.services.get_mut(&entry.service) {
             service.holders.entry(model.clone()).or_default().insert(id.clone());
         }
     }
 
     /// An upstream's announcement is gone.
-    pub(crate) fn gone(&mut self, id: &Incarnation) {
-        let Some(listed) = self.upstreams.remove(id) else {
+    pub(crate) fn remove(&mut self, id: &Incarnation) {
+        let Some(entry) = self.upstreams.remove(id) else {
             return;
         };
-        let Some(service) = self.services.get_mut(&listed.service) else {
+        let Some(service) = self.services.get_mut(&entry.service) else {
             return;
         };
         service.upstreams.remove(id);
-        for model in &listed.models {
+        for model in &entry.models {
             if let Some(holders) = service.holders.get_mut(model) {
                 holders.remove(id);
             }
@@ -74,7 +74,7 @@
     }
 
     /// The upstreams of a service, in the order of their names.
-    pub(crate) fn of_service(&self, service: &Name) -> impl Iterator<Item = &Incarnation> {
+    pub(crate) fn upstreams_of(&self, service: &Name) -> impl Iterator<Item = &Incarnation> {
         self.services.get(service).into_iter().flat_map(|service| &service.upstreams)
     }
 
--- a/crates/dispatch/src/leaving.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -15,9 +15,9 @@
 /// One that has left long since is forgotten after this long, in milliseconds.
 const MEMORY_MS: u64 = 1_800_000;
 /// Upstreams that are remembered: as many as a large fleet replaces within that time.
-const MOST: usize = 8_192;
+const MAX_UPSTREAMS: usize = 8_192;
 /// One in so many of them goes where there is no room, the oldest first.
-const FORGOTTEN_PART: usize = 8;
+const EVICTED_FRACTION: usize = 8;
 
 impl LeavingUpstreams {
     /// An upstream has said that it leaves; tells whether that is news.
@@ -25,7 +25,7 @@
         if self.since.contains_key(&upstream) {
             return false;
         }
-        if self.since.len() >= MOST {
+        if self.since.len() >= MAX_UPSTREAMS {
             self.make_room(now);
         }
         self.since.insert(upstream, now);
@@ -49,12 +49,12 @@
 
     fn make_room(&mut self, now: Tick) {
         self.since.retain(|_, at| now.since(*at) < MEMORY_MS);
-        if self.since.len() < MOST {
+        if self.since.len() < MAX_UPSTREAMS {
             return;
         }
         let mut times: Vec<Tick> = self.since.values().copied().collect();
         times.sort();
-        let oldest = times[times.len() / FORGOTTEN_PART];
+        let oldest = times[times.len() / EVICTED_FRACTION];
         self.since.retain(|_, at| *at > oldest);
     }
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -5,26 +5,26 @@
 #![deny(missing_docs, unsafe_code)]
 
 mod access;
-mod answers;
+mod answer_times;
 mod budget;
 mod choice;
 mod choose;
+mod cooldown;
 /// What hosts tell each other of their load.
 pub mod digest;
 mod directory;
 mod ending;
 mod event;
 mod fit;
-mod former;
 mod health;
 mod leaving;
 mod limits;
 mod machine;
 mod pace;
+mod previous;
 mod queue;
 mod request;
 mod reserving;
-mod rest;
 mod roster;
 mod routes;
 mod sending;
--- a/crates/dispatch/src/limits.rs
+++ b/crates/dispatch/src/limits.rs
@@ -15,10 +15,10 @@
         actions: &mut Vec<Action>,
     ) {
         let upstream = self.upstreams.get_mut(&id);
-        let news = upstream.and_then(|upstream| upstream.limit.record_answer(now, sent, rate));
-        actions.extend(news.map(|news| Action::LimitChanged {
+        let change = upstream.and_then(|upstream| upstream.limit.record_answer(now, sent, rate));
+        actions.extend(change.map(|change| Action::LimitChanged {
             upstream: id,
-            change: news,
+            change,
             reported_by: None,
         }));
     }
@@ -35,19 +35,19 @@
         for (id, row) in rows {
             let at = Tick(now.0.saturating_sub(u64::from(row.age_ms)));
             let upstream = self.upstreams.get_mut(id);
-            let news = upstream
+            let change = upstream
                 .and_then(|known| known.limit.record_report(LimitStatement { rate: row.rate, at }));
-            let limited = |news| Action::LimitChanged {
+            let limited = |change| Action::LimitChanged {
                 upstream: id.clone(),
-                change: news,
+                change,
                 reported_by: Some(host.clone()),
             };
-            actions.extend(news.map(limited));
+            actions.extend(change.map(limited));
         }
     }
 }
 
 /// What a digest tells of a statement.
-pub(crate) fn row(now: Tick, told: LimitStatement) -> LimitRow {
-    LimitRow { rate: told.rate, age_ms: now.since(told.at) as u32 }
+pub(crate) fn limit_row(now: Tick, statement: LimitStatement) -> LimitRow {
+    LimitRow { rate: statement.rate, age_ms: now.since(statement.at) as u32 }
 }
--- a/crates/dispatch/src/machine.rs
+++ b/crates/dispatch/src/machine.rs
@@ -4,14 +4,14 @@
     Action, DemandRow, Digest, Event, LoadRow, Options, Prediction, Presence, RefusalContext,
     RequestId, RetryBudget, RouteIndex,
     access::KeyIndex,
-    answers::Answers,
+    answer_times::AnswerTimes,
+    cooldown::Cooldown,
     directory::Directory,
-    ending::{RETRY_MS, STOP_RETRY_MS, start_retry_ms},
-    limits::row,
-    pace::Pace,
+    ending::{RETRY_AFTER_MS, STOP_RETRY_AFTER_MS, startup_retry_ms},
+    limits::limit_row,
+    pace::PaceModel,
     queue::Queue,
     request::{Request, Stage},
-    rest::Rest,
     routes,
     upstream::{Load, Upstream},
 };
@@ -29,29 +29,29 @@
 pub struct Dispatch {
     pub(crate) options: Options,
     /// When the process started.
-    started: Tick,
+    started_at: Tick,
     /// Whether the store has answered it.
     has_store: bool,
     pub(crate) configuration: Option<Rc<Configuration>>,
     pub(crate) routes: RouteIndex,
     pub(crate) keys: KeyIndex,
     /// When the configuration in force was the newest, by the store's word.
-    pub(crate) confirmed: Option<Tick>,
-    pub(crate) held: BlockedContents,
+    pub(crate) confirmed_at: Option<Tick>,
+    pub(crate) quarantine: BlockedContents,
     pub(crate) upstreams: BTreeMap<Incarnation, Upstream>,
     /// Rests of upstreams whose announcements are gone: the same life may announce itself again.
-    rests: BTreeMap<Incarnation, Rest>,
+    cooldowns: BTreeMap<Incarnation, Cooldown>,
     pub(crate) directory: Directory,
     pub(crate) requests: HashMap<RequestId, Request>,
     pub(crate) queue: Queue,
     pub(crate) budgets: BTreeMap<Name, RetryBudget>,
-    pub(crate) pace: Pace,
+    pub(crate) pace: PaceModel,
     /// How long answers of plain services take.
-    pub(crate) answers: BTreeMap<Name, Answers>,
+    pub(crate) answer_times: BTreeMap<Name, AnswerTimes>,
     pub(crate) hosts: usize,
     pub(crate) stopping_since: Option<Tick>,
     demand: BTreeMap<(Name, ModelRef), Demand>,
-    pub(crate) wanted: HashMap<(Name, ModelRef), Tick>,
+    pub(crate) requested_models: HashMap<(Name, ModelRef), Tick>,
 }
 
 /// Requests since the last digest.
@@ -92,11 +92,11 @@
 }
 
 /// Between two hosts that come back to an upstream that has rested, in milliseconds on average.
-const RETURN_MS: u64 = 5;
+const RETURN_SPACING_MS: u64 = 5;
 /// They are all back within this part of the rest.
-const RETURN_PART: u64 = 8;
+const RETURN_SPREAD_DIVISOR: u64 = 8;
 /// A planned stop takes requests for this share of its time.
-const STOP_SHARE: f64 = 0.3;
+const STOP_ACCEPT_SHARE: f64 = 0.3;
 pub(crate) const MICROS_PER_MILLI: f64 = 1_000.0;
 
 impl Dispatch {
@@ -104,25 +104,25 @@
     pub fn new(now: Tick, options: Options) -> Self {
         Self {
             options,
-            started: now,
+            started_at: now,
             has_store: false,
             configuration: None,
             routes: RouteIndex::default(),
             keys: KeyIndex::default(),
-            confirmed: None,
-            held: BlockedContents::default(),
+            confirmed_at: None,
+            quarantine: BlockedContents::default(),
             upstreams: BTreeMap::new(),
-            rests: BTreeMap::new(),
+            cooldowns: BTreeMap::new(),
             directory: Directory::default(),
             requests: HashMap::new(),
             queue: Queue::default(),
             budgets: BTreeMap::new(),
-            pace: Pace::default(),
-            answers: BTreeMap::new(),
+            pace: PaceModel::default(),
+            answer_times: BTreeMap::new(),
             hosts: 1,
             stopping_since: None,
             demand: BTreeMap::new(),
-            wanted: HashMap::new(),
+            requested_models: HashMap::new(),
         }
     }
 
@@ -131,12 +131,12 @@
         let mut actions = Vec::new();
         match event {
             Event::Configured(configuration) => self.configure(configuration),
-            Event::Confirmed(at) => self.confirmed = self.confirmed.max(Some(at)),
+            Event::Confirmed(at) => self.confirmed_at = self.confirmed_at.max(Some(at)),
             Event::Quarantined(quarantine) => {
-                self.held.apply(now, quarantine);
+                self.quarantine.apply(now, quarantine);
             }
             Event::Probed { upstream, content_hashes: contents, sign } => {
-                self.looked_at(now, &upstream, &contents, sign);
+                self.probed(now, &upstream, &contents, sign);
             }
             Event::UpstreamSeen { id, state } => self.upstream_seen(now, id, state),
             Event::UpstreamUnreadable { id } => {
@@ -146,12 +146,12 @@
             }
             Event::UpstreamEnded { id } => {
                 self.upstream_gone(now, &id);
-                self.abandon(&id, &mut actions);
+                self.abandon_attempts(&id, &mut actions);
             }
             Event::UpstreamGone { id } => self.upstream_gone(now, &id),
             Event::PresenceReported { runner, subject, presence } => {
                 if presence == Presence::Present {
-                    self.directory.told(&runner, &subject.model);
+                    self.directory.add_holder(&runner, &subject.model);
                 }
                 if let Some(upstream) = self.upstreams.get_mut(&runner) {
                     upstream.set_presence(subject, presence, now);
@@ -162,18 +162,18 @@
                 self.peer_digest(now, &host, digest);
             }
             Event::PermitAnswered { id, reservation, request: question, answer } => {
-                self.permitted(now, (id, reservation), question, answer, &mut actions);
+                self.permit_answered(now, (id, reservation), question, answer, &mut actions);
             }
             Event::LimitStated { upstream, sent, rate } => {
                 self.stated(now, upstream, sent, rate, &mut actions);
             }
             Event::CooldownRequested { upstream, for_ms } => {
-                self.rest_asked(now, &upstream, for_ms)
+                self.cooldown_requested(now, &upstream, for_ms)
             }
             Event::PeerGone { host } => self.peer_gone(&host),
             Event::HostCount(hosts) => {
                 self.hosts = hosts.max(1);
-                self.budgets.values_mut().for_each(|budget| budget.share_among(hosts));
+                self.budgets.values_mut().for_each(|budget| budget.set_hosts(hosts));
             }
             Event::Arrived { id, request, content_hash } => {
                 self.arrived(now, id, request, content_hash, &mut actions);
@@ -192,7 +192,7 @@
             Event::StoreAnswered => self.has_store = true,
             Event::Tick => self.expire(now, &mut actions),
         }
-        self.pump(now, &mut actions);
+        self.send_waiting(now, &mut actions);
         actions
     }
 
@@ -214,18 +214,18 @@
 
     /// An upstream asked this host for rest. Hosts come back to it one after the other: each a little later than it
     /// asked, so that all that it turned away together do not return together.
-    fn rest_asked(&mut self, now: Tick, upstream: &Incarnation, for_ms: u64) {
+    fn cooldown_requested(&mut self, now: Tick, upstream: &Incarnation, for_ms: u64) {
         let Some(known) = self.upstreams.get_mut(upstream) else {
             return;
         };
-        let spread_ms = (self.hosts as u64 * RETURN_MS).min(for_ms / RETURN_PART);
+        let spread_ms = (self.hosts as u64 * RETURN_SPACING_MS).min(for_ms / RETURN_SPREAD_DIVISOR);
         let own = hash64(self.options.host.as_bytes()) % (spread_ms + 1);
-        known.rest.ask(now, for_ms.saturating_add(own));
+        known.cooldown.request(now, for_ms.saturating_add(own));
     }
 
     /// Milliseconds for which an upstream wants nothing from this host.
     pub fn cooldown_left_ms(&self, now: Tick, upstream: &Incarnation) -> Option<u64> {
-        self.upstreams.get(upstream)?.rest.left_ms(now)
+        self.upstreams.get(upstream)?.cooldown.left_ms(now)
     }
 
     /// What an upstream announces.
@@ -235,7 +235,7 @@
 
     /// The contents that are kept back.
     pub fn quarantine(&self) -> &BlockedContents {
-        &self.held
+        &self.quarantine
     }
 
     /// Figures for metrics.
@@ -271,7 +271,7 @@
             let own = upstream.own;
             let limit = upstream.limit.announcement(now);
             (own.running > 0 || good + bad > 0 || limit.is_some()).then(|| LoadRow {
-                limit: limit.map(|told| row(now, told)),
+                limit: limit.map(|statement| limit_row(now, statement)),
                 upstream: id.clone(),
                 running: own.running,
                 unread_tokens: own.unread_tokens,
@@ -302,7 +302,7 @@
             let (options, hosts) = (self.options.retry_budget, self.hosts);
             self.budgets.entry(service.clone()).or_insert_with(|| {
                 let mut budget = RetryBudget::new(options);
-                budget.share_among(hosts);
+                budget.set_hosts(hosts);
                 budget
             });
         }
@@ -310,8 +310,8 @@
     }
 
     fn upstream_seen(&mut self, now: Tick, id: Incarnation, state: UpstreamState) {
-        let told = self.upstreams.get(&id).into_iter().flat_map(Upstream::told_present);
-        self.directory.announced(&id, &state, told);
+        let reported = self.upstreams.get(&id).into_iter().flat_map(Upstream::reported_models);
+        self.directory.insert(&id, &state, reported);
         match self.upstreams.get_mut(&id) {
             Some(upstream) => upstream.update(state, now),
             None => {
@@ -319,32 +319,32 @@
                     upstream.successor_seen(&id, &state, now);
                 }
                 let mut upstream = Upstream::new(state, now);
-                upstream.rest = self.rests.remove(&id).unwrap_or_default();
+                upstream.cooldown = self.cooldowns.remove(&id).unwrap_or_default();
                 self.upstreams.insert(id, upstream);
             }
         }
     }
 
     fn upstream_gone(&mut self, now: Tick, id: &Incarnation) {
-        self.rests.retain(|_, rest| rest.left_ms(now).is_some());
+        self.cooldowns.retain(|_, cooldown| cooldown.left_ms(now).is_some());
         let gone = self.upstreams.remove(id);
-        if let Some(gone) = gone.filter(|gone| gone.rest.left_ms(now).is_some()) {
-            self.rests.insert(id.clone(), gone.rest);
+        if let Some(gone) = gone.filter(|gone| gone.cooldown.left_ms(now).is_some()) {
+            self.cooldowns.insert(id.clone(), gone.cooldown);
         }
-        self.directory.gone(id);
+        self.directory.remove(id);
         self.pace.forget(id);
         self.upstreams.values_mut().for_each(|upstream| upstream.successor_gone(id));
     }
 
     /// Gives up the attempts that are at an upstream that has ended; that it did under them speaks against their
     /// contents.
-    fn abandon(&self, upstream: &Incarnation, actions: &mut Vec<Action>) {
+    fn abandon_attempts(&self, upstream: &Incarnation, actions: &mut Vec<Action>) {
         let is_there = |request: &Request| match &request.stage {
-            Stage::Sent(sending) => sending.upstream == *upstream,
+            Stage::Sent(attempt) => attempt.upstream == *upstream,
             Stage::Waiting | Stage::Reserving(_) => false,
         };
         for (id, request) in self.requests.iter().filter(|(_, request)| is_there(request)) {
-            actions.push(Action::Abandon { id: *id, number: request.sendings });
+            actions.push(Action::Abandon { id: *id, number: request.attempts });
             actions.push(Action::ReportCrash(CrashReport {
                 content: request.content_hash,
                 upstream: upstream.clone(),
@@ -393,15 +393,15 @@
             Ok(admitted) => admitted,
             Err(refusal) => return actions.push(Action::Refuse { id, refusal, context }),
         };
-        if self.is_late_in_stop(now) {
-            return actions.push(refuse(RefusalCause::Stopping, Some(STOP_RETRY_MS)));
+        if self.stop_accept_over(now) {
+            return actions.push(refuse(RefusalCause::Stopping, Some(STOP_RETRY_AFTER_MS)));
         }
         let Some(target) = routes::target(&route, &head.id) else {
-            return actions.push(refuse(RefusalCause::NoUpstream, Some(RETRY_MS)));
+            return actions.push(refuse(RefusalCause::NoUpstream, Some(RETRY_AFTER_MS)));
         };
         let service = target.service.clone();
         if let Some(budget) = self.budgets.get_mut(&service) {
-            budget.earn(now);
+            budget.record_request(now);
         }
         let request = Request { content_hash, ..Request::new(head, route, access, service, now) };
         if let Some(subject) = &request.head.model {
@@ -417,15 +417,15 @@
     /// The route that takes a request.
     pub(crate) fn route(&self, now: Tick, head: &CallerRequest) -> Result<Rc<Route>, Refusal> {
         if self.configuration.is_none() {
-            let retry_ms = start_retry_ms(now.since(self.started), self.has_store);
+            let retry_ms = startup_retry_ms(now.since(self.started_at), self.has_store);
             return Err(Refusal::not_run(RefusalCause::NotConfigured, Some(retry_ms)));
         }
         let route = self.routes.find(&head.host, &head.path).cloned();
         route.ok_or(Refusal::not_run(RefusalCause::NoRoute, None))
     }
 
-    pub(crate) fn is_late_in_stop(&self, now: Tick) -> bool {
-        let most = (self.options.grace_ms as f64 * STOP_SHARE) as u64;
+    pub(crate) fn stop_accept_over(&self, now: Tick) -> bool {
+        let most = (self.options.grace_ms as f64 * STOP_ACCEPT_SHARE) as u64;
         self.stopping_since.is_some_and(|since| now.since(since) > most)
     }
 
@@ -434,42 +434,42 @@
             return;
         };
         request.verdict = Verdict::Ran;
-        let Stage::Sent(sending) = &mut request.stage else {
+        let Stage::Sent(attempt) = &mut request.stage else {
             return;
         };
-        if std::mem::replace(&mut sending.has_begun, true) {
+        if std::mem::replace(&mut attempt.has_begun, true) {
             return;
         }
-        if sending.is_trial {
+        if attempt.is_trial {
             actions
-                .push(Action::ReportOutcome { upstream: sending.upstream.clone(), is_good: true });
+                .push(Action::ReportOutcome { upstream: attempt.upstream.clone(), is_good: true });
         }
-        let read = Load { unread_tokens: sending.load.unread_tokens, ..Load::default() };
-        sending.load.unread_tokens = 0;
+        let read = Load { unread_tokens: attempt.load.unread_tokens, ..Load::default() };
+        attempt.load.unread_tokens = 0;
         let model = request.head.model.as_ref().map(|subject| &subject.model);
-        let took_ms = now.since(sending.at) as f64;
+        let took_ms = now.since(attempt.sent_at) as f64;
         if let Some(model) = model {
             let prediction = Prediction {
                 request: request.head.id.clone(),
-                upstream: sending.upstream.clone(),
-                expected_ms: self.pace.first_piece_ms(&sending.upstream, model, sending.expected),
+                upstream: attempt.upstream.clone(),
+                expected_ms: self.pace.first_piece_ms(&attempt.upstream, model, attempt.expected),
                 took_ms,
-                unread_tokens: sending.expected.unread,
-                ahead_ms: sending.expected.ahead_ms,
-                per_token_us: self.pace.per_token(Some(model)) * MICROS_PER_MILLI,
+                unread_tokens: attempt.expected.unread_tokens,
+                ahead_ms: attempt.expected.ahead_ms,
+                per_token_us: self.pace.per_token_ms(Some(model)) * MICROS_PER_MILLI,
             };
             actions.push(Action::Predicted { id, prediction });
         }
-        self.pace.learn(&sending.upstream, model, sending.expected, took_ms);
-        if let Some(upstream) = self.upstreams.get_mut(&sending.upstream) {
-            upstream.own.take(read);
-            upstream.rest.ended(now, sending.at, true);
+        self.pace.observe(&attempt.upstream, model, attempt.expected, took_ms);
+        if let Some(upstream) = self.upstreams.get_mut(&attempt.upstream) {
+            upstream.own.subtract(read);
+            upstream.cooldown.record_end(now, attempt.sent_at, true);
         }
     }
 
-    fn free(&mut self, upstream: &Incarnation, load: Load) {
+    fn release_load(&mut self, upstream: &Incarnation, load: Load) {
         if let Some(upstream) = self.upstreams.get_mut(upstream) {
-            upstream.own.take(load);
+            upstream.own.subtract(load);
         }
     }
 
@@ -480,8 +480,8 @@
         };
         match &request.stage {
             Stage::Waiting => self.queue.remove(id, &request),
-            Stage::Reserving(open) => self.free(&open.choice.upstream, open.load),
-            Stage::Sent(sending) => self.free(&sending.upstream, sending.load),
+            Stage::Reserving(open) => self.release_load(&open.choice.upstream, open.load),
+            Stage::Sent(attempt) => self.release_load(&attempt.upstream, attempt.load),
         }
     }
 }
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     access::Access,
-    choice::{Choice, Expected},
+    choice::{Choice, ReadEstimate},
     shortage::{Shortage, ShortageKind},
     upstream::{Load, shared_prefixes},
 };
@@ -20,7 +20,7 @@
     /// An engine was chosen; its pacer is asked for the moment.
     Reserving(Reservation),
     /// It is at an upstream.
-    Sent(Sending),
+    Sent(ActiveAttempt),
 }
 
 impl Stage {
@@ -41,18 +41,18 @@
 
 /// What is known of a sending that has not ended.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Sending {
+pub(crate) struct ActiveAttempt {
     pub upstream: Incarnation,
-    pub at: Tick,
+    pub sent_at: Tick,
     /// What it adds to the upstream's load.
     pub load: Load,
     /// What was expected when it was sent.
-    pub expected: Expected,
+    pub expected: ReadEstimate,
     pub has_begun: bool,
     /// Whether the engine's pacer has to hear of its answer.
     pub is_trial: bool,
     /// The rate by which it got its moment, if the upstream is in need.
-    pub permit: Option<f64>,
+    pub permit_rate: Option<f64>,
 }
 
 /// A request that has not ended.
@@ -63,17 +63,17 @@
     pub access: Access,
     pub content_hash: ContentHash,
     /// The parts of its prompt that others may share.
-    pub shared: Vec<Prefix>,
+    pub shared_prefixes: Vec<Prefix>,
     pub service: Name,
     pub arrived: Tick,
     /// The latest moment for a final answer.
     pub deadline: Tick,
     /// The latest moment to be sent for the first time.
-    pub patience: Tick,
+    pub wait_limit: Tick,
     pub stage: Stage,
     /// Upstreams that it was sent to.
     pub tried: Vec<Incarnation>,
-    pub sendings: u32,
+    pub attempts: u32,
     /// Moments asked for.
     pub reservations: u32,
     pub verdict: Verdict,
@@ -84,17 +84,17 @@
 }
 
 /// A stream's caller leaves after a gap of this many milliseconds, or of some objectives.
-const LEAST_PATIENCE_MS: u64 = 2_000;
+const MIN_STREAM_WAIT_MS: u64 = 2_000;
 /// Objectives after which a stream's caller leaves.
-const PATIENCE_TARGETS: u64 = 4;
+const STREAM_WAIT_TARGETS: u64 = 4;
 /// A request that is no stream is refused if it was not sent within this many objectives: beyond that two of three
 /// waited for nothing, at the cost of all that their callers could still have done.
-const LATE_TARGETS: u64 = 2;
+const MAX_WAIT_TARGETS: u64 = 2;
 /// Kept back from the caller's patience, in milliseconds.
-const PATIENCE_MARGIN_MS: u64 = 100;
+const WAIT_MARGIN_MS: u64 = 100;
 
 /// The longest pause between events where the route states none, in milliseconds.
-const GAP_MS: u64 = 300;
+const DEFAULT_GAP_MS: u64 = 300;
 
 impl Request {
     pub(crate) fn new(
@@ -106,20 +106,20 @@
     ) -> Self {
         let wait = head.wait_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
         let deadline = now + wait;
-        let patience = match route.kind {
+        let wait_limit = match route.kind {
             vanetally_ports::RequestKind::Stream => {
-                let gap = LEAST_PATIENCE_MS.max(PATIENCE_TARGETS * route.target_ms);
-                deadline.min(now + gap) - PATIENCE_MARGIN_MS
+                let gap = MIN_STREAM_WAIT_MS.max(STREAM_WAIT_TARGETS * route.target_ms);
+                deadline.min(now + gap) - WAIT_MARGIN_MS
             }
             _ => {
-                let late = now + LATE_TARGETS * route.target_ms;
-                late.min(deadline - PATIENCE_MARGIN_MS).max(now)
+                let late = now + MAX_WAIT_TARGETS * route.target_ms;
+                late.min(deadline - WAIT_MARGIN_MS).max(now)
             }
         };
         let subject = head.model.as_ref();
         let shared = subject.map(|subject| shared_prefixes(subject, &head.parts));
         Self {
-            shared: shared.unwrap_or_default(),
+            shared_prefixes: shared.unwrap_or_default(),
             head,
             route,
             access,
@@ -127,10 +127,10 @@
             service,
             arrived: now,
             deadline,
-            patience,
+            wait_limit,
             stage: Stage::Waiting,
             tried: Vec::new(),
-            sendings: 0,
+            attempts: 0,
             reservations: 0,
             verdict: Verdict::NotRun,
             not_before: now,
@@ -146,17 +146,17 @@
 
     /// What it adds to the load of an upstream that has to read `unread_tokens` of its prompt.
     pub(crate) fn load(&self, unread_tokens: u32) -> Load {
-        Load { running: 1, unread_tokens, held_tokens: self.tokens() }
+        Load { running: 1, unread_tokens, held_tokens: self.max_tokens() }
     }
 
     /// Tokens that it may come to hold at an engine.
-    pub(crate) fn tokens(&self) -> u32 {
+    pub(crate) fn max_tokens(&self) -> u32 {
         self.head.prompt_tokens + self.head.output_tokens
     }
 
     /// The longest pause between events that the operators want, in milliseconds.
     pub(crate) fn gap_ms(&self) -> u64 {
-        self.route.gap_ms.unwrap_or(GAP_MS)
+        self.route.gap_ms.unwrap_or(DEFAULT_GAP_MS)
     }
 
     /// Whether its answer would come after the time that the operators want.
@@ -171,15 +171,15 @@
 
     /// Whether no upstream of its service is there, and it has waited as long as its answer may take: a wait
     /// until its deadline would only keep its caller from asking again.
-    pub(crate) fn waits_for_nobody(&self, now: Tick) -> bool {
-        let is_nobody =
+    pub(crate) fn lacks_upstream_too_long(&self, now: Tick) -> bool {
+        let lacks_upstream =
             self.shortage.is_some_and(|shortage| shortage.kind == ShortageKind::Upstream);
-        is_nobody && self.is_late(now)
+        lacks_upstream && self.is_late(now)
     }
 
     /// Milliseconds that it may yet wait to be sent.
-    pub(crate) fn waits_ms(&self, now: Tick) -> u64 {
-        let until = if self.verdict == Verdict::NotRun { self.patience } else { self.deadline };
+    pub(crate) fn remaining_wait_ms(&self, now: Tick) -> u64 {
+        let until = if self.verdict == Verdict::NotRun { self.wait_limit } else { self.deadline };
         until.since(now)
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Whether it may be sent to `upstream` without exceeding the upstreams allowed to it.
-    pub(crate) fn may_go_to(&self, upstream: &Incarnation) -> bool {
+    pub(crate) fn may_try(&self, upstream: &Incarnation) -> bool {
         self.tried.contains(upstream) || !self.is_exhausted()
     }
 }
--- a/crates/dispatch/src/reserving.rs
+++ b/crates/dispatch/src/reserving.rs
@@ -3,10 +3,10 @@
 
 use crate::{
     Action, Dispatch, RequestId, Shortage, ShortageKind,
-    choice::{Choice, Expected},
+    choice::{Choice, ReadEstimate},
     machine::MICROS_PER_MILLI,
     request::{Reservation, Stage},
-    sending::CROWDED_MS,
+    sending::SATURATED_MS,
 };
 use vanetally_limit::{PermitAnswer, PermitRequest};
 use vanetally_pacing::{Prompt, SendSlot, SlotReply};
@@ -20,11 +20,11 @@
         let reservation = self.open_reservation(now, id, choice)?;
         let request = self.requests.get(&id)?;
         let model = request.head.model.as_ref().map(|subject| subject.model.clone());
-        let per_token_us = self.pace.per_token(model.as_ref()) * MICROS_PER_MILLI;
+        let per_token_us = self.pace.per_token_ms(model.as_ref()) * MICROS_PER_MILLI;
         let prompt = Prompt {
             upstream,
             model: model.unwrap_or_else(|| "".into()),
-            shared: request.shared.clone(),
+            shared: request.shared_prefixes.clone(),
             tokens: request.head.prompt_tokens,
             per_token_us: per_token_us.round() as u32,
             gap_ms: request.gap_ms() as u32,
@@ -38,9 +38,9 @@
         let request = self.requests.get_mut(&id)?;
         let upstream = self.upstreams.get_mut(&choice.upstream)?;
         self.queue.remove(id, request);
-        let load = request.load(choice.expected.unread);
+        let load = request.load(choice.expected.unread_tokens);
         upstream.own.add(load);
-        upstream.rest.sent(now);
+        upstream.cooldown.record_send(now);
         request.reservations += 1;
         let reservation = request.reservations;
         request.stage = Stage::Reserving(Reservation { reservation, choice, load });
@@ -56,17 +56,22 @@
         slot: SlotReply,
         actions: &mut Vec<Action>,
     ) {
-        let Some(choice) = self.take_reservation(id, reservation) else {
+        let Some(choice) = self.close_reservation(id, reservation) else {
             return;
         };
         // One that has gone or leaves takes nothing new, whatever its pacer says.
         let Some(upstream) = self.upstreams.get_mut(&choice.upstream) else {
             return;
         };
-        let is_open = upstream.takes_now(now) && upstream.is_permitted(&choice);
+        let is_open = upstream.accepts_now(now) && upstream.is_permitted(&choice);
         match slot {
-            SlotReply::Granted(SendSlot { delay_ms, unread, ahead_ms, is_trial }) if is_open => {
-                let expected = Expected { unread, ahead_ms };
+            SlotReply::Granted(SendSlot {
+                delay_ms,
+                unread: unread_tokens,
+                ahead_ms,
+                is_trial,
+            }) if is_open => {
+                let expected = ReadEstimate { unread_tokens, ahead_ms };
                 let choice = Choice { expected, is_trial, ..choice };
                 actions.extend(self.send(now, id, choice, delay_ms));
                 return;
@@ -74,12 +79,12 @@
             SlotReply::Granted(_) => {}
             SlotReply::Busy { retry_ms } => upstream.paced_until = now + u64::from(retry_ms),
         }
-        upstream.rest.ended(now, now, false);
+        upstream.cooldown.record_end(now, now, false);
         actions.extend(choice.unused_permit());
     }
 
     /// Asks when the request may go to an upstream in need; it counts as the upstream's load meanwhile.
-    pub(crate) fn ask_permit(
+    pub(crate) fn request_permit(
         &mut self,
         now: Tick,
         id: RequestId,
@@ -88,14 +93,15 @@
         let limit = choice.limit?;
         let upstream = choice.upstream.clone();
         let reservation = self.open_reservation(now, id, choice)?;
-        let waits_ms = self.requests.get(&id)?.waits_ms(now).max(1);
-        let max_wait_ms = if limit.may_wait { waits_ms.try_into().unwrap_or(u32::MAX) } else { 0 };
+        let remaining_wait_ms = self.requests.get(&id)?.remaining_wait_ms(now).max(1);
+        let max_wait_ms =
+            if limit.may_wait { remaining_wait_ms.try_into().unwrap_or(u32::MAX) } else { 0 };
         let question = PermitRequest { upstream, rate: limit.rate, max_wait_ms };
         Some(Action::RequestPermit { id, reservation, request: question })
     }
 
     /// Who grants answered: the request goes, goes elsewhere, or is refused with the time at which there is room.
-    pub(crate) fn permitted(
+    pub(crate) fn permit_answered(
         &mut self,
         now: Tick,
         (id, reservation): (RequestId, u32),
@@ -107,7 +113,7 @@
             PermitAnswer::Granted { delay_ms } => Some(delay_ms),
             PermitAnswer::Busy { .. } | PermitAnswer::NotGranting => None,
         };
-        let Some(mut choice) = self.take_reservation(id, reservation) else {
+        let Some(mut choice) = self.close_reservation(id, reservation) else {
             let PermitRequest { upstream, rate, .. } = question;
             actions.extend(granted.map(|_| Action::ReturnPermit { upstream, rate }));
             return;
@@ -119,7 +125,7 @@
         if let (Some(_), Some(limit)) = (granted, &mut choice.limit) {
             limit.is_granted = true;
         }
-        let is_open = upstream.takes_now(now);
+        let is_open = upstream.accepts_now(now);
         match answer {
             PermitAnswer::Granted { .. } if !is_open => actions.extend(choice.unused_permit()),
             PermitAnswer::Granted { delay_ms: 0 } if is_engine => {
@@ -153,12 +159,19 @@
         let (service, subject) = (request.service.clone(), request.head.model.clone());
         self.refuse_at_once(id, shortage, RefusalCause::RateLimited, retry_ms.into(), actions);
         if let Some(subject) = subject {
-            self.tell_shortage(now, &service, subject, ShortageKind::Limit, CROWDED_MS, actions);
+            self.report_shortage(
+                now,
+                &service,
+                subject,
+                ShortageKind::Limit,
+                SATURATED_MS,
+                actions,
+            );
         }
     }
 
     /// Ends the reservation `turn` of a request, if it is open: the request waits again.
-    fn take_reservation(&mut self, id: RequestId, reservation: u32) -> Option<Choice> {
+    fn close_reservation(&mut self, id: RequestId, reservation: u32) -> Option<Choice> {
         let request = self.requests.get_mut(&id)?;
         if !matches!(&request.stage, Stage::Reserving(open) if open.reservation == reservation) {
             return None;
@@ -169,7 +182,7 @@
         };
         self.queue.insert(id, request);
         if let Some(upstream) = self.upstreams.get_mut(&choice.upstream) {
-            upstream.own.take(load);
+            upstream.own.subtract(load);
         }
         Some(choice)
     }
--- a/crates/dispatch/src/roster.rs
+++ b/crates/dispatch/src/roster.rs
@@ -5,7 +5,7 @@
 //! start is another life, and the one before it has ended. What this tells, each once, is all that the other
 //! decisions hear of it.
 
-use crate::former::{Former, FormerLives};
+use crate::previous::{PreviousIncarnation, PreviousIncarnations};
 use std::collections::{BTreeMap, BTreeSet};
 use vanetally_ports::{Announcement, AnnouncementError, Revision, UpstreamState};
 use vanetally_types::{Incarnation, Name, Tick};
@@ -48,24 +48,24 @@
 pub struct Roster {
     entries: BTreeMap<Name, Entry>,
     /// Ids under which nothing was ever read, only what can't be.
-    strangers: BTreeSet<Name>,
-    former: FormerLives,
+    unreadable_ids: BTreeSet<Name>,
+    previous: PreviousIncarnations,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
-    life: Incarnation,
+    incarnation: Incarnation,
     /// The last announcement under the id.
     revision: Revision,
     /// The last one of this life.
-    seen: Revision,
+    last_seen: Revision,
     is_readable: bool,
     /// Where the life said that it leaves.
     leaving: Option<Revision>,
 }
 
 /// Ids under which nothing can be read are told once each, up to so many.
-const MOST_STRANGERS: usize = 1_024;
+const MAX_UNREADABLE_IDS: usize = 1_024;
 
 impl Roster {
     /// What lies under `id` as of `revision` was read, or can't be.
@@ -77,65 +77,68 @@
         read: Result<Announcement, AnnouncementError>,
     ) -> Vec<RosterUpdate> {
         let Some(entry) = self.entries.get_mut(id) else {
-            return self.first(now, id, revision, read);
+            return self.record_first(now, id, revision, read);
         };
         if revision < entry.revision {
             return Vec::new();
         }
         entry.revision = revision;
-        let read = read.and_then(|told| entry.check(told));
-        let Announcement { incarnation: life, mut state } = match read {
-            Ok(told) => told,
-            Err(error) => return entry.unreadable(error),
+        let read = read.and_then(|announcement| entry.check(announcement));
+        let Announcement { incarnation, mut state } = match read {
+            Ok(announcement) => announcement,
+            Err(error) => return entry.mark_unreadable(error),
         };
-        if entry.life == life {
+        if entry.incarnation == incarnation {
             entry.is_readable = true;
-            entry.seen = revision;
+            entry.last_seen = revision;
             entry.note_leaving(revision, &mut state);
-            return vec![RosterUpdate::Seen { incarnation: life, state, is_new: false }];
+            return vec![RosterUpdate::Seen { incarnation, state, is_new: false }];
         }
-        let former = self.former.get(now, &life);
-        if entry.is_younger(&life, revision) || former.is_some_and(|f| f.is_told_again(revision)) {
-            return vec![RosterUpdate::Outdated { incarnation: life }];
+        let previous = self.previous.get(now, &incarnation);
+        if entry.is_newer_than(&incarnation, revision)
+            || previous.is_some_and(|previous| previous.is_replay(revision))
+        {
+            return vec![RosterUpdate::Outdated { incarnation }];
         }
-        if former.is_some_and(|former| former.is_late(now)) {
+        if previous.is_some_and(|previous| previous.may_be_late(now)) {
             return Vec::new();
         }
-        let leaving = self.former.remove(&life).and_then(|former| former.leaving);
-        let next = Entry::new(life.clone(), revision, leaving, &mut state);
-        let before = std::mem::replace(entry, next);
-        self.former.insert(before.life.clone(), before.end(now, true));
+        let leaving = self.previous.remove(&incarnation).and_then(|previous| previous.leaving);
+        let next = Entry::new(incarnation.clone(), revision, leaving, &mut state);
+        let replaced = std::mem::replace(entry, next);
+        self.previous.insert(replaced.incarnation.clone(), replaced.to_previous(now, true));
         vec![
-            RosterUpdate::Ended { incarnation: before.life, next: life.clone() },
-            RosterUpdate::Seen { incarnation: life, state, is_new: true },
+            RosterUpdate::Ended { incarnation: replaced.incarnation, next: incarnation.clone() },
+            RosterUpdate::Seen { incarnation, state, is_new: true },
         ]
     }
 
     /// Nothing is known under `id`. What can't be read names nobody.
-    fn first(
+    fn record_first(
         &mut self,
         now: Tick,
         id: &Name,
         revision: Revision,
         read: Result<Announcement, AnnouncementError>,
     ) -> Vec<RosterUpdate> {
-        let Announcement { incarnation: life, mut state } = match read {
-            Ok(told) => told,
-            Err(error) => return self.stranger(id, error),
+        let Announcement { incarnation, mut state } = match read {
+            Ok(announcement) => announcement,
+            Err(error) => return self.record_unreadable(id, error),
         };
-        self.strangers.remove(id);
-        let former = self.former.get(now, &life);
-        if former.is_some_and(|former| former.is_told_again(revision)) {
-            return vec![RosterUpdate::Outdated { incarnation: life }];
+        self.unreadable_ids.remove(id);
+        let previous = self.previous.get(now, &incarnation);
+        if previous.is_some_and(|previous| previous.is_replay(revision)) {
+            return vec![RosterUpdate::Outdated { incarnation }];
         }
-        let leaving = self.former.remove(&life).and_then(|former| former.leaving);
-        let entry = Entry::new(life.clone(), revision, leaving, &mut state);
+        let leaving = self.previous.remove(&incarnation).and_then(|previous| previous.leaving);
+        let entry = Entry::new(incarnation.clone(), revision, leaving, &mut state);
         self.entries.insert(id.clone(), entry);
-        vec![RosterUpdate::Seen { incarnation: life, state, is_new: true }]
+        vec![RosterUpdate::Seen { incarnation, state, is_new: true }]
     }
 
-    fn stranger(&mut self, id: &Name, error: AnnouncementError) -> Vec<RosterUpdate> {
-        let is_new = self.strangers.len() < MOST_STRANGERS && self.strangers.insert(id.clone());
+    fn record_unreadable(&mut self, id: &Name, error: AnnouncementError) -> Vec<RosterUpdate> {
+        let is_new = self.unreadable_ids.len() < MAX_UNREADABLE_IDS
+            && self.unreadable_ids.insert(id.clone());
         if is_new {
             vec![RosterUpdate::Unreadable { incarnation: None, error }]
         } else {
@@ -145,10 +148,10 @@
 
     /// The announcement under `id` is gone, and with it the life.
     pub fn remove(&mut self, now: Tick, id: &Name) -> Option<Incarnation> {
-        self.strangers.remove(id);
+        self.unreadable_ids.remove(id);
         let entry = self.entries.remove(id)?;
-        self.former.insert(entry.life.clone(), entry.end(now, false));
-        Some(entry.life)
+        self.previous.insert(entry.incarnation.clone(), entry.to_previous(now, false));
+        Some(entry.incarnation)
     }
 
     /// Whether anything is known under `id`.
@@ -164,24 +167,32 @@
 
 impl Entry {
     fn new(
-        life: Incarnation,
+        incarnation: Incarnation,
         revision: Revision,
         leaving: Option<Revision>,
         state: &mut UpstreamState,
     ) -> Self {
-        let mut entry = Self { life, revision, seen: revision, is_readable: true, leaving };
+        let mut entry =
+            Self { incarnation, revision, last_seen: revision, is_readable: true, leaving };
         entry.note_leaving(revision, state);
         entry
     }
 
     /// What is remembered of the life when it is over.
-    fn end(&self, now: Tick, is_replaced: bool) -> Former {
-        Former { at: now, last: self.seen, leaving: self.leaving, is_replaced }
+    fn to_previous(&self, now: Tick, is_replaced: bool) -> PreviousIncarnation {
+        PreviousIncarnation {
+            ended_at: now,
+            last_revision: self.last_seen,
+            leaving: self.leaving,
+            is_replaced,
+        }
     }
 
     /// Whether a copy of the store tells of a life that began before this one.
-    fn is_younger(&self, other: &Incarnation, revision: Revision) -> bool {
-        revision.era > self.seen.era && other.born.is_some() && other.born < self.life.born
+    fn is_newer_than(&self, other: &Incarnation, revision: Revision) -> bool {
+        revision.era > self.last_seen.era
+            && other.born.is_some()
+            && other.born < self.incarnation.born
     }
 
     /// A copy does not take back that a life leaves; the life itself may, in the era in which it said so.
@@ -195,17 +206,17 @@
     }
 
     /// An announcement that leaves out the start that the one before it told comes from another writer.
-    fn check(&self, told: Announcement) -> Result<Announcement, AnnouncementError> {
-        if self.life.born.is_some() && told.incarnation.born.is_none() {
+    fn check(&self, announcement: Announcement) -> Result<Announcement, AnnouncementError> {
+        if self.incarnation.born.is_some() && announcement.incarnation.born.is_none() {
             return Err(AnnouncementError::StartMissing);
         }
-        Ok(told)
+        Ok(announcement)
     }
 
-    fn unreadable(&mut self, error: AnnouncementError) -> Vec<RosterUpdate> {
+    fn mark_unreadable(&mut self, error: AnnouncementError) -> Vec<RosterUpdate> {
         if !std::mem::replace(&mut self.is_readable, false) {
             return Vec::new();
         }
-        vec![RosterUpdate::Unreadable { incarnation: Some(self.life.clone()), error }]
+        vec![RosterUpdate::Unreadable { incarnation: Some(self.incarnation.clone()), error }]
     }
 }
--- a/crates/dispatch/src/sending.rs
+++ b/crates/dispatch/src/sending.rs
@@ -2,11 +2,11 @@
 
 use crate::{
     Action, Attempt, Dispatch, RefusalContext, RequestId,
-    answers::Answers,
+    answer_times::AnswerTimes,
     choice::Choice,
-    choose::{View, choose},
-    ending::{RETRY_MS, STOP_RETRY_MS},
-    request::{Request, Sending, Stage},
+    choose::{ChoiceInput, choose},
+    ending::{RETRY_AFTER_MS, STOP_RETRY_AFTER_MS},
+    request::{ActiveAttempt, Request, Stage},
     shortage::{Shortage, ShortageKind},
     upstream::Upstream,
 };
@@ -18,31 +18,31 @@
 const CONNECTION_SHARE: f64 = 0.8;
 /// A request that has waited this long for a place shows that the replicas of its model are too few, in
 /// milliseconds: shorter waits come and go with the bursts of callers.
-pub(crate) const CROWDED_MS: u64 = 200;
+pub(crate) const SATURATED_MS: u64 = 200;
 /// A moment at an upstream in need lapses after this long, in milliseconds: a host that stood still would send into
 /// moments that others were given.
-const PERMIT_MS: u64 = 1_000;
+const PERMIT_TTL_MS: u64 = 1_000;
 /// Where all that could take a request rest for no longer than this, it waits, in milliseconds: its caller would not
 /// be back sooner.
-const AWAIT_MS: u64 = 100;
+const MAX_COOLDOWN_WAIT_MS: u64 = 100;
 /// The same thing is wanted again after this long, in milliseconds.
-pub(crate) const WANT_AGAIN_MS: u64 = 250;
+pub(crate) const MODEL_REQUEST_INTERVAL_MS: u64 = 250;
 
 impl Dispatch {
     /// Sends what waits and can go.
-    pub(crate) fn pump(&mut self, now: Tick, actions: &mut Vec<Action>) {
+    pub(crate) fn send_waiting(&mut self, now: Tick, actions: &mut Vec<Action>) {
         for service in self.queue.services() {
-            let mut lacking = HashMap::new();
-            for id in self.in_order(now, &service) {
-                self.try_send(now, &service, id, &mut lacking, actions);
+            let mut shortages = HashMap::new();
+            for id in self.ordered_queue(now, &service) {
+                self.try_send(now, &service, id, &mut shortages, actions);
             }
         }
     }
 
     /// Waiting requests that can still be answered in time come before those that can't.
-    fn in_order(&self, now: Tick, service: &Name) -> Vec<RequestId> {
+    fn ordered_queue(&self, now: Tick, service: &Name) -> Vec<RequestId> {
         let mut waiting = self.queue.waiting(service);
-        let answer_ms = self.answers.get(service).map_or(0, Answers::mean_ms);
+        let answer_ms = self.answer_times.get(service).map_or(0, AnswerTimes::mean_ms);
         let is_late = |id: &RequestId| {
             self.requests.get(id).is_some_and(|request| request.is_late_after(now, answer_ms))
         };
@@ -55,23 +55,23 @@
         now: Tick,
         service: &Name,
         id: RequestId,
-        lacking: &mut HashMap<Option<ModelRef>, Shortage>,
+        shortages: &mut HashMap<Option<ModelRef>, Shortage>,
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        if let Some(refusal) = self.bar(now, request) {
+        if let Some(refusal) = self.send_refusal(now, request) {
             let context = RefusalContext::from(request);
             let refusal = refusal.with_verdict(request.verdict);
             self.end(id);
             return actions.push(Action::Refuse { id, refusal, context });
         }
         let subject = request.head.model.clone();
-        if now < request.not_before || self.held.is_suspended(now, request.content_hash) {
+        if now < request.not_before || self.quarantine.is_suspended(now, request.content_hash) {
             return;
         }
-        if let Some(shortage) = lacking.get(&subject).copied() {
+        if let Some(shortage) = shortages.get(&subject).copied() {
             if let Some(request) = self.requests.get_mut(&id) {
                 request.shortage = Some(shortage);
             }
@@ -79,16 +79,16 @@
         }
         match self.choose(now, request) {
             Ok(choice) if choice.limit.is_some() => {
-                actions.extend(self.ask_permit(now, id, choice));
+                actions.extend(self.request_permit(now, id, choice));
             }
             Ok(choice) if self.is_engine(service) => actions.extend(self.reserve(now, id, choice)),
             Ok(choice) => actions.extend(self.send(now, id, choice, 0)),
             Err(shortage) => {
-                if let Some((cause, retry_ms)) = self.hopeless(now, request, shortage) {
+                if let Some((cause, retry_ms)) = self.futile_wait(now, request, shortage) {
                     return self.refuse_at_once(id, shortage, cause, retry_ms, actions);
                 }
                 if request.tried.is_empty() {
-                    lacking.insert(subject.clone(), shortage);
+                    shortages.insert(subject.clone(), shortage);
                 }
                 let Some(request) = self.requests.get_mut(&id) else {
                     return;
@@ -96,7 +96,7 @@
                 request.shortage = Some(shortage);
                 let waited_ms = now.since(request.arrived);
                 if let Some(subject) = subject {
-                    self.tell_shortage(now, service, subject, shortage.kind, waited_ms, actions);
+                    self.report_shortage(now, service, subject, shortage.kind, waited_ms, actions);
                 }
             }
         }
@@ -104,43 +104,44 @@
 
     /// Why waiting would not help a request, and when it should come back, in milliseconds: all upstreams of its service
     /// leave, or all that it may go to rest.
-    fn hopeless(
+    fn futile_wait(
         &self,
         now: Tick,
         request: &Request,
         shortage: Shortage,
     ) -> Option<(RefusalCause, u64)> {
         match shortage.kind {
-            ShortageKind::Upstream if self.all_leave(now, &request.service) => {
-                Some((RefusalCause::NoUpstream, RETRY_MS))
+            ShortageKind::Upstream if self.are_all_leaving(now, &request.service) => {
+                Some((RefusalCause::NoUpstream, RETRY_AFTER_MS))
             }
             ShortageKind::Cooldown => {
-                self.rested_in_ms(now, request).map(|left_ms| (RefusalCause::Cooldown, left_ms))
+                self.cooldown_wait_ms(now, request).map(|left_ms| (RefusalCause::Cooldown, left_ms))
             }
             _ => None,
         }
     }
 
     /// Whether a service has upstreams, and all of them leave.
-    fn all_leave(&self, now: Tick, service: &Name) -> bool {
-        let mut known = self.known(self.directory.of_service(service)).peekable();
+    fn are_all_leaving(&self, now: Tick, service: &Name) -> bool {
+        let mut known = self.known_upstreams(self.directory.upstreams_of(service)).peekable();
         known.peek().is_some() && known.all(|(_, upstream)| upstream.is_leaving(now))
     }
 
     /// When the first upstream that could take a request has rested, in milliseconds, if all that it may go to rest for
     /// longer than it would wait.
-    fn rested_in_ms(&self, now: Tick, request: &Request) -> Option<u64> {
+    fn cooldown_wait_ms(&self, now: Tick, request: &Request) -> Option<u64> {
         let holds = |upstream: &Upstream| {
             request.head.model.as_ref().is_none_or(|subject| upstream.holds(subject, now))
         };
-        let all = self.known(self.directory.of_service(&request.service));
-        let could = all.filter(|(_, upstream)| upstream.takes_new(now) && holds(upstream));
-        let rests = could.map(|(id, upstream)| (id, upstream.rest.left_ms(now).unwrap_or(0)));
-        let rests: Vec<(&Incarnation, u64)> = rests.collect();
-        let own = rests.iter().filter(|(id, _)| request.may_go_to(id)).map(|(_, left)| *left);
+        let all = self.known_upstreams(self.directory.upstreams_of(&request.service));
+        let could = all.filter(|(_, upstream)| upstream.accepts_new(now) && holds(upstream));
+        let cooldowns =
+            could.map(|(id, upstream)| (id, upstream.cooldown.left_ms(now).unwrap_or(0)));
+        let cooldowns: Vec<(&Incarnation, u64)> = cooldowns.collect();
+        let own = cooldowns.iter().filter(|(id, _)| request.may_try(id)).map(|(_, left)| *left);
         // One that was sent to as many as it may be does better as a new request.
-        let least = rests.iter().map(|(_, left)| *left).min()?;
-        (own.min()? > AWAIT_MS).then_some(least.max(STOP_RETRY_MS))
+        let least = cooldowns.iter().map(|(_, left)| *left).min()?;
+        (own.min()? > MAX_COOLDOWN_WAIT_MS).then_some(least.max(STOP_RETRY_AFTER_MS))
     }
 
     /// Refuses a request that nobody can take for longer than it would wait.
@@ -164,22 +165,22 @@
     }
 
     /// Tells the holder of orders what a request lacks, if weights or an adapter would help.
-    pub(crate) fn tell_shortage(
+    pub(crate) fn report_shortage(
         &mut self,
         now: Tick,
         service: &Name,
         subject: ModelRef,
-        lack: ShortageKind,
+        kind: ShortageKind,
         waited_ms: u64,
         actions: &mut Vec<Action>,
     ) {
-        if lack.is_crowd() && waited_ms >= CROWDED_MS {
+        if kind.is_saturation() && waited_ms >= SATURATED_MS {
             let model = ModelRef { model: subject.model.clone(), adapter: None };
-            self.want(now, service, model, true, actions);
+            self.request_model(now, service, model, true, actions);
         }
-        let is_saturated = subject.adapter.is_some() && lack.is_crowd();
-        if is_saturated || lack.is_missing() {
-            self.want(now, service, subject, is_saturated, actions);
+        let is_saturated = subject.adapter.is_some() && kind.is_saturation();
+        if is_saturated || kind.is_missing() {
+            self.request_model(now, service, subject, is_saturated, actions);
         }
     }
 
@@ -191,7 +192,7 @@
     fn choose(&self, now: Tick, request: &Request) -> Result<Choice, Shortage> {
         let services = self.configuration.as_ref().map(|c| &c.services);
         let service = services.and_then(|services| services.get(&request.service));
-        let view = View {
+        let input = ChoiceInput {
             now,
             domain: &self.options.domain,
             engine: service.and_then(|service| service.engine.as_ref()),
@@ -200,26 +201,27 @@
         };
         let (service, directory) = (&request.service, &self.directory);
         let Some(subject) = &request.head.model else {
-            return choose(&view, request, self.known(directory.of_service(service)));
+            return choose(&input, request, self.known_upstreams(directory.upstreams_of(service)));
         };
         let holders = directory.holders(service, &subject.model);
-        choose(&view, request, self.known(holders)).map_err(|shortage| {
+        choose(&input, request, self.known_upstreams(holders)).map_err(|shortage| {
             // Where no holder takes requests, others tell whether it is the model that is missing.
-            let is_nobody = shortage.kind == ShortageKind::Upstream;
-            let others = || self.known(directory.of_service(service));
-            let is_missing = is_nobody && others().any(|(_, upstream)| upstream.takes_new(now));
+            let lacks_upstream = shortage.kind == ShortageKind::Upstream;
+            let others = || self.known_upstreams(directory.upstreams_of(service));
+            let is_missing =
+                lacks_upstream && others().any(|(_, upstream)| upstream.accepts_new(now));
             if is_missing { Shortage { kind: ShortageKind::Model, ..shortage } } else { shortage }
         })
     }
 
-    fn known<'a>(
+    fn known_upstreams<'a>(
         &'a self,
         ids: impl Iterator<Item = &'a Incarnation>,
     ) -> impl Iterator<Item = (&'a Incarnation, &'a Upstream)> {
         ids.filter_map(|id| self.upstreams.get_key_value(id))
     }
 
-    fn want(
+    fn request_model(
         &mut self,
         now: Tick,
         service: &Name,
@@ -227,11 +229,11 @@
         is_saturated: bool,
         actions: &mut Vec<Action>,
     ) {
-        let last = self.wanted.get(&(service.clone(), subject.clone()));
-        if last.is_some_and(|at| now.since(*at) < WANT_AGAIN_MS) {
+        let last = self.requested_models.get(&(service.clone(), subject.clone()));
+        if last.is_some_and(|at| now.since(*at) < MODEL_REQUEST_INTERVAL_MS) {
             return;
         }
-        self.wanted.insert((service.clone(), subject.clone()), now);
+        self.requested_models.insert((service.clone(), subject.clone()), now);
         actions.push(Action::RequestModel { service: service.clone(), subject, is_saturated });
     }
 
@@ -245,11 +247,11 @@
         let sent_at = now + u64::from(delay_ms);
         let connections = self.connections(&choice.upstream);
         let version = self.version().unwrap_or(0);
-        let permit = choice.granted_rate();
+        let permit_rate = choice.granted_rate();
         let request = self.requests.get_mut(&id)?;
         let upstream = self.upstreams.get_mut(&choice.upstream)?;
         self.queue.remove(id, request);
-        let load = request.load(choice.expected.unread);
+        let load = request.load(choice.expected.unread_tokens);
         let attempt = Attempt {
             request: request.head.id.clone(),
             route: request.route.name.clone(),
@@ -257,40 +259,40 @@
             version,
             waited_ms: now.since(request.arrived),
             shortage: request.shortage.map(|shortage| shortage.kind),
-            unread_tokens: choice.expected.unread,
+            unread_tokens: choice.expected.unread_tokens,
             ahead_ms: choice.expected.ahead_ms,
             upstream: choice.upstream.clone(),
             address: upstream.state.address,
             delay_ms,
             deadline_ms: request.deadline.since(sent_at),
             connections,
-            number: request.sendings + 1,
+            number: request.attempts + 1,
             own_load: upstream.own.running as usize,
             peer_load: upstream.peer_load(now).running,
             gap_ms: request.gap_ms(),
             is_stream: request.route.kind == RequestKind::Stream,
             may_repeat: request.route.is_repeatable(),
             origin: request.access.origin.clone(),
-            limit: permit,
+            limit: permit_rate,
         };
         upstream.own.add(load);
-        upstream.health.sent(now);
-        upstream.rest.sent(now);
+        upstream.health.record_send(now);
+        upstream.cooldown.record_send(now);
         if let Some(subject) = &request.head.model {
-            upstream.remember(&subject.model, &request.shared);
+            upstream.cache_prompt(&subject.model, &request.shared_prefixes);
         }
-        request.sendings += 1;
+        request.attempts += 1;
         if !request.tried.contains(&choice.upstream) {
             request.tried.push(choice.upstream.clone());
         }
-        request.stage = Stage::Sent(Sending {
+        request.stage = Stage::Sent(ActiveAttempt {
             upstream: choice.upstream,
-            at: sent_at,
+            sent_at,
             load,
             expected: choice.expected,
             has_begun: false,
             is_trial: choice.is_trial,
-            permit,
+            permit_rate,
         });
         Some(Action::Send { id, attempt })
     }
@@ -299,23 +301,24 @@
     /// and the first byte lie the pacer's delay and the making of a connection, and the upstream may
     /// have left by then, or the key of the request have been taken away.
     pub fn may_send(&self, now: Tick, id: RequestId) -> bool {
-        let Some(request) = self.requests.get(&id).filter(|r| self.bar(now, r).is_none()) else {
+        let Some(request) = self.requests.get(&id).filter(|r| self.send_refusal(now, r).is_none())
+        else {
             return false;
         };
-        let Stage::Sent(sending) = &request.stage else {
+        let Stage::Sent(attempt) = &request.stage else {
             return false;
         };
-        if self.held.is_suspended(now, request.content_hash) {
+        if self.quarantine.is_suspended(now, request.content_hash) {
             return false;
         }
-        let Some(upstream) = self.upstreams.get(&sending.upstream) else {
+        let Some(upstream) = self.upstreams.get(&attempt.upstream) else {
             return false;
         };
-        let is_permitted = match sending.permit {
-            Some(_) => now <= sending.at + PERMIT_MS,
+        let is_permitted = match attempt.permit_rate {
+            Some(_) => now <= attempt.sent_at + PERMIT_TTL_MS,
             None => upstream.limit.rate().is_none(),
         };
-        is_permitted && upstream.takes_now(now)
+        is_permitted && upstream.accepts_now(now)
     }
 
     /// This host's share of the connections to an upstream.
--- a/crates/dispatch/src/shortage.rs
+++ b/crates/dispatch/src/shortage.rs
@@ -50,7 +50,7 @@
     }
 
     /// Whether those that hold what is asked for have no room.
-    pub(crate) fn is_crowd(self) -> bool {
+    pub(crate) fn is_saturation(self) -> bool {
         matches!(self, Self::Limit | Self::SendTime | Self::Slot | Self::Memory | Self::Reading)
     }
 
@@ -87,7 +87,7 @@
         Self {
             route: request.route.name.clone(),
             subject: request.head.model.clone(),
-            attempts: request.sendings,
+            attempts: request.attempts,
             shortage: request.shortage,
         }
     }
--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -1,6 +1,6 @@
 //! What this host believes of one upstream.
 
-use crate::{Health, LoadRow, Presence, choice::Choice, rest::Rest};
+use crate::{Health, LoadRow, Presence, choice::Choice, cooldown::Cooldown};
 use std::collections::{BTreeMap, HashMap};
 use vanetally_limit::KnownLimit;
 use vanetally_pacing::{Prefix, PrefixCache};
@@ -22,7 +22,7 @@
         self.held_tokens += other.held_tokens;
     }
 
-    pub(crate) fn take(&mut self, other: Load) {
+    pub(crate) fn subtract(&mut self, other: Load) {
         self.running = self.running.saturating_sub(other.running);
         self.unread_tokens = self.unread_tokens.saturating_sub(other.unread_tokens);
         self.held_tokens = self.held_tokens.saturating_sub(other.held_tokens);
@@ -46,13 +46,13 @@
     /// No request goes there before this, since it was full.
     pub full_until: Tick,
     /// How often it turned requests away since it last answered one.
-    pub refusals: u32,
+    pub consecutive_refusals: u32,
     /// What it takes from all hosts while it is in need.
     pub limit: KnownLimit,
     /// It takes no more from this host before this, while it is in need.
     pub limited_until: Tick,
-    /// Rest that it asked this host for.
-    pub rest: Rest,
+    /// Cooldown that it asked this host for.
+    pub cooldown: Cooldown,
     /// Its pacer has no moment for this host before this.
     pub paced_until: Tick,
     /// Another incarnation answers at its address: it is gone, whatever its announcement says.
@@ -65,19 +65,19 @@
     pub gone_at: Option<Tick>,
     peers: BTreeMap<Name, PeerLoad>,
     presence: HashMap<ModelRef, (Presence, Tick)>,
-    cached: PrefixCache,
+    prefix_cache: PrefixCache,
 }
 
 /// A peer's load older than this is forgotten, in milliseconds.
 const PEER_LOAD_MS: u64 = 3_000;
 /// Weights that go are announced until their last run has ended: what the holder of orders told wins
 /// for this long, in milliseconds.
-const GOING_MS: u64 = 30_000;
+const UNLOAD_PRESENCE_MS: u64 = 30_000;
 /// What the holder of orders told wins over the announcement for this long, in milliseconds.
 const PRESENCE_MS: u64 = 4_000;
 
 /// Time left below which an upstream under notice gets nothing, in milliseconds.
-const NOTICE_MS: u64 = 200;
+const MIN_NOTICE_MS: u64 = 200;
 
 impl Upstream {
     pub(crate) fn new(state: UpstreamState, now: Tick) -> Self {
@@ -86,10 +86,10 @@
             own: Load::default(),
             health: Health::default(),
             full_until: Tick(0),
-            refusals: 0,
+            consecutive_refusals: 0,
             limit: KnownLimit::default(),
             limited_until: Tick(0),
-            rest: Rest::default(),
+            cooldown: Cooldown::default(),
             paced_until: Tick(0),
             is_replaced: false,
             is_unreadable: false,
@@ -97,7 +97,7 @@
             gone_at: None,
             peers: BTreeMap::new(),
             presence: HashMap::new(),
-            cached: PrefixCache::default(),
+            prefix_cache: PrefixCache::default(),
         };
         upstream.gone_at = upstream.state.remaining_ms.map(|ms| now + ms);
         upstream
@@ -129,26 +129,26 @@
     }
 
     /// Whether new requests may go there at all.
-    pub(crate) fn takes_new(&self, now: Tick) -> bool {
-        let is_sound = !self.is_unreadable && !self.is_replaced && self.successor.is_none();
-        is_sound && !self.is_leaving(now)
+    pub(crate) fn accepts_new(&self, now: Tick) -> bool {
+        let is_valid = !self.is_unreadable && !self.is_replaced && self.successor.is_none();
+        is_valid && !self.is_leaving(now)
     }
 
     /// Whether a request that was chosen for it may go there now.
-    pub(crate) fn takes_now(&self, now: Tick) -> bool {
-        self.takes_new(now) && self.rest.left_ms(now).is_none()
+    pub(crate) fn accepts_now(&self, now: Tick) -> bool {
+        self.accepts_new(now) && self.cooldown.left_ms(now).is_none()
     }
 
     /// Whether it takes nothing new since it leaves.
     pub(crate) fn is_leaving(&self, now: Tick) -> bool {
-        let is_under_notice = self.gone_at.is_some_and(|gone| gone <= now + NOTICE_MS);
-        self.state.draining || is_under_notice
+        let is_ending_soon = self.gone_at.is_some_and(|gone| gone <= now + MIN_NOTICE_MS);
+        self.state.draining || is_ending_soon
     }
 
     /// Another incarnation announced itself. At the address of one that has just failed it is what came
     /// after it; while nothing failed it may be a late announcement of one that went before.
     pub(crate) fn successor_seen(&mut self, id: &Incarnation, state: &UpstreamState, now: Tick) {
-        if state.address == self.state.address && self.has_failed(now) {
+        if state.address == self.state.address && self.has_recent_failure(now) {
             self.successor = Some(id.clone());
         }
     }
@@ -159,7 +159,7 @@
     }
 
     /// Whether attempts failed there lately, here or at other hosts.
-    fn has_failed(&mut self, now: Tick) -> bool {
+    fn has_recent_failure(&mut self, now: Tick) -> bool {
         let (_, own) = self.health.counts(now);
         let (_, others) = self.peer_ends(now);
         own + others > 0 || self.health.is_suspect()
@@ -167,27 +167,28 @@
 
     pub(crate) fn set_presence(&mut self, subject: ModelRef, presence: Presence, now: Tick) {
         if presence == Presence::Absent && subject.adapter.is_none() {
-            self.cached.drop_model(&subject.model);
+            self.prefix_cache.drop_model(&subject.model);
         }
         self.presence.insert(subject, (presence, now));
     }
 
     pub(crate) fn holds(&self, subject: &ModelRef, now: Tick) -> bool {
         let base = ModelRef { model: subject.model.clone(), adapter: None };
-        self.told(&base, now).unwrap_or_else(|| self.announces(&base))
-            && self.told(subject, now).unwrap_or_else(|| self.announces(subject))
+        self.reported_presence(&base, now).unwrap_or_else(|| self.announces(&base))
+            && self.reported_presence(subject, now).unwrap_or_else(|| self.announces(subject))
     }
 
     /// The models that it was told to hold, some of them long ago.
-    pub(crate) fn told_present(&self) -> impl Iterator<Item = &Name> {
-        let present = self.presence.iter().filter(|(_, (told, _))| *told == Presence::Present);
+    pub(crate) fn reported_models(&self) -> impl Iterator<Item = &Name> {
+        let present =
+            self.presence.iter().filter(|(_, (reported, _))| *reported == Presence::Present);
         present.map(|(subject, _)| &subject.model)
     }
 
-    fn told(&self, subject: &ModelRef, now: Tick) -> Option<bool> {
+    fn reported_presence(&self, subject: &ModelRef, now: Tick) -> Option<bool> {
         let (presence, at) = self.presence.get(subject)?;
-        let is_going = *presence == Presence::Absent && subject.adapter.is_none();
-        let limit = if is_going { GOING_MS } else { PRESENCE_MS };
+        let is_unloading = *presence == Presence::Absent && subject.adapter.is_none();
+        let limit = if is_unloading { UNLOAD_PRESENCE_MS } else { PRESENCE_MS };
         (now.since(*at) <= limit).then_some(*presence == Presence::Present)
     }
 
@@ -240,12 +241,12 @@
 
     /// Prompt tokens that the upstream is thought to keep already.
     pub(crate) fn cached_tokens(&self, shared: &[Prefix]) -> u32 {
-        self.cached.tokens(shared)
+        self.prefix_cache.tokens(shared)
     }
 
     /// The upstream reads a prompt for `model`.
-    pub(crate) fn remember(&mut self, model: &Name, shared: &[Prefix]) {
-        self.cached.insert(model, shared);
+    pub(crate) fn cache_prompt(&mut self, model: &Name, shared: &[Prefix]) {
+        self.prefix_cache.insert(model, shared);
     }
 }
 
--- a/crates/dispatch/tests/retries.rs
+++ b/crates/dispatch/tests/retries.rs
@@ -152,7 +152,7 @@
     let mut spent = 0;
     for _ in 0..hosts {
         let mut budget = RetryBudget::new(BOUNDS);
-        budget.share_among(hosts);
+        budget.set_hosts(hosts);
         spent += (0..1_000).filter(|_| budget.try_spend(Tick(5_000))).count();
     }
     assert!(spent as f64 <= BOUNDS.slack, "{spent}");
@@ -161,7 +161,7 @@
 #[test]
 fn budget_slides() {
     let mut budget = RetryBudget::new(BOUNDS);
-    budget.share_among(10);
+    budget.set_hosts(10);
     let first = (0..100).filter(|_| budget.try_spend(Tick(0))).count();
     assert!(first > 0);
     assert!(!budget.try_spend(Tick(9_999)));
@@ -171,8 +171,8 @@
 #[test]
 fn budget_grows() {
     let mut budget = RetryBudget::new(BOUNDS);
-    budget.share_among(10);
-    (0..100).for_each(|_| budget.earn(Tick(0)));
+    budget.set_hosts(10);
+    (0..100).for_each(|_| budget.record_request(Tick(0)));
     let spent = (0..1_000).filter(|_| budget.try_spend(Tick(1))).count();
     assert!((15..=25).contains(&spent), "{spent}");
 }
