--- a/crates/dispatch/src/access.rs
+++ b/crates/dispatch/src/access.rs
@@ -1,4 +1,5 @@
-//! Who may send a request, on whose behalf it goes, and what bars it from being sent.
+//! Caller access: who may send a request, on whose behalf it is sent, and why it may not be sent
+//! now.
 
 use crate::{Dispatch, request::Request};
 use std::{collections::HashMap, rc::Rc};
@@ -8,17 +9,16 @@
 };
 use vanetally_types::{Name, Tick};
 
-/// Where keys that were taken away must not be used, a host uses those that it knows only for this share of the
-/// time allowed since the store confirmed them: a request that was judged may wait for a tenth of that time before
-/// its first byte leaves.
+/// Share of the revocation time for which the known keys are used after the last confirmation by
+/// the store. The rest covers the time from the check of a request to its first byte.
 const CONFIRMATION_SHARE: f64 = 0.9;
-/// When to come back to a host that can't tell whether a key holds, in milliseconds: another one may.
+/// `Retry-After` of a host that can't verify keys; another host may.
 const UNCONFIRMED_RETRY_AFTER_MS: u64 = 500;
 
 /// The organisations of one configuration, by key.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KeyIndex {
-    /// None if requests need no key.
+    /// `None` if requests need no key.
     by_key: Option<HashMap<CallerKey, Rc<Organisation>>>,
 }
 
@@ -36,21 +36,22 @@
     }
 }
 
-/// On whose behalf a request goes.
+/// Result of the access check of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Access {
     pub origin: Origin,
-    /// The key that it came with, where it needs one.
+    /// The caller's key, if one is required.
     pub key: Option<CallerKey>,
-    /// Its organisation's rank.
+    /// Priority of the organisation.
     pub priority: Option<u8>,
 }
 
 impl Dispatch {
-    /// The organisation that a request counts for, if any; or why it can't be sent.
+    /// Returns the organisation to which a request is charged, if any.
     ///
     /// # Errors
-    /// The answer to its caller.
+    ///
+    /// Returns the refusal if the request can't be sent.
     pub fn identify(&self, now: Tick, head: &CallerRequest) -> Result<Option<Name>, Refusal> {
         let route = self.route(now, head)?;
         Ok(match self.access(now, &route, head)?.origin {
@@ -59,7 +60,7 @@
         })
     }
 
-    /// On whose behalf a request of `route` goes.
+    /// Checks the access of a request to `route`.
     pub(crate) fn access(
         &self,
         now: Tick,
@@ -72,7 +73,7 @@
         if route.is_open {
             return Ok(Access { origin: Origin::Open, ..Access::default() });
         }
-        // A host that may have missed a change can't say that a key is unknown either.
+        // A host that may have missed a configuration change can't reject an unknown key either.
         if !self.is_confirmed(now) {
             return Err(unconfirmed());
         }
@@ -91,8 +92,8 @@
         })
     }
 
-    /// Why a request that has arrived must not be sent now, if anything bars it: keys and contents are judged anew
-    /// at each sending.
+    /// Returns the refusal if a request must not be sent now. Keys and contents are checked again
+    /// at each attempt.
     pub(crate) fn send_refusal(&self, now: Tick, request: &Request) -> Option<Refusal> {
         if let Some(rest_ms) = self.quarantine.remaining_ms(now, request.content_hash) {
             return Some(Refusal::not_run(RefusalCause::Quarantined, Some(rest_ms)));
@@ -107,17 +108,17 @@
         }
     }
 
-    /// Whether the keys that are known here may be used: the store confirmed them a short while ago, or hosts serve
-    /// on without it.
+    /// Whether the known keys may be used: the store confirmed them recently, or the deployment
+    /// does not require it.
     pub(crate) fn is_confirmed(&self, now: Tick) -> bool {
         let Some(revoke_ms) = self.options.revoke_ms else {
             return true;
         };
-        let most = (revoke_ms as f64 * CONFIRMATION_SHARE) as u64;
-        self.confirmed_at.is_some_and(|at| now.since(at) <= most)
+        let max_age_ms = (revoke_ms as f64 * CONFIRMATION_SHARE) as u64;
+        self.confirmed_at.is_some_and(|at| now.since(at) <= max_age_ms)
     }
 
-    /// Whether requests that bear keys can be served.
+    /// Whether requests with keys can be served.
     pub(crate) fn serves_keys(&self, now: Tick) -> bool {
         self.keys.by_key.is_none() || self.is_confirmed(now)
     }
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -1,20 +1,20 @@
-//! The budget for repeated sendings, of which each host holds a share.
+//! Retry budget of a service, of which each host has a share.
 
 use std::collections::VecDeque;
 use vanetally_types::Tick;
 
-/// What all hosts together may repeat.
+/// Bounds on the retries of all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetOptions {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// The sliding window, in milliseconds.
+    /// Length of the sliding window.
     pub window_ms: u64,
-    /// Repeats beyond the ratio in one window.
+    /// Retries per window in addition to the ratio.
     pub slack: f64,
 }
 
-/// This host's share of the budget of one service.
+/// This host's share of the retry budget of one service.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     options: RetryBudgetOptions,
@@ -23,30 +23,30 @@
     retries: VecDeque<Tick>,
 }
 
-/// Share of the bound that is used: clocks and windows of hosts don't line up.
+/// Share of the budget that is used: clocks and windows of the hosts are not aligned.
 const SAFETY_FACTOR: f64 = 0.8;
 
-/// Hosts that may live beside those that are known.
+/// Hosts that may exist in addition to the known ones.
 const SPARE_HOSTS: usize = 2;
 
 impl RetryBudget {
-    /// An untouched budget.
+    /// Creates a full budget for a single host.
     pub fn new(options: RetryBudgetOptions) -> Self {
         Self { options, hosts: 1, requests: VecDeque::new(), retries: VecDeque::new() }
     }
 
-    /// The slack is shared by `hosts` that may live.
+    /// Sets the number of hosts that share the slack.
     pub fn set_hosts(&mut self, hosts: usize) {
         self.hosts = hosts.max(1);
     }
 
-    /// A request arrived.
+    /// Records a request, which adds to the budget.
     pub fn record_request(&mut self, now: Tick) {
         self.forget(now);
         self.requests.push_back(now);
     }
 
-    /// Whether a repeat is allowed now; takes it from the budget.
+    /// Takes a retry from the budget if one is left. Returns whether it did.
     pub fn try_spend(&mut self, now: Tick) -> bool {
         self.forget(now);
         let slack = self.options.slack / (self.hosts + SPARE_HOSTS) as f64;
--- a/crates/dispatch/src/choice.rs
+++ b/crates/dispatch/src/choice.rs
@@ -1,33 +1,33 @@
-//! The upstream that was chosen for a request, and what is expected there.
+//! The upstream that was chosen for a request, and its expected load.
 
 use crate::Action;
 use vanetally_types::Incarnation;
 
-/// The upstream that was chosen.
+/// The chosen upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Choice {
     pub upstream: Incarnation,
-    /// What is expected there.
+    /// What the upstream is expected to read.
     pub expected: ReadEstimate,
-    /// Whether the engine's pacer has to hear of the answer.
+    /// Whether the engine's pacer needs the outcome, because this request probes the engine.
     pub is_trial: bool,
-    /// What it takes from all hosts, if it is in need.
+    /// The upstream's stated rate limit, if it has one.
     pub limit: Option<ChosenLimit>,
 }
 
 impl Choice {
-    /// Gives back the moment at an upstream in need that the request does not use.
+    /// Returns the permit for a rate-limited upstream that the request does not use.
     pub(crate) fn unused_permit(&self) -> Option<Action> {
         let rate = self.granted_rate()?;
         Some(Action::ReturnPermit { upstream: self.upstream.clone(), rate })
     }
 
-    /// The rate by which the request has its moment at an upstream in need, if it has one.
+    /// Returns the rate under which the request got a permit, if it has one.
     pub(crate) fn granted_rate(&self) -> Option<f64> {
         self.limit.filter(|limit| limit.is_granted).map(|limit| limit.rate)
     }
 
-    /// The same choice; whether the request would wait for it if it is in need.
+    /// Sets whether the request would wait for a rate-limited upstream.
     pub(crate) fn with_may_wait(mut self, may_wait: bool) -> Self {
         if let Some(limit) = &mut self.limit {
             limit.may_wait = may_wait;
@@ -36,22 +36,22 @@
     }
 }
 
-/// An upstream in need that was chosen.
+/// Rate limit of the chosen upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ChosenLimit {
-    /// Requests a second that it takes.
+    /// Requests per second that the upstream takes.
     pub rate: f64,
-    /// Whether the request would wait for it: nobody else could take it.
+    /// Whether the request would wait: no other upstream could take it.
     pub may_wait: bool,
-    /// Whether the request has its moment there.
+    /// Whether the request has a permit.
     pub is_granted: bool,
 }
 
-/// What an upstream has to read before a request's first piece.
+/// What an upstream is expected to read before the first piece of the request's answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ReadEstimate {
-    /// Tokens of the request's own prompt that the upstream has not read before.
+    /// Tokens of the request's prompt that the upstream has not cached.
     pub unread_tokens: u32,
-    /// Milliseconds of reading for others.
+    /// Milliseconds of reading for requests before it.
     pub ahead_ms: u32,
 }
--- a/crates/dispatch/src/choose.rs
+++ b/crates/dispatch/src/choose.rs
@@ -1,4 +1,4 @@
-//! Which upstream takes a request.
+//! Choice of an upstream for a request.
 
 use crate::{
     choice::{Choice, ChosenLimit, ReadEstimate},
@@ -10,7 +10,7 @@
 use vanetally_ports::{EngineSpec, ModelRef};
 use vanetally_types::{Incarnation, Name, Tick, rendezvous_rank};
 
-/// What the choice looks at.
+/// Data on which the choice depends, besides the request and the upstreams.
 pub(crate) struct ChoiceInput<'a> {
     pub now: Tick,
     pub domain: &'a Name,
@@ -20,28 +20,29 @@
     pub hosts: usize,
 }
 
-/// Milliseconds that each running request adds.
+/// Cost of each running request at an engine.
 const RUNNING_REQUEST_MS: f64 = 1.0;
-/// Requests at a plain service beyond its slots.
+/// Maximum number of requests at a plain service, as a multiple of its slots.
 const SERVICE_QUEUE_RATIO: f64 = 2.0;
-/// Requests at an engine, as a share of its slots.
+/// Maximum number of requests at an engine, as a share of its slots.
 const ENGINE_FILL_RATIO: f64 = 1.0;
-/// The same for a request that is late already: the last places are for those that can be in time.
+/// The same for a late request: the last slots are kept for requests that can still be in time.
 const LATE_FILL_RATIO: f64 = 0.75;
-/// Worth of the same failure domain, in milliseconds of a plain service's load.
+/// Cost of an upstream in another failure domain, compared with load at a plain service.
 const DOMAIN_PENALTY_MS: f64 = 2.0;
-/// Milliseconds that one running request adds at a plain service, spread over its slots.
+/// Cost of one running request at a plain service, divided by its slots.
 const SERVICE_WORK_MS: f64 = 30.0;
-/// How much of this host's sending others are taken to do, and how many of them at most.
+/// Assumed load from other hosts, as a share of what this host sends, and the maximum number of
+/// hosts for which it is assumed.
 const PEER_SEND_SHARE: f64 = 0.5;
 const MAX_ASSUMED_PEERS: usize = 8;
-/// What speaks against an upstream that has failed the request already, in milliseconds.
+/// Cost of an upstream at which the request was tried before.
 const RETRY_PENALTY_MS: f64 = 10_000.0;
-/// Share of the longest pause between events that reading prompts may take at an engine: it reads
-/// them between the tokens of those that run.
+/// Share of the target gap between events that an engine may spend on reading prompts: it reads
+/// them between the tokens of the running requests.
 const READING_GAP_SHARE: f64 = 0.6;
 
-/// Chooses among `upstreams` for `request`.
+/// Chooses one of `upstreams` for `request`.
 pub(crate) fn choose<'a>(
     input: &ChoiceInput<'_>,
     request: &Request,
@@ -71,11 +72,11 @@
             keep_cheapest(&mut suspect, cost, choice);
         }
     }
-    // The last one is never left out for being suspect.
+    // An ejected upstream is still used if no other one is available.
     if let Some((_, choice)) = best.or(suspect) {
         return Ok(choice.with_may_wait(usable == 1));
     }
-    // Where all that could take it are in need, the request waits in line for one of them.
+    // If all upstreams that could take the request are rate-limited, it waits for one of them.
     let queued = limited.filter(|_| limited_count == usable);
     queued.map(|(_, choice)| choice.with_may_wait(true)).ok_or(shortage)
 }
@@ -89,7 +90,7 @@
     }
 }
 
-/// What keeps the request from going to an upstream that takes new ones, if anything does.
+/// Returns why an upstream that accepts new requests can't take this one, if so.
 fn shortage_of(
     input: &ChoiceInput<'_>,
     request: &Request,
@@ -125,13 +126,14 @@
     }
 }
 
-/// Whether an upstream has as many requests as it may. One in need says itself how many it takes: those that stand in its
-/// line are no load yet, and the others are told at once whether they have a turn.
-fn is_saturated(upstream: &Upstream, running: u32, most: f64) -> bool {
-    upstream.limit.rate().is_none() && f64::from(running) >= most
+/// Whether an upstream has its maximum number of requests. A rate-limited upstream is never
+/// saturated: its stated limit bounds what it gets, requests that wait for their send time are no
+/// load yet, and the others learn at once whether they get a permit.
+fn is_saturated(upstream: &Upstream, running: u32, max: f64) -> bool {
+    upstream.limit.rate().is_none() && f64::from(running) >= max
 }
 
-/// What a busy engine lacks for the request.
+/// Returns why a busy engine can't take the request, if so.
 fn engine_shortage(
     input: &ChoiceInput<'_>,
     engine: &EngineSpec,
@@ -157,10 +159,11 @@
 }
 
 impl ChoiceInput<'_> {
-    /// Prompt tokens that are read before a new request's own.
+    /// Returns the prompt tokens that are read before those of a new request.
     ///
-    /// What a few others sent since their last digests is not known: they are taken to send as much as
-    /// this host. Where hosts are many each sends little, and the engine's pacer knows.
+    /// What other hosts sent since their last digests is unknown. If there are few hosts, each is
+    /// assumed to send half as much as this one; if there are many, each sends little, and the
+    /// engine's pacer has the exact numbers.
     fn tokens_ahead(&self, upstream: &Upstream) -> u32 {
         let known = upstream.total(self.now).unread_tokens;
         let others = self.hosts.min(MAX_ASSUMED_PEERS) as f64 * PEER_SEND_SHARE;
@@ -200,7 +203,7 @@
     (cost, Choice { upstream: id.clone(), expected, is_trial: false, limit })
 }
 
-/// A fraction of a millisecond that spreads equal choices.
+/// Returns a fraction of a millisecond that spreads requests over equal choices.
 fn tie_break(request: &Request, id: &Incarnation) -> f64 {
     let key = vanetally_types::hash64(request.head.id.as_bytes());
     let placeholder: Name = "~".into();
--- a/crates/dispatch/src/cooldown.rs
+++ b/crates/dispatch/src/cooldown.rs
@@ -1,29 +1,30 @@
-//! Cooldown that an upstream has asked this host for.
+//! Cooldown that an upstream requested from this host with `Retry-After`.
 //!
-//! An upstream that turns a request away may want nothing from this host for some seconds. After that one request goes
-//! first: only when it is answered all others follow, since the upstream may want more rest.
+//! An upstream that turns a request away may ask this host to send nothing for some seconds. After
+//! that time one trial request is sent; the others follow only when it was answered, since the
+//! upstream may request another cooldown.
 
 use vanetally_types::Tick;
 
-/// Whether an upstream rests.
+/// Cooldown state of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Cooldown {
-    /// It takes requests.
+    /// The upstream takes requests.
     #[default]
     Inactive,
-    /// It wants nothing before this; then a first request may go.
+    /// No requests before this time; then one trial request may be sent.
     Until(Tick),
-    /// The first request after its rest went out then.
+    /// The trial request was sent at this time.
     Trial(Tick),
 }
 
-/// The longest rest that is kept, in milliseconds: what asks for more is asked again with one request after that.
+/// Maximum cooldown. An upstream that requests a longer one gets one trial request after this time.
 const MAX_COOLDOWN_MS: u64 = 300_000;
-/// A first request that is not answered within this time, in milliseconds, keeps no others back.
+/// A trial request that is not answered within this time no longer holds back others.
 const TRIAL_MS: u64 = 1_000;
 
 impl Cooldown {
-    /// The upstream wants rest for `for_ms`; of several rests the one that ends last holds.
+    /// Applies a requested cooldown; of several the one that ends last counts.
     pub(crate) fn request(&mut self, now: Tick, for_ms: u64) {
         let until = now + for_ms.min(MAX_COOLDOWN_MS);
         let until = match *self {
@@ -33,7 +34,7 @@
         *self = Self::Until(until);
     }
 
-    /// Milliseconds until it takes a request again; none if it does now.
+    /// Returns the milliseconds until the cooldown ends, or `None` if there is none.
     pub(crate) fn left_ms(&self, now: Tick) -> Option<u64> {
         match self {
             Self::Until(until) if *until > now => Some(until.since(now)),
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Milliseconds until a request may be chosen to go there; none if one may now. Beside a first request that is out
-    /// others wait for its answer.
+    /// Returns the milliseconds until the upstream may be chosen, or `None` if it may be chosen
+    /// now. While a trial request is open, other requests wait for its answer.
     pub(crate) fn blocked_ms(&self, now: Tick) -> Option<u64> {
         match self {
             Self::Trial(since) => TRIAL_MS.checked_sub(now.since(*since)).filter(|left| *left > 0),
@@ -50,14 +51,15 @@
         }
     }
 
-    /// A request is chosen to go there.
+    /// Records that the upstream was chosen for a request.
     pub(crate) fn record_send(&mut self, now: Tick) {
         if matches!(self, Self::Until(_)) {
             *self = Self::Trial(now);
         }
     }
 
-    /// A request that was chosen at `sent` was answered, or ended without an answer.
+    /// Records that a request for which the upstream was chosen at `sent_at` ended, with or without
+    /// an answer.
     pub(crate) fn record_end(&mut self, now: Tick, sent_at: Tick, is_answered: bool) {
         if let Self::Trial(since) = *self
             && sent_at >= since
--- a/crates/dispatch/src/digest.rs
+++ b/crates/dispatch/src/digest.rs
@@ -1,56 +1,56 @@
-//! What hosts tell each other of their load.
+//! Load reports that hosts exchange.
 
 use serde::{Deserialize, Serialize};
 use vanetally_types::{Incarnation, Name};
 
-/// One host's load, whole: a later digest replaces an earlier one.
+/// The complete load of one host; a later digest replaces an earlier one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Load on upstreams; those without load are left out.
+    /// Load per upstream; upstreams without load are left out.
     pub loads: Vec<LoadRow>,
-    /// Requests that arrived since the last digest, and those that wait.
+    /// Requests that arrived since the last digest, per model or adapter.
     pub demand: Vec<DemandRow>,
 }
 
-/// What one host has running at one upstream.
+/// Load of one host on one upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadRow {
-    /// The upstream's incarnation.
+    /// The upstream.
     #[serde(rename = "u")]
     pub upstream: Incarnation,
-    /// Requests sent and not ended.
+    /// Requests that were sent and have not ended.
     #[serde(rename = "r")]
     pub running: u32,
-    /// Prompt tokens of those that have no first piece yet.
+    /// Prompt tokens of the requests that have no first piece of their answer yet.
     #[serde(rename = "p")]
     pub unread_tokens: u32,
-    /// Tokens that all may come to hold.
+    /// Tokens that the requests may hold in the engine's memory at most.
     #[serde(rename = "k")]
     pub held_tokens: u32,
-    /// Attempts that ended well in the last seconds.
+    /// Recent attempts that succeeded.
     #[serde(rename = "g")]
     pub good: u16,
-    /// Attempts that ended badly in the last seconds.
+    /// Recent attempts that failed.
     #[serde(rename = "b")]
     pub bad: u16,
-    /// What the upstream said that it takes; hosts of earlier builds say nothing of it.
+    /// The upstream's stated rate limit; absent in digests of earlier builds.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<LimitRow>,
 }
 
-/// What an upstream said last of the requests that it takes from all hosts.
+/// The last statement of an upstream about its rate limit over all hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitRow {
-    /// Requests a second; none if it takes all.
+    /// Requests per second; `None` if the upstream takes all.
     #[serde(rename = "n")]
     pub rate: Option<f64>,
-    /// Milliseconds since a host heard it.
+    /// Milliseconds since a host received the statement.
     #[serde(rename = "a")]
     pub age_ms: u32,
 }
 
 impl LimitRow {
-    /// The one that was heard later.
+    /// Returns the later one of two statements.
     pub fn newer(one: Option<Self>, other: Option<Self>) -> Option<Self> {
         match (one, other) {
             (Some(one), Some(other)) if other.age_ms < one.age_ms => Some(other),
@@ -60,22 +60,22 @@
     }
 }
 
-/// Requests for one model or adapter at one host.
+/// Demand for one model or adapter at one host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DemandRow {
-    /// The service.
+    /// The requested service.
     #[serde(rename = "s")]
     pub service: Name,
-    /// The model.
+    /// The requested model.
     #[serde(rename = "m")]
     pub model: Name,
-    /// An adapter of it.
+    /// The adapter of the model, if one was requested.
     #[serde(rename = "a")]
     pub adapter: Option<Name>,
     /// Requests that arrived since the last digest.
     #[serde(rename = "n")]
     pub arrived: u32,
-    /// Milliseconds of a runner that they should take.
+    /// Expected processing time of these requests on a runner, in milliseconds.
     #[serde(rename = "w")]
     pub work_ms: u32,
 }
--- a/crates/dispatch/src/directory.rs
+++ b/crates/dispatch/src/directory.rs
@@ -1,21 +1,22 @@
-//! Which upstreams may take a request, without a look at all of them.
+//! Index of the upstreams that may take a request.
 
 use std::collections::{BTreeSet, HashMap};
 use vanetally_ports::UpstreamState;
 use vanetally_types::{Incarnation, Name};
 
-/// The upstreams of each service, and of each model those that may hold it.
+/// Upstreams by service, and by the model that they may hold.
 ///
-/// With 4,800 runners of which five hold a model, the choice for a request looks at these five. Whether an
-/// upstream holds it now is for [`crate::upstream::Upstream::holds`] to say: what was announced or told once
-/// stays here until the next announcement, and only what was never announced nor told is missing.
+/// With 4,800 runners of which five hold a model, the choice for a request examines five. Whether
+/// an upstream holds the model now is decided by [`crate::upstream::Upstream::holds`]: the index
+/// keeps what was announced or reported until the next announcement, so it may list too many
+/// holders, but never too few.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Directory {
     services: HashMap<Name, ServiceIndex>,
     upstreams: HashMap<Incarnation, UpstreamEntry>,
 }
 
-/// Where an upstream stands.
+/// Where an upstream is listed.
 #[derive(Clone, Debug)]
 struct UpstreamEntry {
     service: Name,
@@ -29,7 +30,8 @@
 }
 
 impl Directory {
-    /// An upstream announced itself. `told` are the models that it was told to hold beside.
+    /// Lists an upstream by its announcement. `reported` are the models that it holds by report of
+    /// the order holder.
     pub(crate) fn insert<'a>(
         &mut self,
         id: &Incarnation,
@@ -46,7 +48,7 @@
         }
     }
 
-    /// An upstream that announced itself was told to hold a model.
+    /// Lists an upstream as a holder of a model by report of the order holder.
     pub(crate) fn add_holder(&mut self, id: &Incarnation, model: &Name) {
         let Some(entry) = self.upstreams.get_mut(id) else {
             return;
@@ -57,7 +59,7 @@
         }
     }
 
-    /// An upstream's announcement is gone.
+    /// Removes an upstream whose announcement is gone.
     pub(crate) fn remove(&mut self, id: &Incarnation) {
         let Some(entry) = self.upstreams.remove(id) else {
             return;
@@ -73,12 +75,12 @@
         }
     }
 
-    /// The upstreams of a service, in the order of their names.
+    /// Returns the upstreams of a service, ordered by name.
     pub(crate) fn upstreams_of(&self, service: &Name) -> impl Iterator<Item = &Incarnation> {
         self.services.get(service).into_iter().flat_map(|service| &service.upstreams)
     }
 
-    /// Those that may hold a model, in the same order.
+    /// Returns the upstreams that may hold a model, ordered by name.
     pub(crate) fn holders(
         &self,
         service: &Name,
--- a/crates/dispatch/src/ending.rs
+++ b/crates/dispatch/src/ending.rs
@@ -1,4 +1,5 @@
-//! How attempts and requests end: what is learned, what may be sent again, what the caller is told.
+//! End of attempts and requests: what is learned from it, whether the request is retried, and the
+//! final answer.
 
 use crate::{
     Action, AttemptEnd, Dispatch, RefusalContext, RequestId,
@@ -9,50 +10,52 @@
 use vanetally_quarantine::{ContentHash, CrashSign};
 use vanetally_types::{Incarnation, Tick, Verdict};
 
-/// An upstream that was full is left alone for this long, in milliseconds.
+/// How long an upstream that was full gets no requests.
 const FULL_PAUSE_MS: u64 = 60;
-/// Most doublings of that, where it turns one after the other away: 69 hosts that each come back after 60 ms ask one
-/// upstream a thousand times a second, and use up what they may repeat.
+/// Maximum number of times that [`FULL_PAUSE_MS`] is doubled while an upstream rejects one request
+/// after another. With a constant pause of 60 ms, 69 hosts would send one upstream a thousand
+/// requests per second and use up their retry budget.
 const MAX_DOUBLINGS: u32 = 3;
-/// An upstream that could not be reached is left alone for this long, in milliseconds.
+/// How long an upstream that could not be reached gets no requests.
 const UNREACHABLE_PAUSE_MS: u64 = 250;
-/// A request that was turned away waits this long before it is sent again, in milliseconds.
+/// How long a rejected request waits before it is sent again.
 const RETRY_DELAY_MS: u64 = 30;
-/// The final answer at the deadline leaves the upstream this long to give its own, in milliseconds.
+/// Time past the deadline in which the upstream's answer is awaited before the final answer.
 const DEADLINE_GRACE_MS: u64 = 120;
-/// A request that was turned away by all upstreams allowed to it waits this long for one of them.
+/// How long a request that was rejected by all upstreams allowed to it waits for one of them.
 const EXHAUSTED_WAIT_MS: u64 = 150;
-/// Sendings of one request, those that were turned away included.
+/// Maximum number of attempts of one request, including rejected ones.
 const MAX_ATTEMPTS: u32 = 4;
-/// Least time left for a sending to make sense, in milliseconds.
+/// Minimum time left at which an attempt makes sense.
 const MIN_REMAINING_MS: u64 = 20;
-/// A content is not sent while it is looked at what an attempt of it left behind, in milliseconds: at most.
+/// Maximum time for which a content is not sent while the upstream of a broken attempt is probed.
 const PROBE_HOLD_MS: u64 = 600;
-/// A host that keeps the evidence has said what it thinks of a sign within this time, in milliseconds.
+/// How long a content stays on hold for the verdict on a crash report from the host that keeps the
+/// evidence.
 const REPORT_HOLD_MS: u64 = 100;
-/// When to come back if nothing better is known, in milliseconds.
+/// Default `Retry-After`.
 pub(crate) const RETRY_AFTER_MS: u64 = 500;
-/// A host knows a configuration this long after its start, in milliseconds: 0.27 to 0.55 s where all of 295 hosts
-/// start together.
+/// Time from the start of a host until it has a configuration: 270 to 550 ms when 295 hosts start
+/// together.
 const STARTUP_MS: u64 = 550;
-/// When to come back to a host that knows no configuration yet, in milliseconds, at least: one that is late already
-/// is seldom ready sooner.
+/// Minimum `Retry-After` of a host without a configuration. A host that is late already is rarely
+/// ready sooner.
 const MIN_STARTUP_RETRY_MS: u64 = 250;
-/// A store that is there has answered the first call of a process by now, in milliseconds: the call goes out with
-/// the first tick, after 20 ms, and answers take four and the way.
+/// Time within which a reachable store has answered the first call of a process. The call is sent
+/// at the first tick after 20 ms; an answer takes 4 ms plus the network latency.
 const STORE_ANSWER_MS: u64 = 60;
-/// When to come back to a host whose store is away, in milliseconds.
+/// `Retry-After` of a host whose store is unavailable.
 const STORE_RETRY_AFTER_MS: u64 = 1_000;
-/// When to come back after a refusal by a host that stops, in milliseconds.
+/// `Retry-After` of a host that is stopping.
 pub(crate) const STOP_RETRY_AFTER_MS: u64 = 50;
-/// When to come back for a model that nobody holds, in milliseconds.
+/// `Retry-After` for a model that no upstream holds.
 const LOAD_RETRY_AFTER_MS: u64 = 3_000;
 
-/// When to come back to a host that knows no configuration `age_ms` after its start, in milliseconds.
+/// Returns the `Retry-After` of a host without a configuration, `age_ms` after its start.
 ///
-/// Callers that were refused while all hosts started are then served within their objective of a second; with a
-/// whole second for all of them 820 of 1,885 were late. Where the store is away, those that come back that soon
-/// are refused again.
+/// When all hosts start together, callers are then served within their objective of one second; a
+/// fixed second for all made nearly half of them late. If the store is unavailable, callers that
+/// return earlier are only refused again.
 pub(crate) fn startup_retry_ms(age_ms: u64, has_store: bool) -> u64 {
     let is_store_late = age_ms > STORE_ANSWER_MS && !has_store;
     if is_store_late || age_ms > STARTUP_MS + MIN_STARTUP_RETRY_MS {
@@ -86,7 +89,7 @@
         self.review_content_hash(now, &request, &attempt, end, actions);
         match end {
             AttemptEnd::Served => return,
-            // The upstream's own failure went to the caller, unless it may be tried again.
+            // The upstream's error was passed to the caller, unless the request may be retried.
             AttemptEnd::Failed if answered || !request.route.is_repeatable() => return,
             AttemptEnd::Failed => request.verdict = Verdict::Ran,
             AttemptEnd::Unreachable | AttemptEnd::Withdrawn => {
@@ -100,7 +103,8 @@
             }
         }
         if request.verdict == Verdict::NotRun && request.is_exhausted() {
-            // Only where it was turned away may it be sent again: its caller does better elsewhere.
+            // The request may only be sent again to upstreams that rejected it; the caller has
+            // better chances at another host.
             request.wait_limit = request.wait_limit.min(now + EXHAUSTED_WAIT_MS);
         }
         let blocked =
@@ -117,7 +121,9 @@
         }
     }
 
-    /// An attempt that broke off speaks against its content, unless such requests are answered elsewhere.
+    /// Updates the quarantine state of a request's content. A broken attempt counts against its
+    /// content and has its upstream probed, unless the content was answered elsewhere a short time
+    /// ago.
     fn review_content_hash(
         &mut self,
         now: Tick,
@@ -150,13 +156,14 @@
         }
     }
 
-    /// Whether many callers send what a request says.
+    /// Whether many callers send the content of this request.
     pub(crate) fn is_common(&self, request: &Request) -> bool {
         let is_repeated = request.route.kind == RequestKind::Idempotent;
         is_repeated || self.quarantine.was_answered(request.content_hash)
     }
 
-    /// Somebody looked whether an upstream lives: one that shows no life gets nothing for a while.
+    /// Handles the result of a probe. An upstream that does not respond gets no requests for a
+    /// while.
     pub(crate) fn probed(
         &mut self,
         now: Tick,
@@ -200,8 +207,8 @@
                 upstream.health.record(now, true);
                 upstream.consecutive_refusals = 0;
             }
-            // An upstream's own failure of a request that may be repeated says little: others that
-            // are asked fail as well, where the request is at fault.
+            // An error for an idempotent request says little about the upstream: if the request is
+            // at fault, other upstreams fail as well.
             AttemptEnd::Failed if request.route.kind == RequestKind::Idempotent => {}
             AttemptEnd::Withdrawn => {}
             AttemptEnd::Failed | AttemptEnd::Broken => upstream.health.record(now, false),
@@ -214,7 +221,7 @@
                     now + (FULL_PAUSE_MS << upstream.consecutive_refusals.min(MAX_DOUBLINGS));
                 upstream.consecutive_refusals += 1;
                 let load = upstream.total(now);
-                // An upstream with free places that says it is full is at fault.
+                // An upstream that rejects requests as full although it has free slots is at fault.
                 upstream.health.record(now, load.running * 2 >= upstream.state.slots);
             }
             AttemptEnd::Replaced => upstream.is_replaced = true,
@@ -228,8 +235,8 @@
         upstream.health.review(now, good, bad);
     }
 
-    /// The engine's pacer hears of bad ends, so that other hosts stop sending there at once, and how a trial
-    /// ended. One that turned the request away has answered.
+    /// Reports failed attempts to the engine's pacer, so that other hosts stop sending there at
+    /// once, and the outcome of a trial. An engine that rejected the request has answered.
     fn report_outcome(
         &self,
         request: &Request,
@@ -250,7 +257,7 @@
         }
     }
 
-    /// The final answer to a request that may not be sent again.
+    /// Returns the final answer of a request that can't be retried.
     fn retry_refusal(
         &mut self,
         now: Tick,
@@ -268,7 +275,8 @@
         }
         let cannot_serve = matches!(end, AttemptEnd::Absent | AttemptEnd::Replaced);
         if cannot_serve && request.is_exhausted() && request.verdict == Verdict::NotRun {
-            // Nobody is left who may take it: its caller comes back as a new request.
+            // No upstream is left that may take the request; the caller retries it as a new
+            // request.
             return Some(self.refusal(
                 request,
                 RefusalCause::NoUpstream,
@@ -279,7 +287,7 @@
         if is_at_max_attempts || (end == AttemptEnd::Failed && request.attempts > 1) {
             return Some(self.refusal(request, cause, Some(RETRY_AFTER_MS)));
         }
-        // The next sending is paid for here: one that never was sent costs nothing.
+        // A retry is charged here. An attempt that was never sent costs nothing.
         let service = &request.service;
         let is_unsent = matches!(end, AttemptEnd::Unreachable | AttemptEnd::Withdrawn);
         let is_paid =
@@ -297,13 +305,13 @@
         }
     }
 
-    /// Ends what has no time left, and reviews the upstreams' health.
+    /// Ends requests that are out of time, and reviews the health of the upstreams.
     pub(crate) fn expire(&mut self, now: Tick, actions: &mut Vec<Action>) {
         let is_leaving = self.stop_accept_over(now);
         let late = self.requests.iter().filter_map(|(id, request)| {
             let is_late = match request.stage {
                 Stage::Sent(_) => now >= request.deadline + DEADLINE_GRACE_MS,
-                // What has not begun by now might not end before the process does.
+                // A request that has not begun by now might not end before the process does.
                 _ if is_leaving => true,
                 _ if request.verdict == Verdict::NotRun => {
                     now >= request.wait_limit || request.lacks_upstream_too_long(now)
--- a/crates/dispatch/src/event.rs
+++ b/crates/dispatch/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the decisions and what comes out.
+//! Events that the dispatch handles, and the actions that it returns.
 
 use crate::{Digest, RefusalContext, RetryBudgetOptions, ShortageKind};
 use std::{net::SocketAddr, rc::Rc};
@@ -8,58 +8,58 @@
 use vanetally_quarantine::{ContentHash, CrashReport, CrashSign, Quarantine};
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// A request in this process.
+/// Identifies a request within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// Bounds that the deployment states.
+/// Settings of the deployment.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// This host.
+    /// Name of this host.
     pub host: Name,
-    /// This host's failure domain.
+    /// Failure domain of this host.
     pub domain: Name,
-    /// Retries that all hosts together may make.
+    /// Bounds on the retries of all hosts together.
     pub retry_budget: RetryBudgetOptions,
-    /// Milliseconds that a planned stop may take.
+    /// Duration of a planned stop.
     pub grace_ms: u64,
-    /// Milliseconds after a key was taken away within which it must not be used any more; none if hosts serve on
-    /// with the last configuration that they know.
+    /// How long a revoked key may still be used; `None` if hosts continue to serve with the last
+    /// known configuration.
     pub revoke_ms: Option<u64>,
 }
 
-/// Whether a runner holds a model or an adapter, as the holder of orders tells it.
+/// Whether a runner holds a model or an adapter, by report of the order holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// It is there.
+    /// The runner holds it.
     Present,
-    /// It is not there, or goes.
+    /// The runner does not hold it or is unloading it.
     Absent,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The upstream's whole answer went to the caller.
+    /// The complete answer of the upstream was passed to the caller.
     Served,
-    /// The upstream's own failure went to the caller.
+    /// The upstream answered with an error, which was passed to the caller.
     Failed,
-    /// No connection came about: nothing was sent.
+    /// The connection could not be established; nothing was sent.
     Unreachable,
-    /// It left before anything was sent.
+    /// The upstream left before anything was sent.
     Withdrawn,
-    /// The upstream turned it away as full.
+    /// The upstream rejected the request as full.
     Full,
-    /// The upstream does not hold what was asked for.
+    /// The upstream does not hold the requested model or adapter.
     Absent,
     /// Another incarnation answered at the upstream's address.
     Replaced,
-    /// The answer broke off, made no sense or never came: it may have run.
+    /// The answer broke off, was malformed or never came; the request may have run.
     Broken,
 }
 
 impl AttemptEnd {
-    /// The word for logs and metrics.
+    /// Returns the name for logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Served => "served",
@@ -74,303 +74,306 @@
     }
 }
 
-/// Something that happened.
+/// An input of the dispatch.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A newer configuration is in force.
     Configured(Rc<Configuration>),
-    /// The configuration in force was the newest at this moment, by the store's word.
+    /// The store confirmed that the configuration in force was the newest at this time.
     Confirmed(Tick),
-    /// A content was found to end upstreams, or not to.
+    /// A content hash was quarantined, or released from quarantine.
     Quarantined(Quarantine),
-    /// It was looked whether an upstream lives at which attempts had broken off.
+    /// An upstream was probed after attempts at it had broken off.
     Probed {
-        /// The upstream's incarnation.
+        /// The probed upstream.
         upstream: Incarnation,
-        /// The contents of these attempts.
+        /// ContentHash hashes of these attempts.
         content_hashes: Vec<ContentHash>,
-        /// The sign of its end; none if it lives.
+        /// The sign of a crash; `None` if the upstream is alive.
         sign: Option<CrashSign>,
     },
-    /// An upstream announced itself, or changed what it announces.
+    /// An upstream announced itself, or changed its announcement.
     UpstreamSeen {
-        /// Its incarnation.
+        /// The upstream.
         id: Incarnation,
-        /// What it says.
+        /// The announced state.
         state: UpstreamState,
     },
-    /// What an upstream announces can't be read: it gets nothing new until it can.
+    /// The announcement of an upstream can't be read; it gets no new requests until it can.
     UpstreamUnreadable {
-        /// Its incarnation.
+        /// The upstream.
         id: Incarnation,
     },
-    /// Another life is announced under an upstream's id: what it had under way will not be answered.
+    /// Another incarnation was announced under an upstream's id; open attempts at the previous one
+    /// will not be answered.
     UpstreamEnded {
-        /// The incarnation that has ended.
+        /// The incarnation that ended.
         id: Incarnation,
     },
-    /// An upstream's announcement is gone.
+    /// The announcement of an upstream is gone.
     UpstreamGone {
-        /// Its incarnation.
+        /// The upstream.
         id: Incarnation,
     },
-    /// The holder of orders told what a runner holds.
+    /// The order holder reported whether a runner holds a model or an adapter.
     PresenceReported {
         /// The runner.
         runner: Incarnation,
-        /// What it is about.
+        /// The model or adapter.
         subject: ModelRef,
-        /// Whether it is there.
+        /// Whether the runner holds it.
         presence: Presence,
     },
-    /// Another host told its load.
+    /// Another host reported its load.
     PeerDigest {
-        /// The host.
+        /// The reporting host.
         host: Name,
         /// Its load.
         digest: Digest,
     },
     /// Another host is gone.
     PeerGone {
-        /// The host.
+        /// The host that is gone.
         host: Name,
     },
-    /// How many hosts may live now, this one included.
+    /// Number of hosts that may be running, including this one.
     HostCount(usize),
-    /// A request was read whole.
+    /// A request was received completely.
     Arrived {
-        /// Its number in this process.
+        /// Id of the request in this process.
         id: RequestId,
-        /// Its head.
+        /// The request without its body.
         request: CallerRequest,
-        /// Its content.
+        /// Hash of the request's content.
         content_hash: ContentHash,
     },
-    /// The engine's pacer answered.
+    /// The engine's pacer answered a reservation.
     Reserved {
         /// The request.
         id: RequestId,
-        /// The reservation that was asked for.
+        /// Number of the reservation.
         reservation: u32,
-        /// What it said.
+        /// The pacer's answer.
         slot: SlotReply,
     },
-    /// Who grants said when the request may go to an upstream in need.
+    /// The grantor answered a permit request for a rate-limited upstream.
     PermitAnswered {
         /// The request.
         id: RequestId,
-        /// The reservation that was asked for.
+        /// Number of the reservation.
         reservation: u32,
-        /// What was asked.
+        /// The permit request.
         request: PermitRequest,
-        /// What was said.
+        /// The grantor's answer.
         answer: PermitAnswer,
     },
-    /// The first piece of an answer came.
+    /// The first piece of an answer was received.
     FirstPiece {
         /// The request.
         id: RequestId,
     },
-    /// The head of an answer came.
+    /// The head of an answer was received, with or without a stated rate limit.
     LimitStated {
-        /// The upstream's incarnation.
+        /// The upstream that answered.
         upstream: Incarnation,
         /// When the request was sent.
         sent: Tick,
-        /// Requests a second that it takes from all hosts; none if it names no limit.
+        /// Requests per second that the upstream takes from all hosts; `None` if it states no
+        /// limit.
         rate: Option<f64>,
     },
-    /// An upstream turned a request away and wants nothing from this host for a while.
+    /// An upstream rejected a request and asked this host to send nothing for a while.
     CooldownRequested {
-        /// The upstream's incarnation.
+        /// The upstream.
         upstream: Incarnation,
-        /// Milliseconds.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
     /// An attempt ended.
     AttemptEnded {
         /// The request.
         id: RequestId,
-        /// How.
+        /// How the attempt ended.
         end: AttemptEnd,
-        /// Whether any part of an answer went to the caller.
+        /// Whether any part of an answer was passed to the caller.
         answered: bool,
     },
-    /// The caller has left.
+    /// The caller closed its connection.
     CallerLeft {
         /// The request.
         id: RequestId,
     },
-    /// The host begins a planned stop.
+    /// A planned stop of this host begins.
     Stopping,
-    /// The store has answered this process for the first time.
+    /// The store answered this process for the first time.
     StoreAnswered,
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// One sending of a request.
+/// One attempt to send a request to an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// The caller's name for the request.
+    /// The caller's id of the request.
     pub request: Name,
-    /// The route that takes it.
+    /// The matched route.
     pub route: Name,
-    /// The model or adapter that it asks for.
+    /// The requested model or adapter.
     pub subject: Option<ModelRef>,
-    /// The configuration in force.
+    /// Version of the configuration in force.
     pub version: u64,
     /// Milliseconds since the request arrived.
     pub waited_ms: u64,
-    /// What it lacked before, if it had to wait.
+    /// What prevented sending before, if the request had to wait.
     pub shortage: Option<ShortageKind>,
-    /// Tokens of the prompt that the upstream was thought not to have read before.
+    /// Prompt tokens that the upstream is expected to read because it has not cached them.
     pub unread_tokens: u32,
-    /// Milliseconds of reading that it was thought to do first, for others.
+    /// Milliseconds that the upstream is expected to read for earlier requests.
     pub ahead_ms: u32,
-    /// The upstream's incarnation.
+    /// The upstream.
     pub upstream: Incarnation,
-    /// Where it listens.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// Milliseconds to wait before it is sent, as the engine's pacer said.
+    /// Milliseconds to wait before sending, as set by the engine's pacer.
     pub delay_ms: u32,
-    /// Milliseconds left.
+    /// Milliseconds until the deadline.
     pub deadline_ms: u64,
-    /// Most connections of this host to the upstream.
+    /// Maximum number of connections of this host to the upstream.
     pub connections: usize,
-    /// Number of this sending, from 1.
+    /// Number of the attempt, from 1.
     pub number: u32,
-    /// Requests of this host at the upstream before this one.
+    /// Open requests of this host at the upstream, without this one.
     pub own_load: usize,
-    /// Requests of other hosts there, by their digests.
+    /// Open requests of other hosts at the upstream, by their digests.
     pub peer_load: u32,
-    /// Longest pause between events that the operators want, in milliseconds.
+    /// Target for the longest gap between events, in milliseconds.
     pub gap_ms: u64,
-    /// Whether the answer is a series of events.
+    /// Whether the answer is an event stream.
     pub is_stream: bool,
     /// Whether the request may run more than once.
     pub may_repeat: bool,
-    /// On whose behalf it is sent.
+    /// On whose behalf the request is sent.
     pub origin: Origin,
-    /// Requests a second that the upstream takes from all hosts, by which this one got its moment.
+    /// Stated rate limit under which the permit was granted, in requests per second over all hosts.
     pub limit: Option<f64>,
 }
 
-/// What has to be done.
+/// An output of the dispatch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request.
     Send {
         /// The request.
         id: RequestId,
-        /// Where and how.
+        /// The attempt to make.
         attempt: Attempt,
     },
-    /// Give up the attempt at an upstream that has ended: it ends as a broken one.
+    /// Cancel an attempt at an upstream that has ended; the attempt ends as broken.
     Abandon {
         /// The request.
         id: RequestId,
-        /// The number of the attempt.
+        /// Number of the attempt.
         number: u32,
     },
     /// Ask the engine's pacer when the request may be sent.
     Reserve {
         /// The request.
         id: RequestId,
-        /// The number of this reservation among those of the request.
+        /// Number of the reservation.
         reservation: u32,
-        /// Its prompt.
+        /// The prompt.
         prompt: Prompt,
     },
-    /// End the request with an answer of the product's own, or cut what has begun.
+    /// End the request with an answer of this host, or cut off an answer that has begun.
     Refuse {
         /// The request.
         id: RequestId,
-        /// Why, and whether it may have run.
+        /// The cause, and whether the request may have run.
         refusal: Refusal,
-        /// What stood in its way.
+        /// Details for the log.
         context: RefusalContext,
     },
-    /// A model or adapter is asked for that no runner holds, or an adapter at none with room.
+    /// Request a model or adapter that no runner holds, or another copy of a saturated one.
     RequestModel {
         /// The service.
         service: Name,
-        /// What is missing.
+        /// The model or adapter.
         subject: ModelRef,
-        /// Whether it is held, and one more copy is wanted.
+        /// Whether runners hold it, but without capacity.
         is_saturated: bool,
     },
-    /// Tell the engine's pacer how a request ended there.
+    /// Report to the engine's pacer how an attempt ended.
     ReportOutcome {
-        /// The engine's incarnation.
+        /// The engine.
         upstream: Incarnation,
-        /// Whether it answered.
+        /// Whether the engine answered.
         is_good: bool,
     },
-    /// Ask who grants when the request may go to an upstream in need.
+    /// Ask the grantor when the request may be sent to a rate-limited upstream.
     RequestPermit {
         /// The request.
         id: RequestId,
-        /// The number of this reservation among those of the request.
+        /// Number of the reservation.
         reservation: u32,
-        /// What to ask.
+        /// The permit request.
         request: PermitRequest,
     },
-    /// What was granted did not go: give it back.
+    /// Return a permit that was not used.
     ReturnPermit {
-        /// The upstream's incarnation.
+        /// The upstream.
         upstream: Incarnation,
-        /// The rate by which it was granted, in requests a second.
+        /// Rate under which the permit was granted, in requests per second.
         rate: f64,
     },
-    /// Note that an upstream names another limit than before, or none any more.
+    /// Log that an upstream changed or ended its stated rate limit.
     LimitChanged {
-        /// The upstream's incarnation.
+        /// The upstream.
         upstream: Incarnation,
-        /// What changed.
+        /// The change.
         change: LimitChange,
-        /// The host that told it; none if this one heard it.
+        /// The host that reported it; `None` if this host received the answer.
         reported_by: Option<Name>,
     },
-    /// An attempt broke off: look whether its upstream lives. If not, that speaks against the content.
+    /// Probe an upstream at which an attempt broke off. If it has crashed, that is evidence against
+    /// the content.
     Probe {
-        /// The upstream's incarnation.
+        /// The upstream.
         upstream: Incarnation,
-        /// Where it listened.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Whether it is an engine, which reports when asked.
+        /// Whether the upstream is an engine, which can be asked for a report.
         is_engine: bool,
-        /// The content.
+        /// Hash of the request's content.
         content_hash: ContentHash,
         /// Whether many callers send this content.
         is_common: bool,
     },
-    /// An upstream has certainly ended under a content: those that keep the evidence have to know.
+    /// Report a certain crash under a content to the hosts that keep the evidence.
     ReportCrash(CrashReport),
-    /// Note how well the first piece was predicted.
+    /// Log how well the time of the first piece was predicted.
     Predicted {
         /// The request.
         id: RequestId,
-        /// What was expected and what came.
+        /// The predicted and the actual time.
         prediction: Prediction,
     },
 }
 
-/// The first piece of an answer, as it was expected when the request was sent.
+/// Predicted time of the first piece of an answer, compared with the actual one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Prediction {
-    /// The caller's name for the request.
+    /// The caller's id of the request.
     pub request: Name,
-    /// The upstream's incarnation.
+    /// The upstream.
     pub upstream: Incarnation,
-    /// Milliseconds from the sending to the first piece, as expected.
+    /// Expected milliseconds from sending to the first piece.
     pub expected_ms: f64,
-    /// Milliseconds that it took.
+    /// Actual milliseconds.
     pub took_ms: f64,
-    /// Tokens of the prompt that the upstream was thought not to have read before.
+    /// Prompt tokens that the upstream was expected to read because it had not cached them.
     pub unread_tokens: u32,
-    /// Milliseconds of reading that it was thought to do first, for others.
+    /// Milliseconds that the upstream was expected to read for earlier requests.
     pub ahead_ms: u32,
-    /// Microseconds that the upstream was thought to read one of them.
+    /// Expected reading time per token, in microseconds.
     pub per_token_us: f64,
 }
--- a/crates/dispatch/src/fit.rs
+++ b/crates/dispatch/src/fit.rs
@@ -1,6 +1,6 @@
-//! A line through observed times: a part that is always there, and one for each token.
+//! Linear fit of observed times: a constant part, and a part per token.
 
-/// Least squares over samples of which older ones count less.
+/// Least squares with exponentially decaying weights.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinearFit {
     weight: f64,
@@ -10,14 +10,14 @@
     tokens_millis: f64,
 }
 
-/// What is assumed before anything is observed: two samples of this weight each, at these tokens.
+/// Weight and tokens of the two samples that stand for the initial assumption.
 const PRIOR_WEIGHT: f64 = 2.0;
 const PRIOR_TOKENS: f64 = 1_000.0;
-/// What an older sample still counts when a new one comes.
+/// Factor by which the weight of older samples decays with each new one.
 const DECAY: f64 = 0.99;
 
 impl LinearFit {
-    /// A line that begins with `base_ms` and rises by `per_token_ms`.
+    /// Creates a fit that starts at `base_ms` with a slope of `per_token_ms`.
     pub(crate) fn new(base_ms: f64, per_token_ms: f64) -> Self {
         let mut fit =
             Self { weight: 0.0, tokens: 0.0, millis: 0.0, tokens_squared: 0.0, tokens_millis: 0.0 };
@@ -26,7 +26,7 @@
         fit
     }
 
-    /// A prompt of `tokens` took `millis`.
+    /// Adds the time that a prompt of `tokens` took.
     pub(crate) fn observe(&mut self, tokens: f64, millis: f64) {
         self.weight *= DECAY;
         self.tokens *= DECAY;
@@ -44,7 +44,7 @@
         self.tokens_millis += weight * tokens * millis;
     }
 
-    /// Milliseconds of the part that is always there, and of one token; neither is negative.
+    /// Returns the constant part and the part per token, in milliseconds; neither is negative.
     pub(crate) fn base_and_slope(&self) -> (f64, f64) {
         let spread = self.weight * self.tokens_squared - self.tokens * self.tokens;
         let mean_ms = self.millis / self.weight;
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -1,9 +1,9 @@
-//! How well an upstream has answered lately.
+//! Recent success rate of an upstream, and its ejection.
 
 use std::collections::VecDeque;
 use vanetally_types::Tick;
 
-/// Ends of attempts in the last seconds, and whether the upstream is ejected for them.
+/// Outcomes of recent attempts, and whether the upstream is ejected because of them.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     outcomes: VecDeque<(Tick, bool)>,
@@ -12,24 +12,23 @@
     is_probing: bool,
 }
 
-/// How long an end counts, in milliseconds.
+/// How long an outcome counts.
 const WINDOW_MS: u64 = 5_000;
-/// How long an end counts that other hosts are told of, in milliseconds, and how many of them at most: what
-/// all hosts tell is enough to see within a second that an upstream has died, while a longer memory of what
-/// it served before hides it for seconds.
+/// Age and number up to which outcomes are reported to other hosts. The reports of all hosts show
+/// within a second that an upstream has died; a longer history of earlier successes would hide it
+/// for seconds.
 const REPORTED_MS: u64 = 1_000;
 const MAX_REPORTED: usize = 2;
-/// Bad ends below which nothing is concluded.
+/// Minimum number of failed attempts before an upstream is ejected.
 const MIN_BAD: u32 = 2;
-/// Share of bad ends from which an upstream is ejected.
+/// Share of failed attempts above which an upstream is ejected.
 const EJECT_SHARE: f64 = 0.2;
-/// Length of a first ejection, in milliseconds; later ones double.
+/// Duration of the first ejection; each later one is twice as long.
 const EJECT_MS: u64 = 1_500;
-/// Most doublings.
 const MAX_DOUBLINGS: u32 = 2;
 
 impl Health {
-    /// An attempt ended.
+    /// Records the outcome of an attempt.
     pub fn record(&mut self, now: Tick, good: bool) {
         self.expire(now);
         self.outcomes.push_back((now, good));
@@ -44,20 +43,20 @@
         }
     }
 
-    /// Good and bad ends of the last seconds.
+    /// Returns the numbers of good and bad outcomes in the window.
     pub fn counts(&mut self, now: Tick) -> (u32, u32) {
         self.expire(now);
         count(self.outcomes.iter())
     }
 
-    /// The last good and bad ends, for other hosts.
+    /// Returns the numbers of good and bad outcomes that are reported to other hosts.
     pub fn recent(&self, now: Tick) -> (u32, u32) {
         let recent = self.outcomes.iter().rev().take(MAX_REPORTED);
         count(recent.filter(|(at, _)| now.since(*at) <= REPORTED_MS))
     }
 
-    /// Ejects the upstream if what this host saw in the last seconds speaks against it, or what all hosts saw
-    /// just now; tells whether it was.
+    /// Ejects the upstream if this host's outcomes in the window are bad, or the recent outcomes of
+    /// all hosts together. Returns whether it was ejected now.
     pub fn review(&mut self, now: Tick, others_good: u32, others_bad: u32) -> bool {
         let (good, bad) = self.recent(now);
         let all = (good + others_good, bad + others_bad);
@@ -69,7 +68,7 @@
         true
     }
 
-    /// It shows no life: it is ejected, if it is not yet.
+    /// Ejects an upstream that does not respond, unless it is ejected already.
     pub fn mark_unresponsive(&mut self, now: Tick) {
         if self.ejected_until.is_none() {
             self.eject(now);
@@ -83,7 +82,7 @@
         self.outcomes.clear();
     }
 
-    /// Whether requests may go there: it is not ejected, or a single one may probe it.
+    /// Whether requests may be sent: the upstream is not ejected, or one request may probe it.
     pub fn is_open(&self, now: Tick) -> bool {
         match self.ejected_until {
             None => true,
@@ -91,12 +90,12 @@
         }
     }
 
-    /// Whether it is ejected, or was and has not proved itself.
+    /// Whether the upstream is ejected, or was ejected and has had no probe since.
     pub fn is_suspect(&self) -> bool {
         self.ejected_until.is_some()
     }
 
-    /// A request goes there: the first one after an ejection is the probe.
+    /// Records that a request is sent. The first one after an ejection is the probe.
     pub fn record_send(&mut self, now: Tick) {
         if self.ejected_until.is_some_and(|until| now >= until) {
             self.ejected_until = None;
@@ -111,7 +110,7 @@
     }
 }
 
-/// Whether so many good and bad ends speak against an upstream.
+/// Whether these counts of good and bad outcomes are a reason to eject an upstream.
 fn is_bad((good, bad): (u32, u32)) -> bool {
     bad >= MIN_BAD && f64::from(bad) > EJECT_SHARE * f64::from(good + bad)
 }
--- a/crates/dispatch/src/leaving.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -1,26 +1,27 @@
-//! Upstreams that have said themselves that they leave.
+//! Upstreams that reported themselves that they leave.
 //!
-//! Their announcements may say so later, or never: the store may be away, and some write nothing of it. What they have
-//! said holds until another life begins, whatever is announced of this one.
+//! Their announcements may show it later or never: the store may be unavailable, and some upstreams
+//! don't announce it. The report holds until another incarnation begins, whatever this one
+//! announces.
 
 use std::collections::BTreeMap;
 use vanetally_types::{Incarnation, Tick};
 
-/// Those that have said so, and when it was first heard.
+/// Incarnations that are leaving, with the time of the first report.
 #[derive(Clone, Debug, Default)]
 pub struct LeavingUpstreams {
     since: BTreeMap<Incarnation, Tick>,
 }
 
-/// One that has left long since is forgotten after this long, in milliseconds.
+/// How long an incarnation is kept.
 const MEMORY_MS: u64 = 1_800_000;
-/// Upstreams that are remembered: as many as a large fleet replaces within that time.
+/// Maximum number of incarnations: as many as a large fleet replaces within [`MEMORY_MS`].
 const MAX_UPSTREAMS: usize = 8_192;
-/// One in so many of them goes where there is no room, the oldest first.
+/// When the set is full, its oldest part, one in this many, is evicted.
 const EVICTED_FRACTION: usize = 8;
 
 impl LeavingUpstreams {
-    /// An upstream has said that it leaves; tells whether that is news.
+    /// Adds an upstream that reported that it leaves. Returns whether it was not known before.
     pub fn insert(&mut self, now: Tick, upstream: Incarnation) -> bool {
         if self.since.contains_key(&upstream) {
             return false;
@@ -32,17 +33,17 @@
         true
     }
 
-    /// Whether it has said so.
+    /// Whether the upstream reported that it leaves.
     pub fn contains(&self, upstream: &Incarnation) -> bool {
         self.since.contains_key(upstream)
     }
 
-    /// Another life has begun under its id.
+    /// Removes an incarnation that was replaced by another one.
     pub fn remove(&mut self, upstream: &Incarnation) {
         self.since.remove(upstream);
     }
 
-    /// All of them, for a host that starts.
+    /// Returns all leaving incarnations, for a host that starts.
     pub fn all(&self) -> Vec<Incarnation> {
         self.since.keys().cloned().collect()
     }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions about requests at one host: route, queue, choice of an upstream, retries, limits.
+//! Request dispatch of one host: routing, queueing, choice of an upstream, retries and limits.
 //!
-//! [`Dispatch::handle`] is the only door: `handle(now, event) -> actions`. No clock, socket or
-//! random source inside.
+//! [`Dispatch::handle`] is the only entry point: `handle(now, event) -> actions`. The crate uses no
+//! clock, socket or random source.
 #![deny(missing_docs, unsafe_code)]
 
 mod access;
@@ -10,7 +10,7 @@
 mod choice;
 mod choose;
 mod cooldown;
-/// What hosts tell each other of their load.
+/// Load reports that hosts exchange.
 pub mod digest;
 mod directory;
 mod ending;
--- a/crates/dispatch/src/limits.rs
+++ b/crates/dispatch/src/limits.rs
@@ -1,11 +1,11 @@
-//! What upstreams in need take from all hosts: what answers and other hosts say of it.
+//! Stated rate limits of upstreams, from answers and from other hosts.
 
 use crate::{Action, Digest, Dispatch, LimitRow};
 use vanetally_limit::LimitStatement;
 use vanetally_types::{Incarnation, Name, Tick};
 
 impl Dispatch {
-    /// An answer stated a limit, or none.
+    /// Records the rate limit stated in an answer, or that it stated none.
     pub(crate) fn stated(
         &mut self,
         now: Tick,
@@ -23,7 +23,7 @@
         }));
     }
 
-    /// Another host told what upstreams stated.
+    /// Records the rate limits that another host reported.
     pub(crate) fn peer_limits(
         &mut self,
         now: Tick,
@@ -47,7 +47,7 @@
     }
 }
 
-/// What a digest tells of a statement.
+/// Converts a statement for a digest.
 pub(crate) fn limit_row(now: Tick, statement: LimitStatement) -> LimitRow {
     LimitRow { rate: statement.rate, age_ms: now.since(statement.at) as u32 }
 }
--- a/crates/dispatch/src/machine.rs
+++ b/crates/dispatch/src/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of one host's requests.
+//! State machine for the requests of one host.
 
 use crate::{
     Action, DemandRow, Digest, Event, LoadRow, Options, Prediction, Presence, RefusalContext,
@@ -25,28 +25,29 @@
 use vanetally_quarantine::{BlockedContents, ContentHash, CrashReport, CrashSign};
 use vanetally_types::{Incarnation, Name, Tick, Verdict, hash64};
 
-/// All decisions about requests of one host.
+/// All request decisions of one host.
 pub struct Dispatch {
     pub(crate) options: Options,
     /// When the process started.
     started_at: Tick,
-    /// Whether the store has answered it.
+    /// Whether the store has answered this process.
     has_store: bool,
     pub(crate) configuration: Option<Rc<Configuration>>,
     pub(crate) routes: RouteIndex,
     pub(crate) keys: KeyIndex,
-    /// When the configuration in force was the newest, by the store's word.
+    /// When the store last confirmed that the configuration in force was the newest.
     pub(crate) confirmed_at: Option<Tick>,
     pub(crate) quarantine: BlockedContents,
     pub(crate) upstreams: BTreeMap<Incarnation, Upstream>,
-    /// Rests of upstreams whose announcements are gone: the same life may announce itself again.
+    /// Cooldowns of upstreams whose announcements are gone: the same incarnation may announce
+    /// itself again.
     cooldowns: BTreeMap<Incarnation, Cooldown>,
     pub(crate) directory: Directory,
     pub(crate) requests: HashMap<RequestId, Request>,
     pub(crate) queue: Queue,
     pub(crate) budgets: BTreeMap<Name, RetryBudget>,
     pub(crate) pace: PaceModel,
-    /// How long answers of plain services take.
+    /// Average time of complete answers, per plain service.
     pub(crate) answer_times: BTreeMap<Name, AnswerTimes>,
     pub(crate) hosts: usize,
     pub(crate) stopping_since: Option<Tick>,
@@ -54,53 +55,53 @@
     pub(crate) requested_models: HashMap<(Name, ModelRef), Tick>,
 }
 
-/// Requests since the last digest.
+/// Demand since the last digest.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
     arrived: u32,
     work_ms: f64,
 }
 
-/// What is believed of one upstream.
+/// Known state of one upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamSummary {
-    /// Its incarnation.
+    /// The upstream.
     pub upstream: Incarnation,
-    /// Requests of all hosts there.
+    /// Open requests of all hosts.
     pub running: u32,
-    /// Prompt tokens that it has not read.
+    /// Prompt tokens that the upstream has not read.
     pub unread_tokens: u32,
-    /// Whether it is leaving.
+    /// Whether the upstream is leaving.
     pub is_draining: bool,
-    /// Whether it is ejected.
+    /// Whether the upstream is ejected.
     pub is_suspect: bool,
 }
 
-/// Figures for metrics.
+/// Values for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Requests that wait for an upstream.
     pub waiting: usize,
-    /// Requests that have not ended.
+    /// Open requests.
     pub open: usize,
-    /// Upstreams known.
+    /// Known upstreams.
     pub upstreams: usize,
-    /// Upstreams ejected.
+    /// Ejected upstreams.
     pub suspects: usize,
-    /// Upstreams in need.
+    /// Rate-limited upstreams.
     pub limited: usize,
 }
 
-/// Between two hosts that come back to an upstream that has rested, in milliseconds on average.
+/// Average interval between hosts that return to an upstream after its cooldown.
 const RETURN_SPACING_MS: u64 = 5;
-/// They are all back within this part of the rest.
+/// All hosts return within the cooldown divided by this.
 const RETURN_SPREAD_DIVISOR: u64 = 8;
-/// A planned stop takes requests for this share of its time.
+/// Share of a planned stop in which requests are accepted.
 const STOP_ACCEPT_SHARE: f64 = 0.3;
 pub(crate) const MICROS_PER_MILLI: f64 = 1_000.0;
 
 impl Dispatch {
-    /// Nothing is known yet; the process starts at `now`.
+    /// Creates a dispatch without any known state for a process that starts at `now`.
     pub fn new(now: Tick, options: Options) -> Self {
         Self {
             options,
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Takes in what happened; tells what has to be done.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, now: Tick, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -161,8 +162,8 @@
                 self.peer_limits(now, &host, &digest, &mut actions);
                 self.peer_digest(now, &host, digest);
             }
-            Event::PermitAnswered { id, reservation, request: question, answer } => {
-                self.permit_answered(now, (id, reservation), question, answer, &mut actions);
+            Event::PermitAnswered { id, reservation, request, answer } => {
+                self.permit_answered(now, (id, reservation), request, answer, &mut actions);
             }
             Event::LimitStated { upstream, sent, rate } => {
                 self.stated(now, upstream, sent, rate, &mut actions);
@@ -196,24 +197,24 @@
         actions
     }
 
-    /// The version in force, if any.
+    /// Returns the version of the configuration in force, if any.
     pub fn version(&self) -> Option<u64> {
         self.configuration.as_ref().map(|c| c.version)
     }
 
-    /// The configuration in force, if any.
+    /// Returns the configuration in force, if any.
     pub fn configuration(&self) -> Option<&Rc<Configuration>> {
         self.configuration.as_ref()
     }
 
-    /// Whether the host can serve requests: it knows a configuration and some upstream.
+    /// Whether the host can serve requests: it has a configuration and knows an upstream.
     pub fn is_ready(&self, now: Tick) -> bool {
         let knows = self.configuration.is_some() && !self.upstreams.is_empty();
         knows && self.stopping_since.is_none() && self.serves_keys(now)
     }
 
-    /// An upstream asked this host for rest. Hosts come back to it one after the other: each a little later than it
-    /// asked, so that all that it turned away together do not return together.
+    /// Applies a cooldown requested by an upstream. Each host adds a delay of its own, so that the
+    /// hosts that were rejected together do not return together.
     fn cooldown_requested(&mut self, now: Tick, upstream: &Incarnation, for_ms: u64) {
         let Some(known) = self.upstreams.get_mut(upstream) else {
             return;
@@ -223,22 +224,22 @@
         known.cooldown.request(now, for_ms.saturating_add(own));
     }
 
-    /// Milliseconds for which an upstream wants nothing from this host.
+    /// Returns the remaining cooldown of an upstream, in milliseconds.
     pub fn cooldown_left_ms(&self, now: Tick, upstream: &Incarnation) -> Option<u64> {
         self.upstreams.get(upstream)?.cooldown.left_ms(now)
     }
 
-    /// What an upstream announces.
+    /// Returns the announced state of an upstream.
     pub fn upstream_state(&self, upstream: &Incarnation) -> Option<&UpstreamState> {
         self.upstreams.get(upstream).map(|known| &known.state)
     }
 
-    /// The contents that are kept back.
+    /// Returns the quarantined content hashes.
     pub fn quarantine(&self) -> &BlockedContents {
         &self.quarantine
     }
 
-    /// Figures for metrics.
+    /// Returns values for metrics.
     pub fn counts(&self) -> Counts {
         Counts {
             waiting: self.queue.len(),
@@ -249,7 +250,7 @@
         }
     }
 
-    /// What is believed of each upstream, for people.
+    /// Returns the known state of each upstream, for operators.
     pub fn summaries(&self, now: Tick) -> Vec<UpstreamSummary> {
         let loads = self.upstreams.iter().map(|(id, upstream)| {
             let load = upstream.total(now);
@@ -264,7 +265,8 @@
         loads.collect()
     }
 
-    /// What other hosts have to know of this one's load; arrivals since the last call.
+    /// Returns this host's load for other hosts, with the requests that arrived since the last
+    /// call.
     pub fn digest(&mut self, now: Tick) -> Digest {
         let loads = self.upstreams.iter_mut().filter_map(|(id, upstream)| {
             let (good, bad) = upstream.health.recent(now);
@@ -336,7 +338,7 @@
         self.upstreams.values_mut().for_each(|upstream| upstream.successor_gone(id));
     }
 
-    /// Gives up the attempts that are at an upstream that has ended; that it did under them speaks against their
+    /// Cancels the attempts at an upstream that has ended. Its end is a crash sign against their
     /// contents.
     fn abandon_attempts(&self, upstream: &Incarnation, actions: &mut Vec<Action>) {
         let is_there = |request: &Request| match &request.stage {
@@ -414,7 +416,7 @@
         self.requests.insert(id, request);
     }
 
-    /// The route that takes a request.
+    /// Returns the route that matches a request.
     pub(crate) fn route(&self, now: Tick, head: &CallerRequest) -> Result<Rc<Route>, Refusal> {
         if self.configuration.is_none() {
             let retry_ms = startup_retry_ms(now.since(self.started_at), self.has_store);
@@ -425,8 +427,8 @@
     }
 
     pub(crate) fn stop_accept_over(&self, now: Tick) -> bool {
-        let most = (self.options.grace_ms as f64 * STOP_ACCEPT_SHARE) as u64;
-        self.stopping_since.is_some_and(|since| now.since(since) > most)
+        let accept_ms = (self.options.grace_ms as f64 * STOP_ACCEPT_SHARE) as u64;
+        self.stopping_since.is_some_and(|since| now.since(since) > accept_ms)
     }
 
     fn first_piece(&mut self, now: Tick, id: RequestId, actions: &mut Vec<Action>) {
@@ -473,7 +475,7 @@
         }
     }
 
-    /// Forgets a request; its upstream is free of it.
+    /// Removes a request and releases its load.
     pub(crate) fn end(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else {
             return;
--- a/crates/dispatch/src/pace.rs
+++ b/crates/dispatch/src/pace.rs
@@ -1,15 +1,15 @@
-//! How long engines take, as far as it was learned.
+//! Learned processing times of engines.
 
 use crate::{choice::ReadEstimate, fit::LinearFit};
 use std::collections::BTreeMap;
 use vanetally_ports::CallerRequest;
 use vanetally_types::{Incarnation, Name};
 
-/// How long engines take, learned from what is observed.
+/// Model of the time that engines take for the first piece of an answer.
 ///
-/// Engines tell several tokens at once, so that a first piece takes a while however short the prompt is.
-/// Both parts, what is always there and what each unread token adds, are fitted over all models; how
-/// much faster or slower than that a model is, is learned for each.
+/// Engines emit several tokens at once, so a first piece takes some time however short the prompt
+/// is. The constant part and the part per unread token are fitted over all models; a factor
+/// relative to this fit is learned for each model.
 #[derive(Clone, Debug)]
 pub(crate) struct PaceModel {
     reading: LinearFit,
@@ -17,35 +17,36 @@
     slowness: BTreeMap<Incarnation, f64>,
 }
 
-/// What is assumed before anything is learned, in milliseconds.
+/// Initial values of the fit.
 const INITIAL_BASE_MS: f64 = 15.0;
 const INITIAL_PER_TOKEN_MS: f64 = 0.06;
-/// Share of a new sample.
+/// Weight of a new sample.
 const LEARNING_RATE: f64 = 0.1;
-/// A sample that took this many times what was expected was held up by something else.
+/// Cap on a sample relative to its expected value: a larger one was delayed by something else.
 const MAX_RATIO: f64 = 2.0;
-/// Bounds of a model's share.
+/// Range of the factor of a model.
 const MODEL_FACTOR_RANGE: std::ops::RangeInclusive<f64> = 0.05..=8.0;
-/// Bounds of an upstream's slowness.
+/// Range of the slowness of an upstream.
 const SLOWNESS_RANGE: std::ops::RangeInclusive<f64> = 0.5..=8.0;
-/// Part of a first piece's time that demand leaves out, in milliseconds.
+/// Part of the time to the first piece that does not count as demand.
 const DEMAND_BASE_MS: f64 = 15.0;
-/// Least tokens of a prompt that tells what demand comes to.
+/// Minimum number of prompt tokens of a sample for demand.
 const MIN_SAMPLE_TOKENS: u32 = 200;
-/// Share of a sample that makes demand smaller, and of one that makes it larger: short ones tell more.
+/// Weight of a sample that decreases or increases the demand per token. Short times carry more
+/// information.
 const DEMAND_DECREASE_RATE: f64 = 0.1;
 const DEMAND_INCREASE_RATE: f64 = 0.01;
-/// Share of the time for one prompt token that an output token takes in a full batch.
+/// Time of an output token in a full batch, as a multiple of the time of a prompt token.
 const OUTPUT_TOKEN_WEIGHT: f64 = 4.0;
 
-/// How fast one model is.
+/// Learned speed of one model.
 #[derive(Clone, Copy, Debug)]
 struct ModelPace {
-    /// Time to its first pieces, as a share of the fitted one.
+    /// Time to the first piece, relative to the fit over all models.
     factor: f64,
     samples: u32,
-    /// Milliseconds to a first piece for each unread token, with what does not depend on the prompt and what
-    /// it waited for: the unit of demand.
+    /// Unit of demand: milliseconds to the first piece per unread token, including queueing and the
+    /// constant part.
     work_per_token_ms: f64,
 }
 
@@ -56,7 +57,8 @@
 }
 
 impl ModelPace {
-    /// A first piece came after `ratio` times what was expected: the first samples count more.
+    /// Updates the factor with a first piece that took `ratio` times the expected time. The first
+    /// samples have more weight.
     fn observe(&mut self, ratio: f64) {
         self.samples += 1;
         let rate = LEARNING_RATE.max(1.0 / f64::from(self.samples + 1));
@@ -80,17 +82,17 @@
         model.and_then(|name| self.models.get(name)).map_or(1.0, |pace| pace.factor)
     }
 
-    /// Milliseconds to a first piece that don't depend on the prompt.
+    /// Returns the constant part of the time to the first piece, in milliseconds.
     pub(crate) fn base_ms(&self, model: Option<&Name>) -> f64 {
         self.factor(model) * self.reading.base_and_slope().0
     }
 
-    /// Milliseconds for one token of a prompt.
+    /// Returns the reading time per prompt token, in milliseconds.
     pub(crate) fn per_token_ms(&self, model: Option<&Name>) -> f64 {
         self.factor(model) * self.reading.base_and_slope().1
     }
 
-    /// Milliseconds of an engine that the request should take, as demand is measured.
+    /// Returns the expected work of a request in the unit of demand, in milliseconds of an engine.
     pub(crate) fn work_ms(&self, model: &Name, head: &CallerRequest) -> f64 {
         let tokens =
             f64::from(head.prompt_tokens) + OUTPUT_TOKEN_WEIGHT * f64::from(head.output_tokens);
@@ -103,19 +105,19 @@
         self.slowness.get(upstream).copied().unwrap_or(1.0)
     }
 
-    /// Milliseconds for an engine to read `tokens` of a prompt.
+    /// Returns the time that an engine takes to read `tokens` of a prompt, in milliseconds.
     pub(crate) fn reading_ms(&self, model: Option<&Name>, tokens: u32) -> f64 {
         f64::from(tokens) * self.per_token_ms(model)
     }
 
-    /// Milliseconds from a sending to its first piece, at an engine that is as fast as others.
+    /// Returns the expected time from sending to the first piece at an engine of average speed.
     fn expected_ms(&self, model: Option<&Name>, expected: ReadEstimate) -> f64 {
         let (base_ms, per_token_ms) = self.reading.base_and_slope();
         let own_ms = base_ms + per_token_ms * f64::from(expected.unread_tokens);
         f64::from(expected.ahead_ms) + self.factor(model) * own_ms
     }
 
-    /// Milliseconds from a sending to its first piece.
+    /// Returns the expected time from sending to the first piece at this engine.
     pub(crate) fn first_piece_ms(
         &self,
         upstream: &Incarnation,
@@ -125,7 +127,7 @@
         self.expected_ms(Some(model), expected) * self.slowness(upstream)
     }
 
-    /// The first piece came after `took_ms`.
+    /// Updates the model with a first piece that came after `took_ms`.
     pub(crate) fn observe(
         &mut self,
         upstream: &Incarnation,
@@ -138,7 +140,7 @@
         let slowness = self.slowness.entry(upstream.clone()).or_insert(1.0);
         *slowness += LEARNING_RATE
             * (ratio.clamp(*SLOWNESS_RANGE.start(), *SLOWNESS_RANGE.end()) - *slowness);
-        // Only what is read alone tells how fast the engine reads.
+        // Only a prompt that did not wait for others shows how fast the engine reads.
         if let Some(model) = model.filter(|_| expected.ahead_ms == 0) {
             self.update_reading(model, expected.unread_tokens, expected_ms, ratio);
             self.update_demand(model, expected.unread_tokens, took_ms);
--- a/crates/dispatch/src/previous.rs
+++ b/crates/dispatch/src/previous.rs
@@ -1,39 +1,43 @@
-//! Lives of upstreams that are over, as far as a copy of the store may still tell of them.
+//! Ended incarnations of upstreams, kept for as long as a copy of the store may announce them
+//! again.
 
 use std::collections::BTreeMap;
 use vanetally_ports::Revision;
 use vanetally_types::{Incarnation, Tick};
 
-/// Lives that ended lately.
+/// Incarnations that ended recently.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PreviousIncarnations {
     incarnations: BTreeMap<Incarnation, PreviousIncarnation>,
 }
 
-/// A life that is over.
+/// An incarnation that has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PreviousIncarnation {
-    /// When that was known.
+    /// When the end became known.
     pub ended_at: Tick,
-    /// Its last announcement.
+    /// Revision of its last announcement.
     pub last_revision: Revision,
-    /// Where it said that it leaves.
+    /// Revision at which it announced that it leaves.
     pub leaving: Option<Revision>,
-    /// Whether another life was announced in its place; otherwise its announcement went.
+    /// Whether another incarnation was announced in its place; if not, its announcement was
+    /// removed.
     pub is_replaced: bool,
 }
 
-/// A heartbeat of a life that has ended may come to the store after the first one of the next life: for this
-/// long it is passed over, in milliseconds. Heartbeats come each second or two, so that a life that was taken for an
-/// ended one by mistake is believed again with its second or third.
+/// How long heartbeats of an ended incarnation are ignored. A heartbeat of the previous incarnation
+/// may reach the store after the first one of the next incarnation. Heartbeats come every one or
+/// two seconds, so an incarnation that was taken for ended by mistake is restored by its second or
+/// third heartbeat.
 const LATE_HEARTBEAT_MS: u64 = 3_000;
-/// Copies from which a store comes back are younger than this, in milliseconds: what was over before can't be in them.
+/// Maximum age of a copy from which a store is restored. Incarnations that ended longer ago can't
+/// be in the copy.
 const MAX_COPY_AGE_MS: u64 = 60_000;
-/// Lives that are remembered.
+/// Maximum number of incarnations that are kept.
 const MAX_REMEMBERED: usize = 4_096;
 
 impl PreviousIncarnations {
-    /// A life is over.
+    /// Adds an incarnation that ended.
     pub(crate) fn insert(&mut self, incarnation: Incarnation, previous: PreviousIncarnation) {
         if self.incarnations.len() >= MAX_REMEMBERED {
             self.incarnations
@@ -45,12 +49,12 @@
         self.incarnations.insert(incarnation, previous);
     }
 
-    /// A life that was taken for an ended one lives; what is remembered of it.
+    /// Removes an incarnation that turned out to be alive, and returns its record.
     pub(crate) fn remove(&mut self, incarnation: &Incarnation) -> Option<PreviousIncarnation> {
         self.incarnations.remove(incarnation)
     }
 
-    /// What is remembered of a life.
+    /// Returns the record of an incarnation, unless it is older than any copy of the store.
     pub(crate) fn get(&self, now: Tick, incarnation: &Incarnation) -> Option<&PreviousIncarnation> {
         self.incarnations
             .get(incarnation)
@@ -59,12 +63,13 @@
 }
 
 impl PreviousIncarnation {
-    /// Whether `revision` is its last announcement or an earlier one, told by a copy of the store.
+    /// Whether `revision` is the last announcement or an earlier one, repeated by a copy of the
+    /// store.
     pub(crate) fn is_replay(&self, revision: Revision) -> bool {
         revision.era > self.last_revision.era && revision.number <= self.last_revision.number
     }
 
-    /// Whether a heartbeat may be one that came late.
+    /// Whether a heartbeat received at `now` may be a delayed one.
     pub(crate) fn may_be_late(&self, now: Tick) -> bool {
         self.is_replaced && now.since(self.ended_at) < LATE_HEARTBEAT_MS
     }
--- a/crates/dispatch/src/queue.rs
+++ b/crates/dispatch/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for an upstream: the most urgent first, then the earliest deadline.
+//! Queue of requests that wait for an upstream, ordered by priority, then by deadline.
 
 use crate::{RequestId, request::Request};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
     }
 }
 
-/// All waiting requests by service.
+/// The waiting requests of each service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
     services: BTreeMap<Name, BTreeSet<Rank>>,
@@ -35,13 +35,13 @@
         }
     }
 
-    /// The requests that wait for `service`, in order.
+    /// Returns the requests that wait for `service`, in order.
     pub(crate) fn waiting(&self, service: &Name) -> Vec<RequestId> {
         let ranks = self.services.get(service).into_iter().flatten();
         ranks.map(|rank| rank.id).collect()
     }
 
-    /// The services for which requests wait.
+    /// Returns the services for which requests wait.
     pub(crate) fn services(&self) -> Vec<Name> {
         let busy = self.services.iter().filter(|(_, ranks)| !ranks.is_empty());
         busy.map(|(service, _)| service.clone()).collect()
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its end.
+//! State of a request from its arrival to its end.
 
 use crate::{
     access::Access,
@@ -12,46 +12,46 @@
 use vanetally_quarantine::ContentHash;
 use vanetally_types::{Incarnation, Name, Tick, Verdict};
 
-/// Where a request is.
+/// Stage of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Stage {
-    /// It waits for an upstream.
+    /// Waits for an upstream.
     Waiting,
-    /// An engine was chosen; its pacer is asked for the moment.
+    /// Waits for a permit or a pacer slot at the chosen upstream.
     Reserving(Reservation),
-    /// It is at an upstream.
+    /// Was sent to an upstream.
     Sent(ActiveAttempt),
 }
 
 impl Stage {
-    /// Whether it is at an upstream.
+    /// Whether the request was sent to an upstream.
     pub(crate) fn is_sent(&self) -> bool {
         matches!(self, Self::Sent(_))
     }
 }
 
-/// A moment that was asked for and not given yet.
+/// An open request for a permit or a pacer slot.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Reservation {
     pub reservation: u32,
     pub choice: Choice,
-    /// What it adds to the engine's load.
+    /// Load that the request adds to the upstream.
     pub load: Load,
 }
 
-/// What is known of a sending that has not ended.
+/// An attempt that has not ended.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ActiveAttempt {
     pub upstream: Incarnation,
     pub sent_at: Tick,
-    /// What it adds to the upstream's load.
+    /// Load that the request adds to the upstream.
     pub load: Load,
-    /// What was expected when it was sent.
+    /// What the upstream was expected to read.
     pub expected: ReadEstimate,
     pub has_begun: bool,
-    /// Whether the engine's pacer has to hear of its answer.
+    /// Whether the engine's pacer needs the outcome, because this request probes the engine.
     pub is_trial: bool,
-    /// The rate by which it got its moment, if the upstream is in need.
+    /// Rate under which the permit was granted, if the upstream is rate-limited.
     pub permit_rate: Option<f64>,
 }
 
@@ -62,38 +62,38 @@
     pub route: Rc<Route>,
     pub access: Access,
     pub content_hash: ContentHash,
-    /// The parts of its prompt that others may share.
+    /// Prefixes of the prompt that other requests may share.
     pub shared_prefixes: Vec<Prefix>,
     pub service: Name,
     pub arrived: Tick,
-    /// The latest moment for a final answer.
+    /// Latest time of the final answer.
     pub deadline: Tick,
-    /// The latest moment to be sent for the first time.
+    /// Latest time of the first attempt.
     pub wait_limit: Tick,
     pub stage: Stage,
-    /// Upstreams that it was sent to.
+    /// Upstreams to which the request was sent.
     pub tried: Vec<Incarnation>,
     pub attempts: u32,
-    /// Moments asked for.
+    /// Number of reservations so far.
     pub reservations: u32,
     pub verdict: Verdict,
-    /// No sending before this.
+    /// Earliest time of the next attempt.
     pub not_before: Tick,
-    /// What it lacked when it last looked for an upstream in vain.
+    /// Result of the last unsuccessful choice of an upstream.
     pub shortage: Option<Shortage>,
 }
 
-/// A stream's caller leaves after a gap of this many milliseconds, or of some objectives.
+/// Minimum wait limit of a stream; the caller leaves after such a gap.
 const MIN_STREAM_WAIT_MS: u64 = 2_000;
-/// Objectives after which a stream's caller leaves.
+/// Wait limit of a stream, as a multiple of the target latency.
 const STREAM_WAIT_TARGETS: u64 = 4;
-/// A request that is no stream is refused if it was not sent within this many objectives: beyond that two of three
-/// waited for nothing, at the cost of all that their callers could still have done.
+/// Wait limit of other requests, as a multiple of the target latency. Of those that waited longer,
+/// two of three were refused in the end, and their callers had no time left to retry.
 const MAX_WAIT_TARGETS: u64 = 2;
-/// Kept back from the caller's patience, in milliseconds.
+/// Margin by which a request is refused before its caller leaves.
 const WAIT_MARGIN_MS: u64 = 100;
 
-/// The longest pause between events where the route states none, in milliseconds.
+/// Target for the longest gap between events if the route states none.
 const DEFAULT_GAP_MS: u64 = 300;
 
 impl Request {
@@ -138,57 +138,59 @@
         }
     }
 
-    /// Its rank among waiting requests: its organisation's goes before its route's.
+    /// Returns the priorities by which requests are queued: that of the organisation, then that of
+    /// the route.
     pub(crate) fn rank(&self) -> (u8, u8) {
         let own = self.route.priority;
         (self.access.priority.unwrap_or(own), own)
     }
 
-    /// What it adds to the load of an upstream that has to read `unread_tokens` of its prompt.
+    /// Returns the load that the request adds to an upstream that has to read `unread_tokens` of
+    /// its prompt.
     pub(crate) fn load(&self, unread_tokens: u32) -> Load {
         Load { running: 1, unread_tokens, held_tokens: self.max_tokens() }
     }
 
-    /// Tokens that it may come to hold at an engine.
+    /// Returns the maximum number of tokens that the request may hold in an engine's memory.
     pub(crate) fn max_tokens(&self) -> u32 {
         self.head.prompt_tokens + self.head.output_tokens
     }
 
-    /// The longest pause between events that the operators want, in milliseconds.
+    /// Returns the target for the longest gap between events, in milliseconds.
     pub(crate) fn gap_ms(&self) -> u64 {
         self.route.gap_ms.unwrap_or(DEFAULT_GAP_MS)
     }
 
-    /// Whether its answer would come after the time that the operators want.
+    /// Whether an answer now would miss the target latency.
     pub(crate) fn is_late(&self, now: Tick) -> bool {
         self.is_late_after(now, 0)
     }
 
-    /// Whether an answer that takes `answer_ms` from now on would come after the time that the operators want.
+    /// Whether an answer that takes another `answer_ms` would miss the target latency.
     pub(crate) fn is_late_after(&self, now: Tick, answer_ms: u64) -> bool {
         now.since(self.arrived) + answer_ms > self.route.target_ms
     }
 
-    /// Whether no upstream of its service is there, and it has waited as long as its answer may take: a wait
-    /// until its deadline would only keep its caller from asking again.
+    /// Whether the service has no upstream and the request has waited for its target latency.
+    /// Waiting until its deadline would only keep the caller from retrying.
     pub(crate) fn lacks_upstream_too_long(&self, now: Tick) -> bool {
         let lacks_upstream =
             self.shortage.is_some_and(|shortage| shortage.kind == ShortageKind::Upstream);
         lacks_upstream && self.is_late(now)
     }
 
-    /// Milliseconds that it may yet wait to be sent.
+    /// Returns how long the request may still wait for an attempt, in milliseconds.
     pub(crate) fn remaining_wait_ms(&self, now: Tick) -> u64 {
         let until = if self.verdict == Verdict::NotRun { self.wait_limit } else { self.deadline };
         until.since(now)
     }
 
-    /// Whether it was sent to as many upstreams as are allowed to it.
+    /// Whether the request was tried at its maximum number of upstreams.
     pub(crate) fn is_exhausted(&self) -> bool {
         self.tried.len() >= self.route.max_attempts as usize
     }
 
-    /// Whether it may be sent to `upstream` without exceeding the upstreams allowed to it.
+    /// Whether the request may be sent to `upstream` within its maximum number of upstreams.
     pub(crate) fn may_try(&self, upstream: &Incarnation) -> bool {
         self.tried.contains(upstream) || !self.is_exhausted()
     }
--- a/crates/dispatch/src/reserving.rs
+++ b/crates/dispatch/src/reserving.rs
@@ -1,5 +1,5 @@
-//! The moment for a request is asked for before it is sent to an upstream in need, and before its prompt is sent to an
-//! engine.
+//! Reserving a send time: a permit before a request is sent to a rate-limited upstream, and a slot
+//! of the engine's pacer before a prompt is sent to an engine.
 
 use crate::{
     Action, Dispatch, RequestId, Shortage, ShortageKind,
@@ -14,7 +14,7 @@
 use vanetally_types::Tick;
 
 impl Dispatch {
-    /// Asks the engine's pacer for the moment; the request counts as the engine's load meanwhile.
+    /// Asks the engine's pacer for a slot. The request counts as load of the engine meanwhile.
     pub(crate) fn reserve(&mut self, now: Tick, id: RequestId, choice: Choice) -> Option<Action> {
         let upstream = choice.upstream.clone();
         let reservation = self.open_reservation(now, id, choice)?;
@@ -32,8 +32,8 @@
         Some(Action::Reserve { id, reservation, prompt })
     }
 
-    /// A request waits no more in the queue, but for a moment at the upstream that was chosen; it counts as that one's
-    /// load. Gives back the number of the reservation.
+    /// Moves a request from the queue to a reservation at the chosen upstream, where it counts as
+    /// load. Returns the number of the reservation.
     fn open_reservation(&mut self, now: Tick, id: RequestId, choice: Choice) -> Option<u32> {
         let request = self.requests.get_mut(&id)?;
         let upstream = self.upstreams.get_mut(&choice.upstream)?;
@@ -47,7 +47,8 @@
         Some(reservation)
     }
 
-    /// The pacer answered: the request goes, or waits for this or another engine.
+    /// Handles the pacer's answer: sends the request, or queues it again for this or another
+    /// engine.
     pub(crate) fn reserved(
         &mut self,
         now: Tick,
@@ -59,7 +60,7 @@
         let Some(choice) = self.close_reservation(id, reservation) else {
             return;
         };
-        // One that has gone or leaves takes nothing new, whatever its pacer says.
+        // An upstream that is gone or leaving takes nothing new, whatever its pacer answered.
         let Some(upstream) = self.upstreams.get_mut(&choice.upstream) else {
             return;
         };
@@ -83,7 +84,7 @@
         actions.extend(choice.unused_permit());
     }
 
-    /// Asks when the request may go to an upstream in need; it counts as the upstream's load meanwhile.
+    /// Asks the grantor for a permit. The request counts as load of the upstream meanwhile.
     pub(crate) fn request_permit(
         &mut self,
         now: Tick,
@@ -96,16 +97,17 @@
         let remaining_wait_ms = self.requests.get(&id)?.remaining_wait_ms(now).max(1);
         let max_wait_ms =
             if limit.may_wait { remaining_wait_ms.try_into().unwrap_or(u32::MAX) } else { 0 };
-        let question = PermitRequest { upstream, rate: limit.rate, max_wait_ms };
-        Some(Action::RequestPermit { id, reservation, request: question })
+        let request = PermitRequest { upstream, rate: limit.rate, max_wait_ms };
+        Some(Action::RequestPermit { id, reservation, request })
     }
 
-    /// Who grants answered: the request goes, goes elsewhere, or is refused with the time at which there is room.
+    /// Handles the grantor's answer: the request is sent, queued again for another upstream, or
+    /// refused with the time after which there is capacity.
     pub(crate) fn permit_answered(
         &mut self,
         now: Tick,
         (id, reservation): (RequestId, u32),
-        question: PermitRequest,
+        request: PermitRequest,
         answer: PermitAnswer,
         actions: &mut Vec<Action>,
     ) {
@@ -114,7 +116,7 @@
             PermitAnswer::Busy { .. } | PermitAnswer::NotGranting => None,
         };
         let Some(mut choice) = self.close_reservation(id, reservation) else {
-            let PermitRequest { upstream, rate, .. } = question;
+            let PermitRequest { upstream, rate, .. } = request;
             actions.extend(granted.map(|_| Action::ReturnPermit { upstream, rate }));
             return;
         };
@@ -131,11 +133,12 @@
             PermitAnswer::Granted { delay_ms: 0 } if is_engine => {
                 actions.extend(self.reserve(now, id, choice));
             }
-            // In line its prompt meets few others.
+            // A request that waited for its permit meets few other prompts, so no pacer slot is
+            // needed.
             PermitAnswer::Granted { delay_ms } => {
                 actions.extend(self.send(now, id, choice, delay_ms))
             }
-            PermitAnswer::Busy { retry_ms } if question.max_wait_ms > 0 => {
+            PermitAnswer::Busy { retry_ms } if request.max_wait_ms > 0 => {
                 self.refuse_limited(now, id, retry_ms, actions);
             }
             PermitAnswer::Busy { retry_ms } => upstream.limited_until = now + u64::from(retry_ms),
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Refuses a request that only upstreams in need could take.
+    /// Refuses a request that only rate-limited upstreams could take.
     fn refuse_limited(
         &mut self,
         now: Tick,
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Ends the reservation `turn` of a request, if it is open: the request waits again.
+    /// Closes the reservation if it is open, and queues the request again.
     fn close_reservation(&mut self, id: RequestId, reservation: u32) -> Option<Choice> {
         let request = self.requests.get_mut(&id)?;
         if !matches!(&request.stage, Stage::Reserving(open) if open.reservation == reservation) {
--- a/crates/dispatch/src/roster.rs
+++ b/crates/dispatch/src/roster.rs
@@ -1,44 +1,45 @@
-//! Which lives of upstreams are announced.
+//! Incarnations of upstreams, derived from their announcements.
 //!
-//! Announcements lie in the store, one under each id, and an upstream may start again under its id. Here each
-//! announcement is taken for what it says of which life, in the order in which the store took them: another
-//! start is another life, and the one before it has ended. What this tells, each once, is all that the other
-//! decisions hear of it.
+//! The store holds one announcement per upstream id. An upstream that restarts keeps its id and
+//! gets another start time, so an announcement with another start time belongs to a new incarnation
+//! and ends the previous one. Announcements are processed in the order of their store revisions.
+//! The other decisions learn of upstreams only through the [`RosterUpdate`]s returned here; each
+//! change is returned once.
 
 use crate::previous::{PreviousIncarnation, PreviousIncarnations};
 use std::collections::{BTreeMap, BTreeSet};
 use vanetally_ports::{Announcement, AnnouncementError, Revision, UpstreamState};
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// What an announcement, or its end, means.
+/// Result of an announcement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RosterUpdate {
-    /// A life announced itself, or changed what it announces.
+    /// An incarnation announced itself, or changed its announcement.
     Seen {
-        /// The life.
+        /// The announced incarnation.
         incarnation: Incarnation,
-        /// What it says.
+        /// The announced state.
         state: UpstreamState,
-        /// Whether nothing was known of it before.
+        /// Whether the incarnation was unknown before.
         is_new: bool,
     },
-    /// What lies under its id can't be read: it gets nothing new until it can.
+    /// The announcement can't be read; the upstream gets no new requests until it can.
     Unreadable {
-        /// The life that was announced last, if any.
+        /// The incarnation that was announced last, if any.
         incarnation: Option<Incarnation>,
-        /// Why.
+        /// Why the announcement can't be read.
         error: AnnouncementError,
     },
-    /// A copy of the store tells what is known to be over.
+    /// A copy of the store returned an announcement that is known to be out of date.
     Outdated {
-        /// The life that it tells of.
+        /// The incarnation in that announcement.
         incarnation: Incarnation,
     },
-    /// A life has ended: another one is announced under its id.
+    /// An incarnation ended: another one was announced under its id.
     Ended {
-        /// The life that ended.
+        /// The incarnation that ended.
         incarnation: Incarnation,
-        /// The one after it.
+        /// The incarnation that replaced it.
         next: Incarnation,
     },
 }
@@ -47,7 +48,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     entries: BTreeMap<Name, Entry>,
-    /// Ids under which nothing was ever read, only what can't be.
+    /// Ids of which no announcement could be read so far.
     unreadable_ids: BTreeSet<Name>,
     previous: PreviousIncarnations,
 }
@@ -55,20 +56,20 @@
 #[derive(Clone, Debug)]
 struct Entry {
     incarnation: Incarnation,
-    /// The last announcement under the id.
+    /// Revision of the last announcement under the id.
     revision: Revision,
-    /// The last one of this life.
+    /// Revision of the last readable announcement of this incarnation.
     last_seen: Revision,
     is_readable: bool,
-    /// Where the life said that it leaves.
+    /// Revision at which the incarnation announced that it leaves.
     leaving: Option<Revision>,
 }
 
-/// Ids under which nothing can be read are told once each, up to so many.
+/// Maximum number of ids without a readable announcement; each of them is reported once.
 const MAX_UNREADABLE_IDS: usize = 1_024;
 
 impl Roster {
-    /// What lies under `id` as of `revision` was read, or can't be.
+    /// Records the announcement of `id` at `revision`, as read or with the error.
     pub fn record(
         &mut self,
         now: Tick,
@@ -113,7 +114,7 @@
         ]
     }
 
-    /// Nothing is known under `id`. What can't be read names nobody.
+    /// Records the first announcement of an unknown `id`. An unreadable one names no incarnation.
     fn record_first(
         &mut self,
         now: Tick,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// The announcement under `id` is gone, and with it the life.
+    /// Records that the announcement of `id` is gone. Returns the incarnation that ended with it.
     pub fn remove(&mut self, now: Tick, id: &Name) -> Option<Incarnation> {
         self.unreadable_ids.remove(id);
         let entry = self.entries.remove(id)?;
@@ -154,12 +155,12 @@
         Some(entry.incarnation)
     }
 
-    /// Whether anything is known under `id`.
+    /// Whether an incarnation is known under `id`.
     pub fn contains(&self, id: &Name) -> bool {
         self.entries.contains_key(id)
     }
 
-    /// All ids under which something is known.
+    /// Returns all ids with a known incarnation.
     pub fn ids(&self) -> impl Iterator<Item = &Name> {
         self.entries.keys()
     }
@@ -178,7 +179,7 @@
         entry
     }
 
-    /// What is remembered of the life when it is over.
+    /// Returns what is kept of the incarnation after its end.
     fn to_previous(&self, now: Tick, is_replaced: bool) -> PreviousIncarnation {
         PreviousIncarnation {
             ended_at: now,
@@ -188,14 +189,15 @@
         }
     }
 
-    /// Whether a copy of the store tells of a life that began before this one.
+    /// Whether `revision` comes from a copy of the store and `other` began before this incarnation.
     fn is_newer_than(&self, other: &Incarnation, revision: Revision) -> bool {
         revision.era > self.last_seen.era
             && other.born.is_some()
             && other.born < self.incarnation.born
     }
 
-    /// A copy does not take back that a life leaves; the life itself may, in the era in which it said so.
+    /// Updates the leaving state. Only the incarnation itself, in the era in which it announced
+    /// that it leaves, can take that back; an announcement from a copy of the store can't.
     fn note_leaving(&mut self, revision: Revision, state: &mut UpstreamState) {
         if state.draining {
             self.leaving = Some(revision);
@@ -205,7 +207,8 @@
         state.draining = self.leaving.is_some();
     }
 
-    /// An announcement that leaves out the start that the one before it told comes from another writer.
+    /// Rejects an announcement without a start time if the previous one had it: another writer
+    /// wrote it.
     fn check(&self, announcement: Announcement) -> Result<Announcement, AnnouncementError> {
         if self.incarnation.born.is_some() && announcement.incarnation.born.is_none() {
             return Err(AnnouncementError::StartMissing);
--- a/crates/dispatch/src/routes.rs
+++ b/crates/dispatch/src/routes.rs
@@ -1,10 +1,10 @@
-//! Which route takes a request.
+//! Matching of requests to routes.
 
 use std::{collections::HashMap, rc::Rc};
 use vanetally_ports::{Configuration, Route, Target};
 use vanetally_types::{Name, hash64};
 
-/// The routes of one configuration, by host.
+/// The routes of one configuration, by host name.
 #[derive(Clone, Debug, Default)]
 pub struct RouteIndex {
     /// Longest prefix first.
@@ -24,13 +24,14 @@
         Self { by_host }
     }
 
-    /// The route with the longest prefix of `path`.
+    /// Returns the route with the longest prefix of `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         self.by_host.get(host)?.iter().find(|route| path.starts_with(&*route.prefix))
     }
 }
 
-/// The target that takes the request `id`: its share of all ids is its share of the weights.
+/// Returns the target for the request `id`. Targets are chosen by a hash of the id, in proportion
+/// to their weights.
 pub(crate) fn target<'a>(route: &'a Route, id: &str) -> Option<&'a Target> {
     let total: u64 = route.targets.iter().map(|target| u64::from(target.weight)).sum();
     let mut point = hash64(id.as_bytes()) % total.max(1);
--- a/crates/dispatch/src/sending.rs
+++ b/crates/dispatch/src/sending.rs
@@ -1,4 +1,4 @@
-//! What waits is sent where it may go, in order.
+//! Sending of waiting requests, in order.
 
 use crate::{
     Action, Attempt, Dispatch, RefusalContext, RequestId,
@@ -14,22 +14,22 @@
 use vanetally_ports::{ModelRef, Refusal, RefusalCause, RequestKind};
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// Connections that all hosts together leave free.
+/// Share of an upstream's connections that all hosts together use.
 const CONNECTION_SHARE: f64 = 0.8;
-/// A request that has waited this long for a place shows that the replicas of its model are too few, in
-/// milliseconds: shorter waits come and go with the bursts of callers.
+/// Waiting time from which a request shows that its model has too few replicas. Shorter waits come
+/// and go with bursts of requests.
 pub(crate) const SATURATED_MS: u64 = 200;
-/// A moment at an upstream in need lapses after this long, in milliseconds: a host that stood still would send into
-/// moments that others were given.
+/// How long a permit for a rate-limited upstream is valid after its send time. A host that was
+/// stalled would otherwise send at times that were granted to others.
 const PERMIT_TTL_MS: u64 = 1_000;
-/// Where all that could take a request rest for no longer than this, it waits, in milliseconds: its caller would not
-/// be back sooner.
+/// Maximum cooldown for which a request waits if all its upstreams are in cooldown. Its caller
+/// would not return sooner.
 const MAX_COOLDOWN_WAIT_MS: u64 = 100;
-/// The same thing is wanted again after this long, in milliseconds.
+/// Interval after which the same model or adapter is requested again.
 pub(crate) const MODEL_REQUEST_INTERVAL_MS: u64 = 250;
 
 impl Dispatch {
-    /// Sends what waits and can go.
+    /// Sends the waiting requests that can be sent.
     pub(crate) fn send_waiting(&mut self, now: Tick, actions: &mut Vec<Action>) {
         for service in self.queue.services() {
             let mut shortages = HashMap::new();
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Waiting requests that can still be answered in time come before those that can't.
+    /// Returns the waiting requests; those that can still be answered in time come first.
     fn ordered_queue(&self, now: Tick, service: &Name) -> Vec<RequestId> {
         let mut waiting = self.queue.waiting(service);
         let answer_ms = self.answer_times.get(service).map_or(0, AnswerTimes::mean_ms);
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Why waiting would not help a request, and when it should come back, in milliseconds: all upstreams of its service
-    /// leave, or all that it may go to rest.
+    /// Returns the cause and the `Retry-After` of a refusal if waiting is futile: all upstreams of
+    /// the service are leaving, or all that may take the request are in cooldown.
     fn futile_wait(
         &self,
         now: Tick,
@@ -121,14 +121,14 @@
         }
     }
 
-    /// Whether a service has upstreams, and all of them leave.
+    /// Whether a service has upstreams and all of them are leaving.
     fn are_all_leaving(&self, now: Tick, service: &Name) -> bool {
         let mut known = self.known_upstreams(self.directory.upstreams_of(service)).peekable();
         known.peek().is_some() && known.all(|(_, upstream)| upstream.is_leaving(now))
     }
 
-    /// When the first upstream that could take a request has rested, in milliseconds, if all that it may go to rest for
-    /// longer than it would wait.
+    /// Returns the remaining cooldown of the first upstream that could take the request, if all
+    /// upstreams allowed to it are in cooldown for longer than it would wait.
     fn cooldown_wait_ms(&self, now: Tick, request: &Request) -> Option<u64> {
         let holds = |upstream: &Upstream| {
             request.head.model.as_ref().is_none_or(|subject| upstream.holds(subject, now))
@@ -139,12 +139,12 @@
             could.map(|(id, upstream)| (id, upstream.cooldown.left_ms(now).unwrap_or(0)));
         let cooldowns: Vec<(&Incarnation, u64)> = cooldowns.collect();
         let own = cooldowns.iter().filter(|(id, _)| request.may_try(id)).map(|(_, left)| *left);
-        // One that was sent to as many as it may be does better as a new request.
+        // A request that used up its upstreams has better chances as a new request.
         let least = cooldowns.iter().map(|(_, left)| *left).min()?;
         (own.min()? > MAX_COOLDOWN_WAIT_MS).then_some(least.max(STOP_RETRY_AFTER_MS))
     }
 
-    /// Refuses a request that nobody can take for longer than it would wait.
+    /// Refuses a request that no upstream can take within its waiting time.
     pub(crate) fn refuse_at_once(
         &mut self,
         id: RequestId,
@@ -164,7 +164,7 @@
         actions.push(Action::Refuse { id, refusal, context });
     }
 
-    /// Tells the holder of orders what a request lacks, if weights or an adapter would help.
+    /// Requests a model or adapter from the order holder if that would resolve the shortage.
     pub(crate) fn report_shortage(
         &mut self,
         now: Tick,
@@ -205,7 +205,8 @@
         };
         let holders = directory.holders(service, &subject.model);
         choose(&input, request, self.known_upstreams(holders)).map_err(|shortage| {
-            // Where no holder takes requests, others tell whether it is the model that is missing.
+            // If no holder of the model accepts requests, the other upstreams of the service show
+            // whether only the model is missing.
             let lacks_upstream = shortage.kind == ShortageKind::Upstream;
             let others = || self.known_upstreams(directory.upstreams_of(service));
             let is_missing =
@@ -297,9 +298,9 @@
         Some(Action::Send { id, attempt })
     }
 
-    /// Whether the request `id` may still go to the upstream that was chosen for it: between the choice
-    /// and the first byte lie the pacer's delay and the making of a connection, and the upstream may
-    /// have left by then, or the key of the request have been taken away.
+    /// Whether the request `id` may still be sent to its chosen upstream. The pacer's delay and the
+    /// connection setup come between the choice and the first byte; meanwhile the upstream may have
+    /// left, or the key may have been revoked.
     pub fn may_send(&self, now: Tick, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id).filter(|r| self.send_refusal(now, r).is_none())
         else {
@@ -321,12 +322,13 @@
         is_permitted && upstream.accepts_now(now)
     }
 
-    /// This host's share of the connections to an upstream.
+    /// Returns this host's share of the connections to an upstream.
     fn connections(&self, upstream: &Incarnation) -> usize {
         let service = self.upstreams.get(upstream).map(|u| &u.state.service);
         let services = self.configuration.as_ref().map(|c| &c.services);
-        let most = service.and_then(|name| services?.get(name)).map(|s| s.max_connections);
-        let share = f64::from(most.unwrap_or(1)) * CONNECTION_SHARE / self.hosts as f64;
+        let max_connections =
+            service.and_then(|name| services?.get(name)).map(|s| s.max_connections);
+        let share = f64::from(max_connections.unwrap_or(1)) * CONNECTION_SHARE / self.hosts as f64;
         (share as usize).max(1)
     }
 }
--- a/crates/dispatch/src/shortage.rs
+++ b/crates/dispatch/src/shortage.rs
@@ -1,38 +1,38 @@
-//! Why a request can't go anywhere now, and what is told of one that is refused.
+//! Why a request can't be sent now, and the details of a refusal.
 
 use crate::request::Request;
 use vanetally_ports::ModelRef;
 use vanetally_types::Name;
 
-/// What a request lacks, the nearest to being sent last.
+/// What prevents a request from being sent, in the order of how close it is to being sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShortageKind {
-    /// No upstream of the service takes new requests.
+    /// No upstream of the service accepts new requests.
     Upstream,
     /// No upstream holds the model.
     Model,
-    /// The model is held, the adapter is not.
+    /// An upstream holds the model but not the adapter.
     Adapter,
-    /// It was sent to as many upstreams as are allowed to it.
+    /// The request was tried at its maximum number of upstreams.
     Attempt,
-    /// The upstream asked this host for rest.
+    /// The upstream requested a cooldown.
     Cooldown,
-    /// The upstream turned requests away, or could not be reached, just before.
+    /// The upstream turned requests away or could not be reached a short time ago.
     TurnedAway,
-    /// The upstream is in need and takes no more now.
+    /// The upstream is rate-limited and takes no more requests now.
     Limit,
-    /// The engine's pacer has no moment for its prompt.
+    /// The engine's pacer has no send time for the prompt.
     SendTime,
-    /// All places of the upstream are taken.
+    /// All slots of the upstream are taken.
     Slot,
-    /// The engine's memory is taken.
+    /// The engine has not enough memory.
     Memory,
-    /// The engine has too much to read.
+    /// The engine has too many prompt tokens to read.
     Reading,
 }
 
 impl ShortageKind {
-    /// The word for logs and metrics.
+    /// Returns the name for logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Upstream => "upstream",
@@ -49,36 +49,36 @@
         }
     }
 
-    /// Whether those that hold what is asked for have no room.
+    /// Whether the holders of the model or adapter have no capacity.
     pub(crate) fn is_saturation(self) -> bool {
         matches!(self, Self::Limit | Self::SendTime | Self::Slot | Self::Memory | Self::Reading)
     }
 
-    /// Whether nobody holds what is asked for.
+    /// Whether no upstream holds the model or adapter.
     pub(crate) fn is_missing(self) -> bool {
         matches!(self, Self::Upstream | Self::Model | Self::Adapter)
     }
 }
 
-/// What was lacking when a request last looked for an upstream.
+/// Result of an unsuccessful choice of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shortage {
-    /// What the upstream that came nearest lacked.
+    /// What prevented sending to the upstream that came closest.
     pub kind: ShortageKind,
-    /// Upstreams that hold what is asked for.
+    /// Number of upstreams that hold the model or adapter.
     pub holders: u32,
 }
 
-/// A request that is refused, for the log.
+/// Details of a refused request, for the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RefusalContext {
-    /// The route that took it; empty if none did.
+    /// The matched route; empty if none matched.
     pub route: Name,
-    /// The model or adapter that it asked for.
+    /// The requested model or adapter.
     pub subject: Option<ModelRef>,
-    /// Sendings so far.
+    /// Attempts so far.
     pub attempts: u32,
-    /// What it lacked when it last looked for an upstream, if it did in vain.
+    /// Result of the last unsuccessful choice of an upstream, if any.
     pub shortage: Option<Shortage>,
 }
 
--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -1,4 +1,4 @@
-//! What this host believes of one upstream.
+//! Known state of one upstream.
 
 use crate::{Health, LoadRow, Presence, choice::Choice, cooldown::Cooldown};
 use std::collections::{BTreeMap, HashMap};
@@ -7,7 +7,7 @@
 use vanetally_ports::{ModelRef, PromptPart, UpstreamState};
 use vanetally_types::{Incarnation, Name, Tick, hash64};
 
-/// Requests at an upstream that have not ended.
+/// Open requests at an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Load {
     pub running: u32,
@@ -29,54 +29,56 @@
     }
 }
 
-/// What another host has there, with its age.
+/// Load of another host at the upstream, with the time of the report.
 #[derive(Clone, Debug)]
 struct PeerLoad {
     row: LoadRow,
     at: Tick,
 }
 
-/// Beliefs about one upstream.
+/// Known state of one upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Upstream {
     pub state: UpstreamState,
-    /// Load of this host.
+    /// Load from this host.
     pub own: Load,
     pub health: Health,
-    /// No request goes there before this, since it was full.
+    /// No requests before this time, because the upstream was full.
     pub full_until: Tick,
-    /// How often it turned requests away since it last answered one.
+    /// Number of rejections since the last successful answer.
     pub consecutive_refusals: u32,
-    /// What it takes from all hosts while it is in need.
+    /// Stated rate limit over all hosts.
     pub limit: KnownLimit,
-    /// It takes no more from this host before this, while it is in need.
+    /// While the upstream is rate-limited, it takes no more requests from this host before this
+    /// time.
     pub limited_until: Tick,
-    /// Cooldown that it asked this host for.
+    /// Cooldown that the upstream requested from this host.
     pub cooldown: Cooldown,
-    /// Its pacer has no moment for this host before this.
+    /// The engine's pacer has no slot for this host before this time.
     pub paced_until: Tick,
-    /// Another incarnation answers at its address: it is gone, whatever its announcement says.
+    /// Another incarnation answers at the upstream's address: it has ended, whatever its
+    /// announcement says.
     pub is_replaced: bool,
-    /// What it announces now can't be read.
+    /// The current announcement can't be read.
     pub is_unreadable: bool,
     /// An incarnation that announced the same address after this one had failed.
     successor: Option<Incarnation>,
-    /// When it will be gone, if it said so.
+    /// When the upstream will be gone, if it announced that.
     pub gone_at: Option<Tick>,
     peers: BTreeMap<Name, PeerLoad>,
     presence: HashMap<ModelRef, (Presence, Tick)>,
     prefix_cache: PrefixCache,
 }
 
-/// A peer's load older than this is forgotten, in milliseconds.
+/// How long the reported load of another host is used.
 const PEER_LOAD_MS: u64 = 3_000;
-/// Weights that go are announced until their last run has ended: what the holder of orders told wins
-/// for this long, in milliseconds.
+/// How long a report of the order holder that weights are being unloaded overrides the
+/// announcement, which lists the weights until their last request has ended.
 const UNLOAD_PRESENCE_MS: u64 = 30_000;
-/// What the holder of orders told wins over the announcement for this long, in milliseconds.
+/// How long other reports of the order holder override the announcement.
 const PRESENCE_MS: u64 = 4_000;
 
-/// Time left below which an upstream under notice gets nothing, in milliseconds.
+/// Minimum time until the end of an upstream at which it still gets requests.
 const MIN_NOTICE_MS: u64 = 200;
 
 impl Upstream {
@@ -110,7 +112,8 @@
         self.is_replaced &= self.state.address == state.address;
         self.is_unreadable = false;
         self.state = state;
-        // Weights that the announcement lists no more have gone: from now on it is believed again.
+        // The announcement no longer lists these weights, so the unload is complete and the
+        // announcement is valid again.
         let listed = &self.state.models;
         self.presence.retain(|subject, (presence, _)| {
             let is_listed = listed.iter().any(|held| held.name == subject.model);
@@ -118,47 +121,48 @@
         });
     }
 
-    /// Whether it is in need and takes no more from this host just now.
+    /// Whether the upstream is rate-limited and takes no more requests from this host now.
     pub(crate) fn is_limited(&self, now: Tick) -> bool {
         self.limit.rate().is_some() && now < self.limited_until
     }
 
-    /// Whether the request of `choice` may go there: it has its moment, or none is needed.
+    /// Whether the request may be sent under the rate limit: it has a permit, or none is needed.
     pub(crate) fn is_permitted(&self, choice: &Choice) -> bool {
         self.limit.rate().is_none() || choice.limit.is_some_and(|limit| limit.is_granted)
     }
 
-    /// Whether new requests may go there at all.
+    /// Whether the upstream accepts new requests at all.
     pub(crate) fn accepts_new(&self, now: Tick) -> bool {
         let is_valid = !self.is_unreadable && !self.is_replaced && self.successor.is_none();
         is_valid && !self.is_leaving(now)
     }
 
-    /// Whether a request that was chosen for it may go there now.
+    /// Whether a request for which the upstream was chosen may be sent now.
     pub(crate) fn accepts_now(&self, now: Tick) -> bool {
         self.accepts_new(now) && self.cooldown.left_ms(now).is_none()
     }
 
-    /// Whether it takes nothing new since it leaves.
+    /// Whether the upstream accepts no new requests because it is leaving.
     pub(crate) fn is_leaving(&self, now: Tick) -> bool {
         let is_ending_soon = self.gone_at.is_some_and(|gone| gone <= now + MIN_NOTICE_MS);
         self.state.draining || is_ending_soon
     }
 
-    /// Another incarnation announced itself. At the address of one that has just failed it is what came
-    /// after it; while nothing failed it may be a late announcement of one that went before.
+    /// Records another announced incarnation. If it has the address of an upstream that failed
+    /// recently, it is the successor; without a failure it may be a delayed announcement of a
+    /// previous incarnation.
     pub(crate) fn successor_seen(&mut self, id: &Incarnation, state: &UpstreamState, now: Tick) {
         if state.address == self.state.address && self.has_recent_failure(now) {
             self.successor = Some(id.clone());
         }
     }
 
-    /// An incarnation's announcement is gone.
+    /// Records that the announcement of an incarnation is gone.
     pub(crate) fn successor_gone(&mut self, id: &Incarnation) {
         self.successor.take_if(|successor| successor == id);
     }
 
-    /// Whether attempts failed there lately, here or at other hosts.
+    /// Whether attempts failed recently, here or at other hosts.
     fn has_recent_failure(&mut self, now: Tick) -> bool {
         let (_, own) = self.health.counts(now);
         let (_, others) = self.peer_ends(now);
@@ -178,7 +182,7 @@
             && self.reported_presence(subject, now).unwrap_or_else(|| self.announces(subject))
     }
 
-    /// The models that it was told to hold, some of them long ago.
+    /// Returns the models that the upstream was reported to hold, however old the report is.
     pub(crate) fn reported_models(&self) -> impl Iterator<Item = &Name> {
         let present =
             self.presence.iter().filter(|(_, (reported, _))| *reported == Presence::Present);
@@ -209,7 +213,7 @@
         self.peers.remove(host);
     }
 
-    /// Load of all other hosts, by their digests.
+    /// Returns the load of all other hosts, by their digests.
     pub(crate) fn peer_load(&self, now: Tick) -> Load {
         let mut sum = Load::default();
         for row in self.recent(now) {
@@ -222,7 +226,7 @@
         sum
     }
 
-    /// Good and bad ends that other hosts saw lately.
+    /// Returns the good and bad outcomes that other hosts reported recently.
     pub(crate) fn peer_ends(&self, now: Tick) -> (u32, u32) {
         self.recent(now)
             .fold((0, 0), |(good, bad), row| (good + u32::from(row.good), bad + u32::from(row.bad)))
@@ -239,20 +243,20 @@
         sum
     }
 
-    /// Prompt tokens that the upstream is thought to keep already.
+    /// Returns the prompt tokens that the upstream is expected to have cached.
     pub(crate) fn cached_tokens(&self, shared: &[Prefix]) -> u32 {
         self.prefix_cache.tokens(shared)
     }
 
-    /// The upstream reads a prompt for `model`.
+    /// Records that the upstream reads a prompt for `model`.
     pub(crate) fn cache_prompt(&mut self, model: &Name, shared: &[Prefix]) {
         self.prefix_cache.insert(model, shared);
     }
 }
 
-/// The parts of a prompt that other requests may share, as engines tell them apart.
+/// Returns the prefixes of a prompt that other requests may share, as engines identify them.
 ///
-/// The last part belongs to the request itself.
+/// The last part belongs to this request alone.
 pub(crate) fn shared_prefixes(subject: &ModelRef, parts: &[PromptPart]) -> Vec<Prefix> {
     let shared = &parts[..parts.len().saturating_sub(1)];
     let mut key = hash64(subject.to_string().as_bytes());
