--- a/crates/limit/src/grantor.rs
+++ b/crates/limit/src/grantor.rs
@@ -1,35 +1,35 @@
-//! The one host that says when requests may go to upstreams in need.
+//! Grants permits for rate-limited upstreams, on one host for all.
 
 use crate::schedule::{Schedule, interval_ms};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use vanetally_types::{Incarnation, Tick};
 
-/// May a request go to an upstream in need?
+/// Asks for a permit to send a request to a rate-limited upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// The upstream's incarnation.
+    /// The upstream.
     #[serde(rename = "u")]
     pub upstream: Incarnation,
-    /// Requests a second that it takes from all hosts, as the asker knows it.
+    /// Stated rate limit as known to the asking host, in requests per second over all hosts.
     #[serde(rename = "n")]
     pub rate: f64,
-    /// The longest that the request would wait for it, in milliseconds; nothing where others may take it.
+    /// Longest time that the request would wait; 0 if another upstream may take it.
     #[serde(rename = "w")]
     pub max_wait_ms: u32,
 }
 
-/// What is said to that.
+/// The grantor's answer to a [`PermitRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitAnswer {
-    /// It may, and nobody else has its moment.
+    /// The request may be sent, at a time that no other request has.
     Granted {
-        /// Milliseconds until then.
+        /// Milliseconds until the send time.
         delay_ms: u32,
     },
-    /// Too many others go before it.
+    /// Too many other requests come first.
     Busy {
-        /// Milliseconds until it is worth to come back.
+        /// Milliseconds after which to ask again.
         retry_ms: u32,
     },
     /// This host does not grant now.
@@ -37,7 +37,7 @@
 }
 
 impl PermitAnswer {
-    /// The word for logs and metrics.
+    /// Returns the name for logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Granted { delay_ms: 0 } => "granted",
@@ -48,103 +48,105 @@
     }
 }
 
-/// Moments are given out this far ahead, in milliseconds; what was given out so long before its successor began is
-/// over when the successor gives out its first one.
-pub(crate) const MOST_AHEAD_MS: u64 = 1_500;
-/// Callers are told to come back one after the other, up to this far ahead, in milliseconds: few can wait longer.
-const MOST_TOLD_MS: f64 = 30_000.0;
-/// Hosts whose requests go elsewhere come to ask again spread over so many intervals at most.
-const MOST_TURNS: u32 = 16;
-/// Askers between two moments: more would only be refused, fewer might leave one unused.
-const ASKERS: f64 = 2.0;
+/// How far ahead send times are granted. A new grantor waits for this long, after which the send
+/// times that its predecessor granted have passed.
+pub(crate) const MAX_AHEAD_MS: u64 = 1_500;
+/// Maximum `Retry-After`, up to which refused callers get successive times. Few callers can wait
+/// longer.
+const MAX_RETRY_MS: f64 = 30_000.0;
+/// Maximum number of hosts that get different times to ask again.
+const MAX_ASKS: u32 = 16;
+/// Hosts that ask again per interval between two send times. More would only be refused; fewer
+/// might leave a send time unused.
+const ASKERS_PER_INTERVAL: f64 = 2.0;
 
-/// Spaces the requests of all hosts to upstreams in need.
+/// Spaces the requests of all hosts to rate-limited upstreams.
 ///
-/// It keeps nothing from one time of granting to the next: what a predecessor gave out has gone by the time that it
-/// gives out its first moment.
+/// No state is kept from one period of granting to the next: the send times that a predecessor
+/// granted have passed when this grantor grants its first one.
 #[derive(Clone, Debug, Default)]
 pub struct Grantor {
-    /// Since when it grants.
-    since: Option<Tick>,
-    upstreams: HashMap<Incarnation, Queue>,
+    /// When this host began to grant; `None` while it does not.
+    granting_since: Option<Tick>,
+    upstreams: HashMap<Incarnation, UpstreamSchedule>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Queue {
-    line: Schedule,
-    /// When the last caller was told to come back, in milliseconds.
-    told: f64,
-    /// Hosts that were told to ask again since the last moment was given out.
-    turns: u32,
+struct UpstreamSchedule {
+    schedule: Schedule,
+    /// Time that was given to the last refused caller, in milliseconds.
+    last_retry: f64,
+    /// Hosts that were asked to come back since the last grant.
+    asks: u32,
 }
 
 impl Grantor {
-    /// Whether this host may grant now, by its lease.
+    /// Sets whether this host may grant now, by its lease.
     pub fn set_granting(&mut self, now: Tick, is_granting: bool) {
-        if is_granting && self.since.is_none() {
-            self.since = Some(now);
+        if is_granting && self.granting_since.is_none() {
+            self.granting_since = Some(now);
             self.upstreams.clear();
         }
         if !is_granting {
-            self.since = None;
+            self.granting_since = None;
         }
     }
 
-    /// Whether and when a request may go.
-    pub fn decide(&mut self, now: Tick, question: &PermitRequest) -> PermitAnswer {
-        let Some(since) = self.since else {
+    /// Decides whether and when a request may be sent.
+    pub fn decide(&mut self, now: Tick, request: &PermitRequest) -> PermitAnswer {
+        let Some(granting_since) = self.granting_since else {
             return PermitAnswer::NotGranting;
         };
-        let first = (since + MOST_AHEAD_MS).max(now);
-        let queue = self.upstreams.entry(question.upstream.clone());
-        queue.or_insert_with(|| Queue::new(first)).ask(now, question)
+        let first = (granting_since + MAX_AHEAD_MS).max(now);
+        let entry = self.upstreams.entry(request.upstream.clone());
+        entry.or_insert_with(|| UpstreamSchedule::new(first)).decide(now, request)
     }
 
-    /// What was granted did not go.
+    /// Returns a permit that was not used.
     pub fn return_permit(&mut self, upstream: &Incarnation, rate: f64) {
-        if let Some(queue) = self.upstreams.get_mut(upstream) {
-            queue.line.give_back(interval_ms(rate));
+        if let Some(entry) = self.upstreams.get_mut(upstream) {
+            entry.schedule.return_slot(interval_ms(rate));
         }
     }
 
-    /// An upstream has gone.
+    /// Removes an upstream that is gone.
     pub fn forget(&mut self, upstream: &Incarnation) {
         self.upstreams.remove(upstream);
     }
 }
 
-impl Queue {
+impl UpstreamSchedule {
     fn new(first: Tick) -> Self {
-        Self { line: Schedule::new(first), told: 0.0, turns: 0 }
+        Self { schedule: Schedule::new(first), last_retry: 0.0, asks: 0 }
     }
 
-    fn ask(&mut self, now: Tick, question: &PermitRequest) -> PermitAnswer {
-        let interval_ms = interval_ms(question.rate);
-        let wait_ms = self.line.wait_ms(now);
-        if wait_ms <= f64::from(question.max_wait_ms).min(MOST_AHEAD_MS as f64) {
-            self.line.take(now, interval_ms);
-            self.turns = 0;
+    fn decide(&mut self, now: Tick, request: &PermitRequest) -> PermitAnswer {
+        let interval_ms = interval_ms(request.rate);
+        let wait_ms = self.schedule.wait_ms(now);
+        if wait_ms <= f64::from(request.max_wait_ms).min(MAX_AHEAD_MS as f64) {
+            self.schedule.reserve(now, interval_ms);
+            self.asks = 0;
             return PermitAnswer::Granted { delay_ms: wait_ms.ceil() as u32 };
         }
-        let retry_ms = match question.max_wait_ms {
-            0 => self.next_turn(wait_ms, interval_ms),
-            _ => self.next_told(now, wait_ms, interval_ms),
+        let retry_ms = match request.max_wait_ms {
+            0 => self.next_ask(wait_ms, interval_ms),
+            _ => self.next_retry(now, wait_ms, interval_ms),
         };
         PermitAnswer::Busy { retry_ms: retry_ms.ceil() as u32 }
     }
 
-    /// When a host whose request goes elsewhere may ask again.
-    fn next_turn(&mut self, wait_ms: f64, interval_ms: f64) -> f64 {
-        let turn_ms = f64::from(self.turns) * interval_ms / ASKERS;
-        self.turns = (self.turns + 1).min(MOST_TURNS);
-        wait_ms + turn_ms
+    /// Returns when a host may ask again whose request goes to another upstream.
+    fn next_ask(&mut self, wait_ms: f64, interval_ms: f64) -> f64 {
+        let offset_ms = f64::from(self.asks) * interval_ms / ASKERS_PER_INTERVAL;
+        self.asks = (self.asks + 1).min(MAX_ASKS);
+        wait_ms + offset_ms
     }
 
-    /// When a caller that is refused may come back: after those that were told before it.
-    fn next_told(&mut self, now: Tick, wait_ms: f64, interval_ms: f64) -> f64 {
+    /// Returns when a refused caller may retry: after those that were refused before it.
+    fn next_retry(&mut self, now: Tick, wait_ms: f64, interval_ms: f64) -> f64 {
         let now = now.0 as f64;
-        let told = (self.told + interval_ms).max(now + wait_ms);
-        self.told = told.min(now + MOST_TOLD_MS);
-        self.told - now
+        let retry = (self.last_retry + interval_ms).max(now + wait_ms);
+        self.last_retry = retry.min(now + MAX_RETRY_MS);
+        self.last_retry - now
     }
 }
--- a/crates/limit/src/known_limit.rs
+++ b/crates/limit/src/known_limit.rs
@@ -1,81 +1,84 @@
-//! What one host believes of an upstream's limit.
+//! Known rate limit of an upstream.
 
 use vanetally_types::Tick;
 
-/// What an upstream said last.
+/// A statement of an upstream about its rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitStatement {
-    /// Requests a second that it takes from all hosts together; none if it takes all.
+    /// Requests per second over all hosts; `None` if the upstream takes all.
     pub rate: Option<f64>,
-    /// When it was heard, by this host's clock.
+    /// When the statement was received, by this host's clock.
     pub at: Tick,
 }
 
-/// What changed, for the log.
+/// Change of a stated rate limit, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitChange {
-    /// It takes only so many requests a second.
+    /// The upstream states this limit, in requests per second.
     Stated(f64),
-    /// It takes all again.
+    /// The upstream no longer states a limit.
     Ended,
 }
 
 /// The newest statement of one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct KnownLimit {
-    /// The newest, whoever heard it.
+    /// The newest statement, whichever host received it.
     newest: Option<LimitStatement>,
-    /// The newest that this host heard itself.
+    /// The newest statement that this host received itself.
     own: Option<LimitStatement>,
 }
 
-/// A host tells others of a statement for so long after it heard it, in milliseconds: at 0.2 requests a second two
-/// answers come in that time, so that one that starts meanwhile is told before it sends.
-const TELL_MS: u64 = 10_000;
+/// How long a host announces a statement after it received it. At 0.2 requests per second two
+/// answers come within this time, so a host that starts meanwhile learns of the limit before it
+/// sends.
+const ANNOUNCE_MS: u64 = 10_000;
 
 impl KnownLimit {
-    /// An answer to a request that was sent at `sent` stated `rate`, or no limit.
+    /// Records an answer, to a request that was sent at `sent_at`, that stated `rate` or no limit.
     ///
-    /// An answer without a limit ends the need only if its request was sent after the limit was last named: answers
-    /// that a host reads late, since it stood still, are older than they look.
+    /// An answer without a limit ends a known limit only if its request was sent after the limit
+    /// was last stated: a host that was stalled reads answers late, and they are older than they
+    /// appear.
     pub fn record_answer(
         &mut self,
         now: Tick,
-        sent: Tick,
+        sent_at: Tick,
         rate: Option<f64>,
     ) -> Option<LimitChange> {
-        let named = self.newest.filter(|newest| newest.rate.is_some());
-        // Where no need is known to end, there is nothing to say either.
-        if rate.is_none() && named.is_none_or(|named| sent <= named.at) {
+        let limited = self.newest.filter(|newest| newest.rate.is_some());
+        // If no limit is known there is nothing to end.
+        if rate.is_none() && limited.is_none_or(|limited| sent_at <= limited.at) {
             return None;
         }
         let statement = LimitStatement { rate, at: now };
         self.own = Some(statement);
-        self.take(statement)
+        self.apply(statement)
     }
 
-    /// Another host heard this.
+    /// Records a statement that another host received.
     pub fn record_report(&mut self, statement: LimitStatement) -> Option<LimitChange> {
         if self.newest.is_some_and(|newest| newest.at >= statement.at) {
             return None;
         }
-        self.take(statement)
+        self.apply(statement)
     }
 
-    /// Requests a second that the upstream takes from all hosts, if it is in need.
+    /// Returns the stated rate limit, in requests per second over all hosts.
     pub fn rate(&self) -> Option<f64> {
         self.newest.and_then(|newest| newest.rate)
     }
 
-    /// What other hosts have to be told: not what others have heard otherwise since.
+    /// Returns the statement to announce to other hosts, unless another host received a different
+    /// one since.
     pub fn announcement(&self, now: Tick) -> Option<LimitStatement> {
-        let is_refuted = |own: &LimitStatement| {
+        let is_superseded = |own: &LimitStatement| {
             self.newest.is_some_and(|newest| newest.at > own.at && newest.rate != own.rate)
         };
-        self.own.filter(|own| now.since(own.at) <= TELL_MS && !is_refuted(own))
+        self.own.filter(|own| now.since(own.at) <= ANNOUNCE_MS && !is_superseded(own))
     }
 
-    fn take(&mut self, statement: LimitStatement) -> Option<LimitChange> {
+    fn apply(&mut self, statement: LimitStatement) -> Option<LimitChange> {
         let old = self.rate();
         self.newest = Some(statement);
         match statement.rate {
--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -1,9 +1,10 @@
-//! What upstreams in need take from all hosts together.
+//! Rate limits that upstreams state for all hosts together.
 //!
-//! An upstream states a limit in its answers for as long as it is in need. Each host keeps the newest statement that
-//! it heard or was told of ([`KnownLimit`]). One host, the holder of the orders' lease, gives out the moments at which
-//! requests go there ([`Grantor`]); a host that can't ask it keeps to a small part of the limit ([`Shares`]).
-//! State machines only: no clock, no socket.
+//! A rate-limited upstream states its limit in its answers for as long as it is overloaded. Each
+//! host keeps the newest statement that it received or was sent ([`KnownLimit`]). One host, the
+//! holder of the order lease, grants the times at which requests are sent ([`Grantor`]); a host
+//! that can't reach it uses a small share of the limit ([`Shares`]). The crate contains state
+//! machines only, without clock or socket.
 #![deny(missing_docs, unsafe_code)]
 
 mod grantor;
--- a/crates/limit/src/schedule.rs
+++ b/crates/limit/src/schedule.rs
@@ -1,45 +1,45 @@
-//! Requests to one upstream, one behind the other.
+//! Schedule of the requests to one upstream.
 
 use vanetally_types::Tick;
 
-/// When the next request may go to an upstream.
+/// The next free send time at an upstream.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Schedule {
-    /// The moment of the next one, in milliseconds.
+    /// The next send time, in milliseconds.
     next: f64,
 }
 
-/// A request may go this much before its moment, in milliseconds: where those that come are fewer than the limit
-/// allows, or come late, what it allows is used all the same.
+/// How much earlier than scheduled a request may be sent. Requests that are few or late would
+/// otherwise not use the full limit.
 const EARLY_MS: f64 = 250.0;
-/// The least rate that is kept to, in requests a second: one that names less is asked every ten seconds whether it
-/// is still in need, since only its answers tell.
-const LEAST_RATE: f64 = 0.1;
+/// Minimum rate that is applied. An upstream that states less gets a request every ten seconds,
+/// because only its answers show whether the limit has ended.
+const MIN_RATE: f64 = 0.1;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// Milliseconds from one request to the next at `rate` requests a second.
+/// Returns the milliseconds between two requests at `rate` requests per second.
 pub(crate) fn interval_ms(rate: f64) -> f64 {
-    MILLIS_PER_SECOND / rate.max(LEAST_RATE)
+    MILLIS_PER_SECOND / rate.max(MIN_RATE)
 }
 
 impl Schedule {
-    /// The first request may go at `first`.
+    /// Creates a schedule whose first request may be sent at `first`.
     pub(crate) fn new(first: Tick) -> Self {
         Self { next: first.0 as f64 + EARLY_MS }
     }
 
-    /// Milliseconds until the next request may go.
+    /// Returns the milliseconds until the next request may be sent.
     pub(crate) fn wait_ms(&self, now: Tick) -> f64 {
         (self.next - EARLY_MS - now.0 as f64).max(0.0)
     }
 
-    /// The next request goes, at its moment.
-    pub(crate) fn take(&mut self, now: Tick, interval_ms: f64) {
+    /// Takes the next send time.
+    pub(crate) fn reserve(&mut self, now: Tick, interval_ms: f64) {
         self.next = self.next.max(now.0 as f64) + interval_ms;
     }
 
-    /// One that was to go does not.
-    pub(crate) fn give_back(&mut self, interval_ms: f64) {
+    /// Returns a send time that is not used.
+    pub(crate) fn return_slot(&mut self, interval_ms: f64) {
         self.next -= interval_ms;
     }
 }
--- a/crates/limit/src/share.rs
+++ b/crates/limit/src/share.rs
@@ -1,73 +1,74 @@
-//! What a host sends to an upstream in need where it can ask nobody.
+//! Local shares of stated limits, for hosts that can't reach the grantor.
 
 use crate::{
-    grantor::{MOST_AHEAD_MS, PermitAnswer, PermitRequest},
+    grantor::{MAX_AHEAD_MS, PermitAnswer, PermitRequest},
     schedule::{Schedule, interval_ms},
 };
 use std::collections::HashMap;
 use vanetally_types::{Incarnation, Tick, hash64};
 
-/// Share of a limit that all hosts together spend where they can't ask: a grantor that others still reach spends all
-/// of it meanwhile, and both together stay below one and a half times the limit.
-const ALONE_SHARE: f64 = 0.3;
+/// Share of a limit that all hosts without a grantor use together. A grantor that other hosts still
+/// reach grants the full limit meanwhile; both together stay below 1.5 times the limit.
+const LOCAL_SHARE: f64 = 0.3;
 
-/// A host that can ask nobody looks again after this long, in milliseconds: a new grantor is there within two or three
-/// seconds.
-const ALONE_RETRY_MS: f64 = 1_000.0;
+/// Interval after which a host without a grantor tries again. A new grantor is known within two or
+/// three seconds.
+const LOCAL_RETRY_MS: f64 = 1_000.0;
 
-/// This host's own part of each limit.
+/// This host's share of each limit.
 #[derive(Clone, Debug)]
 pub struct Shares {
     seed: u64,
-    lines: HashMap<Incarnation, Part>,
+    shares: HashMap<Incarnation, HostShare>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Part {
-    line: Schedule,
-    /// Milliseconds from one request of this host to its next one, as the line was begun.
+struct HostShare {
+    schedule: Schedule,
+    /// Interval between this host's requests for which the schedule was created, in milliseconds.
     interval_ms: f64,
 }
 
 impl Shares {
-    /// Hosts differ in `seed`.
+    /// Creates empty shares; `seed` differs from host to host.
     pub fn new(seed: u64) -> Self {
-        Self { seed, lines: HashMap::new() }
+        Self { seed, shares: HashMap::new() }
     }
 
-    /// Decides on a request by this host's part, among `hosts` of them.
+    /// Decides on a request by this host's share of the limit among `hosts`.
     ///
-    /// A part is often less than a request in many seconds: each host's first one comes at a moment of its own, so that
-    /// all together send evenly.
-    pub fn decide(&mut self, now: Tick, question: &PermitRequest, hosts: usize) -> PermitAnswer {
-        let interval_ms = interval_ms(question.rate) * hosts.max(1) as f64 / ALONE_SHARE;
+    /// A share is often less than one request in many seconds. The first request of each host gets
+    /// a pseudo-random time, so that all hosts together send evenly.
+    pub fn decide(&mut self, now: Tick, request: &PermitRequest, hosts: usize) -> PermitAnswer {
+        let interval_ms = interval_ms(request.rate) * hosts.max(1) as f64 / LOCAL_SHARE;
         let seed = self.seed;
-        let known = self.lines.get(&question.upstream).filter(|p| p.interval_ms == interval_ms);
-        let mut part = known.copied().unwrap_or_else(|| {
-            let first_ms = draw(seed, &question.upstream, now) * interval_ms;
-            Part { line: Schedule::new(now + first_ms as u64), interval_ms }
+        let known =
+            self.shares.get(&request.upstream).filter(|share| share.interval_ms == interval_ms);
+        let mut share = known.copied().unwrap_or_else(|| {
+            let first_ms = pseudo_random(seed, &request.upstream, now) * interval_ms;
+            HostShare { schedule: Schedule::new(now + first_ms as u64), interval_ms }
         });
-        let wait_ms = part.line.wait_ms(now);
-        let is_soon = wait_ms <= f64::from(question.max_wait_ms).min(MOST_AHEAD_MS as f64);
+        let wait_ms = share.schedule.wait_ms(now);
+        let is_soon = wait_ms <= f64::from(request.max_wait_ms).min(MAX_AHEAD_MS as f64);
         if is_soon {
-            part.line.take(now, interval_ms);
+            share.schedule.reserve(now, interval_ms);
         }
-        self.lines.insert(question.upstream.clone(), part);
+        self.shares.insert(request.upstream.clone(), share);
         if is_soon {
             PermitAnswer::Granted { delay_ms: wait_ms.ceil() as u32 }
         } else {
-            PermitAnswer::Busy { retry_ms: wait_ms.ceil().min(ALONE_RETRY_MS) as u32 }
+            PermitAnswer::Busy { retry_ms: wait_ms.ceil().min(LOCAL_RETRY_MS) as u32 }
         }
     }
 
-    /// An upstream has gone.
+    /// Removes an upstream that is gone.
     pub fn forget(&mut self, upstream: &Incarnation) {
-        self.lines.remove(upstream);
+        self.shares.remove(upstream);
     }
 }
 
-/// A number from 0 to 1 that is as good as random.
-fn draw(seed: u64, upstream: &Incarnation, now: Tick) -> f64 {
+/// Returns a pseudo-random number from 0 to 1.
+fn pseudo_random(seed: u64, upstream: &Incarnation, now: Tick) -> f64 {
     let mut bytes = upstream.id.as_bytes().to_vec();
     bytes.extend_from_slice(&seed.to_le_bytes());
     bytes.extend_from_slice(&now.0.to_le_bytes());
--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -1,52 +1,54 @@
-//! A host that asks the grantor, and what it does where that one can't be asked.
+//! Quota decisions of a host: through the grantor, or by a local share if the grantor can't be
+//! reached.
 
 use crate::{Bounds, GrantorContact, MILLIS_PER_SECOND, QuotaAnswer, bucket::Bucket};
 use std::collections::HashMap;
 use vanetally_ports::Quota;
 use vanetally_types::{Name, Tick, hash64};
 
-/// Where to turn with a request.
+/// Who decides on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Authority {
-    /// The quota is unlimited.
+    /// Nobody: the organisation has no quota.
     Unlimited,
     /// The grantor.
     Grantor(Name),
-    /// Nobody can be asked: this host decides.
+    /// This host, because no grantor can be reached.
     Local,
 }
 
-/// What comes of a request.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It may be sent.
+    /// The request may be sent.
     Granted,
-    /// It is beyond the quota; after so many milliseconds there is room.
+    /// The request exceeds the quota.
     Refused {
-        /// The time.
+        /// Milliseconds after which there is capacity.
         retry_ms: u64,
     },
-    /// Whether it is beyond the quota is not known, and the host's own share is spent.
+    /// Whether the request exceeds the quota is unknown, and the host's share is used up.
     Unknown,
 }
 
-/// What the grantor said of an organisation holds for this long, in milliseconds: on one host of 69 a small
-/// organisation's requests come seconds apart.
-const CALM_MS: u64 = 10_000;
-/// A host saves up its part of a calm organisation's rate since the grantor's last answer for this long, in
-/// milliseconds: a lease that is lost has a new holder by then.
-const SAVED_MS: u64 = 3_000;
-/// Share of the quota that all hosts together spend without a grantor, where it may still grant to others: with
-/// a third of the hosts cut off for a whole window, a tenth of the quota.
-const CUT_SHARE: f64 = 0.3;
-/// The same while the organisation is calm: more than it asks for, less than the quota, so that with what the next
-/// grantor adds a window stays within the bound even if it is calm no more.
-const CALM_SHARE: f64 = 0.8;
-/// Share of what the operators allow beyond the quota that hosts spend at once: each one may overdraw by half of a
-/// request, and their counts of hosts differ.
+/// How long an answer of the grantor that an organisation is below its quota holds. On one host of
+/// 69, the requests of a small organisation are seconds apart.
+const BELOW_QUOTA_MS: u64 = 10_000;
+/// Time since the grantor's last answer for which a host accumulates its share of the rate of an
+/// organisation below its quota. A lost lease has a new holder by then.
+const MAX_SAVED_MS: u64 = 3_000;
+/// Share of the quota that all hosts together spend without a grantor while it may still grant to
+/// others. If a third of the hosts is cut off for a whole window, they spend a tenth of the quota.
+const CUT_OFF_SHARE: f64 = 0.3;
+/// The same for an organisation below its quota: more than it needs and less than the quota, so
+/// that a window stays within the bound, including what the next grantor grants, even if its demand
+/// rises meanwhile.
+const BELOW_QUOTA_SHARE: f64 = 0.8;
+/// Share of the allowed excess that hosts spend at once. Each host may overdraw by half a request,
+/// and the hosts' counts of hosts differ.
 const EXCESS_SHARE: f64 = 0.5;
 
-/// What one host knows of the quotas.
+/// Quota state of one host.
 #[derive(Clone, Debug)]
 pub struct QuotaClient {
     bounds: Bounds,
@@ -55,53 +57,51 @@
     shares: HashMap<Name, Share>,
 }
 
-/// This host's own share of one quota.
+/// This host's share of one quota.
 #[derive(Clone, Copy, Debug)]
 struct Share {
     quota: Quota,
     bucket: Bucket,
-    /// When the grantor last said that the organisation stays far below its quota.
-    calm_at: Option<Tick>,
-    /// Units spent alone since then.
+    /// When the grantor last reported that the organisation is below its quota.
+    below_quota_at: Option<Tick>,
+    /// Units spent locally since then.
     spent: f64,
-    /// Part of a request that has to be there for the next one, from 0 to 1.
+    /// Part of the cost, from 0 to 1, that must be available for the next request.
     threshold: f64,
-    /// When it was drawn, and how often before.
-    drawn: Tick,
+    /// When the threshold was drawn, and how often one was drawn.
+    drawn_at: Tick,
     draws: u64,
 }
 
 impl QuotaClient {
-    /// No quota and no grantor are known.
-    ///
-    /// Hosts differ in `seed`.
+    /// Creates a client without quotas or grantor; `seed` differs from host to host.
     pub fn new(bounds: Bounds, seed: u64) -> Self {
         Self { bounds, seed, contact: GrantorContact::default(), shares: HashMap::new() }
     }
 
-    /// The quotas in force.
+    /// Sets the quotas in force.
     pub fn configure(&mut self, now: Tick, quotas: &HashMap<Name, Quota>) {
         self.shares.retain(|name, share| quotas.get(name) == Some(&share.quota));
         for (name, quota) in quotas {
             let depth = self.depth(quota);
-            let bucket = Bucket::new(now, depth, self.rate(quota) * CUT_SHARE, depth);
+            let bucket = Bucket::new(now, depth, self.rate(quota) * CUT_OFF_SHARE, depth);
             let mut share = Share::new(now, *quota, bucket);
-            share.draw(now, self.seed, name);
+            share.draw_threshold(now, self.seed, name);
             self.shares.entry(name.clone()).or_insert(share);
         }
     }
 
-    /// So many hosts are known, this one included.
+    /// Sets the number of known hosts, including this one.
     pub fn set_hosts(&mut self, now: Tick, hosts: usize) {
         self.contact.set_hosts(now, hosts);
     }
 
-    /// The host that grants, if one is known.
+    /// Sets the host that grants, if one is known.
     pub fn set_grantor(&mut self, grantor: Option<Name>) {
         self.contact.set_grantor(grantor);
     }
 
-    /// Whom to ask for `organisation`.
+    /// Returns who decides on requests of `organisation`.
     pub fn authority(&self, now: Tick, organisation: &Name) -> Authority {
         match self.contact.available_grantor(now) {
             _ if !self.shares.contains_key(organisation) => Authority::Unlimited,
@@ -110,12 +110,12 @@
         }
     }
 
-    /// What a request of `organisation` counts as.
+    /// Returns the cost of a request of `organisation`, or `None` if it has no quota.
     pub fn cost(&self, organisation: &Name, tokens: Option<u32>) -> Option<u32> {
         self.shares.get(organisation).map(|share| share.quota.cost(tokens))
     }
 
-    /// The grantor answered.
+    /// Handles the grantor's answer.
     pub fn handle_answer(
         &mut self,
         now: Tick,
@@ -126,14 +126,14 @@
         match answer {
             QuotaAnswer::Granted { is_below_quota } => {
                 if let Some(share) = self.shares.get_mut(organisation) {
-                    share.calm_at = is_below_quota.then_some(now);
+                    share.below_quota_at = is_below_quota.then_some(now);
                     share.spent = 0.0;
                 }
                 Decision::Granted
             }
             QuotaAnswer::Refused { retry_ms } => {
                 if let Some(share) = self.shares.get_mut(organisation) {
-                    share.calm_at = None;
+                    share.below_quota_at = None;
                 }
                 Decision::Refused { retry_ms }
             }
@@ -144,7 +144,7 @@
         }
     }
 
-    /// The grantor `host` did not answer.
+    /// Decides after the grantor `host` did not answer.
     pub fn handle_no_answer(
         &mut self,
         now: Tick,
@@ -156,10 +156,11 @@
         self.decide_locally(now, organisation, cost)
     }
 
-    /// Decides by this host's own share.
+    /// Decides by this host's share.
     ///
-    /// A share is often smaller than one request: a part of the next one, drawn anew each time, has to be there. Then
-    /// some hosts of many let one go at once, and on average as much is spent as comes in.
+    /// A share is often smaller than one request. A random part of the cost, drawn for each
+    /// request, must be available; some of many hosts then grant one at once, and the average
+    /// spending equals the rate.
     pub fn decide_locally(&mut self, now: Tick, organisation: &Name, cost: u32) -> Decision {
         let Some(share) = self.shares.get(organisation) else {
             return Decision::Granted;
@@ -169,58 +170,68 @@
         let Some(share) = self.shares.get_mut(organisation) else {
             return Decision::Granted;
         };
-        let saved = share.saved(now, rate * CALM_SHARE);
-        let cut_rate = if saved.is_some() { 0.0 } else { rate * CUT_SHARE };
-        share.bucket.resize(now, cut_rate, depth);
+        let saved = share.saved(now, rate * BELOW_QUOTA_SHARE);
+        let cut_off_rate = if saved.is_some() { 0.0 } else { rate * CUT_OFF_SHARE };
+        share.bucket.resize(now, cut_off_rate, depth);
         let saved = saved.unwrap_or(0.0);
         let cost = f64::from(cost);
-        // A part that is more than the host may ever have would bar it for good.
-        if now.since(share.drawn) as f64 >= depth / (rate * CUT_SHARE) * MILLIS_PER_SECOND {
-            share.draw(now, seed, organisation);
+        // A threshold above the depth of the bucket would block the organisation for good.
+        if now.since(share.drawn_at) as f64 >= depth / (rate * CUT_OFF_SHARE) * MILLIS_PER_SECOND {
+            share.draw_threshold(now, seed, organisation);
         }
         if saved + share.bucket.level(now) <= cost * share.threshold {
             return Decision::Unknown;
         }
-        share.draw(now, seed, organisation);
+        share.draw_threshold(now, seed, organisation);
         share.spent += cost.min(saved);
         share.bucket.take(cost - cost.min(saved));
         Decision::Granted
     }
 
-    /// Units a second of this host's part of the quota.
+    /// Returns this host's share of the quota, in units per second.
     fn rate(&self, quota: &Quota) -> f64 {
         quota.rate / self.contact.max_hosts() as f64
     }
 
-    /// Units that this host may spend at once: its part of what is allowed beyond the quota.
+    /// Returns the units that this host may spend at once: its share of the allowed excess.
     fn depth(&self, quota: &Quota) -> f64 {
-        let window = self.bounds.window_ms as f64 / MILLIS_PER_SECOND;
-        let beyond = (quota.rate * window + quota.burst) * self.bounds.excess + self.bounds.slack;
-        beyond * EXCESS_SHARE / self.contact.max_hosts() as f64
+        let window_s = self.bounds.window_ms as f64 / MILLIS_PER_SECOND;
+        let excess = (quota.rate * window_s + quota.burst) * self.bounds.excess + self.bounds.slack;
+        excess * EXCESS_SHARE / self.contact.max_hosts() as f64
     }
 }
 
 impl Share {
     fn new(now: Tick, quota: Quota, bucket: Bucket) -> Self {
-        Self { quota, bucket, calm_at: None, spent: 0.0, threshold: 0.0, drawn: now, draws: 0 }
+        Self {
+            quota,
+            bucket,
+            below_quota_at: None,
+            spent: 0.0,
+            threshold: 0.0,
+            drawn_at: now,
+            draws: 0,
+        }
     }
 
-    fn draw(&mut self, now: Tick, seed: u64, organisation: &Name) {
+    fn draw_threshold(&mut self, now: Tick, seed: u64, organisation: &Name) {
         self.draws += 1;
-        self.drawn = now;
-        self.threshold = draw(seed, organisation, self.draws);
+        self.drawn_at = now;
+        self.threshold = pseudo_random(seed, organisation, self.draws);
     }
 
-    /// What the host has saved of `rate` units a second since the grantor's last answer, if the organisation is calm.
+    /// Returns what accumulated at `rate` units per second since the grantor's last answer, if that
+    /// reported the organisation below its quota.
     fn saved(&self, now: Tick, rate: f64) -> Option<f64> {
-        let since_ms = self.calm_at.map(|at| now.since(at)).filter(|ms| *ms <= CALM_MS)?;
-        let saved = rate * since_ms.min(SAVED_MS) as f64 / MILLIS_PER_SECOND;
+        let since_ms =
+            self.below_quota_at.map(|at| now.since(at)).filter(|ms| *ms <= BELOW_QUOTA_MS)?;
+        let saved = rate * since_ms.min(MAX_SAVED_MS) as f64 / MILLIS_PER_SECOND;
         Some((saved - self.spent).max(0.0))
     }
 }
 
-/// A number from 0 to 1 that is as good as random.
-fn draw(seed: u64, organisation: &Name, number: u64) -> f64 {
+/// Returns a pseudo-random number from 0 to 1.
+fn pseudo_random(seed: u64, organisation: &Name, number: u64) -> f64 {
     let mut bytes = organisation.as_bytes().to_vec();
     bytes.extend_from_slice(&seed.to_le_bytes());
     bytes.extend_from_slice(&number.to_le_bytes());
--- a/crates/quota/src/contact.rs
+++ b/crates/quota/src/contact.rs
@@ -1,27 +1,27 @@
-//! Whom a host can ask: the grantor while it answers, and how many hosts share what it grants without one.
+//! Reachability of the grantor, and the number of hosts that share a limit without it.
 
 use vanetally_types::{Name, Tick};
 
-/// A grantor that did not answer is asked again after this long, in milliseconds: its successor is known within
-/// two or three seconds, and each request that asks in vain waits for the answer.
-const SILENT_MS: u64 = 200;
-/// Shares are never larger than if there were so many hosts: one that has just started knows of no other, and the
-/// smallest deployments have eight.
-const LEAST_HOSTS: usize = 8;
-/// Hosts that are known no more are counted for this long, in milliseconds: when a store forgets the keys of all hosts
-/// they live on, and would each take the share of all.
-const HOSTS_MS: u64 = 60_000;
+/// How long a grantor that did not answer is not asked. Its successor is known within two or three
+/// seconds, and each unanswered question delays a request.
+const SILENCE_MS: u64 = 200;
+/// Minimum number of hosts for the size of a share. A host that has just started knows no others,
+/// and the smallest deployments have eight hosts.
+const MIN_HOSTS: usize = 8;
+/// How long hosts count that are no longer known. If the store loses the keys of all hosts, they
+/// continue to run, and each would otherwise take the share of all.
+const HOST_COUNT_MS: u64 = 60_000;
 
-/// The grantor, as one host knows it.
+/// The grantor as known to one host.
 #[derive(Clone, Debug, Default)]
 pub struct GrantorContact {
     grantor: Option<Name>,
     silent_until: Tick,
-    hosts: Hosts,
+    hosts: HostCount,
 }
 
 impl GrantorContact {
-    /// The host that grants, if one is known.
+    /// Sets the host that grants, if one is known.
     pub fn set_grantor(&mut self, grantor: Option<Name>) {
         if self.grantor != grantor {
             self.silent_until = Tick(0);
@@ -29,53 +29,53 @@
         self.grantor = grantor;
     }
 
-    /// The host to ask now, if one can be asked.
+    /// Returns the grantor if it can be asked now.
     pub fn available_grantor(&self, now: Tick) -> Option<&Name> {
         self.grantor.as_ref().filter(|_| now >= self.silent_until)
     }
 
-    /// `host` did not answer.
+    /// Records that `host` did not answer.
     pub fn mark_unanswered(&mut self, now: Tick, host: &Name) {
         if self.grantor.as_ref() == Some(host) {
             self.mark_not_granting(now);
         }
     }
 
-    /// The grantor does not grant now.
+    /// Records that the grantor does not grant now.
     pub fn mark_not_granting(&mut self, now: Tick) {
-        self.silent_until = now + SILENT_MS;
+        self.silent_until = now + SILENCE_MS;
     }
 
-    /// So many hosts are known, this one included.
+    /// Sets the number of known hosts, including this one.
     pub fn set_hosts(&mut self, now: Tick, hosts: usize) {
-        self.hosts.note(now, hosts);
+        self.hosts.record(now, hosts);
     }
 
-    /// How many hosts may spend shares.
+    /// Returns the number of hosts that may spend shares.
     pub fn max_hosts(&self) -> usize {
-        self.hosts.most
+        self.hosts.max
     }
 }
 
-/// How many hosts may spend shares.
+/// Number of hosts that may spend shares.
 #[derive(Clone, Copy, Debug)]
-struct Hosts {
-    most: usize,
-    /// When as many were last known.
-    at: Tick,
+struct HostCount {
+    max: usize,
+    /// When this many hosts were last known.
+    seen_at: Tick,
 }
 
-impl Default for Hosts {
+impl Default for HostCount {
     fn default() -> Self {
-        Self { most: LEAST_HOSTS, at: Tick(0) }
+        Self { max: MIN_HOSTS, seen_at: Tick(0) }
     }
 }
 
-impl Hosts {
-    fn note(&mut self, now: Tick, hosts: usize) {
-        let hosts = hosts.max(LEAST_HOSTS);
-        if hosts >= self.most || now.since(self.at) >= HOSTS_MS {
-            *self = Self { most: hosts, at: now };
+impl HostCount {
+    fn record(&mut self, now: Tick, hosts: usize) {
+        let hosts = hosts.max(MIN_HOSTS);
+        if hosts >= self.max || now.since(self.seen_at) >= HOST_COUNT_MS {
+            *self = Self { max: hosts, seen_at: now };
         }
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,9 +1,9 @@
-//! How much organisations may ask for over all hosts.
+//! Quotas of organisations over all hosts.
 //!
-//! One host, the holder of the orders' lease, keeps a token bucket for each organisation; the others ask it
-//! for every request that counts. What it can't be asked for is taken from a small share that each host keeps
-//! for itself: all shares together are what the operators allow beyond the quota. State machines only: no
-//! clock, no socket.
+//! One host, the holder of the order lease, keeps a token bucket for each organisation; the others
+//! ask it for every request with a quota. If it can't be reached, each host spends from a small
+//! share of its own; all shares together are what the operators allow in excess of the quota. The
+//! crate contains state machines only, without clock or socket.
 #![deny(missing_docs, unsafe_code)]
 
 mod bucket;
@@ -15,14 +15,14 @@
 pub use contact::GrantorContact;
 pub use grantor::{Grantor, QuotaAnswer};
 
-/// What the operators allow beyond a quota.
+/// Allowed excess over a quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// The sliding window in which requests are counted, in milliseconds.
+    /// Length of the sliding window in which requests are counted.
     pub window_ms: u64,
-    /// Share of the quota of one window that may be exceeded.
+    /// Allowed excess as a share of the quota of one window.
     pub excess: f64,
-    /// Units beyond that.
+    /// Allowed excess in addition, in units.
     pub slack: f64,
 }
 
