--- a/crates/dispatch/tests/choice.rs
+++ b/crates/dispatch/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream takes a request, and which never does.
+//! Choice of an upstream for a request.
 
 mod support;
 
@@ -19,8 +19,8 @@
 
 fn host() -> Host {
     let mut host = Host::new(routes());
-    host.see("i-1", upstream("llm", 1, &["m1"]));
-    host.see("i-2", upstream("llm", 2, &["m1", "m2"]));
+    host.announce("i-1", upstream("llm", 1, &["m1"]));
+    host.announce("i-2", upstream("llm", 2, &["m1", "m2"]));
     host
 }
 
@@ -41,12 +41,12 @@
 }
 
 #[test]
-fn only_where_it_is() {
+fn only_holders_get_requests() {
     let mut host = host();
     for number in 0..3 {
         let (id, actions) = host.arrive(request(&format!("a{number}"), "offer", Some("m2")));
         assert_eq!(&*sent_to(&actions, id).id, "i-2");
-        host.tell(Event::FirstPiece { id });
+        host.handle(Event::FirstPiece { id });
     }
 }
 
@@ -74,68 +74,68 @@
         limit: None,
     };
     let digest = Digest { loads: vec![row], demand: Vec::new() };
-    host.tell(Event::PeerDigest { host: "front-2".into(), digest });
+    host.handle(Event::PeerDigest { host: "front-2".into(), digest });
     let (id, actions) = host.arrive(request("a", "offer", Some("m1")));
     assert_eq!(&*sent_to(&actions, id).id, "i-2");
 }
 
-/// An upstream that leaves gets nothing from the moment that is known.
+/// A leaving upstream gets no requests as soon as its state is known.
 #[rstest]
 #[case(|state| UpstreamState { draining: true, ..state })]
 #[case(|state| UpstreamState { remaining_ms: Some(100), ..state })]
-fn leaving_gets_nothing(#[case] change: fn(UpstreamState) -> UpstreamState) {
+fn leaving_upstream_gets_nothing(#[case] change: fn(UpstreamState) -> UpstreamState) {
     let mut host = host();
-    host.see("i-1", change(upstream("llm", 1, &["m1"])));
+    host.announce("i-1", change(upstream("llm", 1, &["m1"])));
     for number in 0..3 {
         let (id, actions) = host.arrive(request(&format!("a{number}"), "offer", Some("m1")));
         assert_eq!(&*sent_to(&actions, id).id, "i-2");
-        host.tell(Event::FirstPiece { id });
+        host.handle(Event::FirstPiece { id });
     }
 }
 
 #[test]
-fn gone_gets_nothing() {
+fn gone_upstream_gets_nothing() {
     let mut host = host();
-    host.tell(Event::UpstreamGone { id: "i-2".into() });
+    host.handle(Event::UpstreamGone { id: "i-2".into() });
     let (id, actions) = host.arrive(request("a", "offer", Some("m2")));
     assert!(sent(&actions, id).is_empty());
     assert!(actions.iter().any(|action| matches!(action, Action::RequestModel { .. })));
 }
 
-/// What the holder of orders tells counts before the announcement catches up.
+/// A report of the order holder counts before the announcement is updated.
 #[test]
-fn told_presence_counts() {
+fn reported_presence_overrides_announcement() {
     let mut host = host();
     let subject = ModelRef { model: "m2".into(), adapter: None };
-    let told = |runner: &str, presence| Event::PresenceReported {
+    let reported = |runner: &str, presence| Event::PresenceReported {
         runner: runner.into(),
         subject: subject.clone(),
         presence,
     };
-    host.tell(told("i-2", Presence::Absent));
+    host.handle(reported("i-2", Presence::Absent));
     let (id, actions) = host.arrive(request("a", "offer", Some("m2")));
     assert!(sent(&actions, id).is_empty());
-    let actions = host.tell(told("i-1", Presence::Present));
+    let actions = host.handle(reported("i-1", Presence::Present));
     assert_eq!(&*sent_to(&actions, id).id, "i-1");
 }
 
 #[test]
-fn missing_is_wanted_again() {
+fn missing_model_is_requested_again() {
     let mut host = host();
     let (_, first) = host.arrive(request("a", "offer", Some("m3")));
-    let wants = |actions: &[Action]| {
+    let requests_model = |actions: &[Action]| {
         actions.iter().filter(|action| matches!(action, Action::RequestModel { .. })).count()
     };
-    assert_eq!(wants(&first), 1);
-    let later = wants(&host.pass(1_000));
+    assert_eq!(requests_model(&first), 1);
+    let later = requests_model(&host.advance(1_000));
     assert!((2..=5).contains(&later), "{later} times in a second");
 }
 
-/// A new replica does not get all that waits at once.
+/// A new replica does not get all waiting requests at once.
 #[test]
-fn no_herd() {
+fn new_replica_gets_few_requests() {
     let mut host = Host::new(routes());
-    host.tell(Event::HostCount(8));
+    host.handle(Event::HostCount(8));
     let waiting: Vec<RequestId> = (0..20)
         .map(|number| {
             let mut head = request(&format!("a{number}"), "offer", Some("m1"));
@@ -143,14 +143,14 @@
             host.arrive(head).0
         })
         .collect();
-    let actions = host.see("i-1", upstream("llm", 1, &["m1"]));
-    let sendings: usize = waiting.iter().map(|id| sent(&actions, *id).len()).sum();
-    assert!((1..=2).contains(&sendings), "{sendings}");
+    let actions = host.announce("i-1", upstream("llm", 1, &["m1"]));
+    let attempts: usize = waiting.iter().map(|id| sent(&actions, *id).len()).sum();
+    assert!((1..=2).contains(&attempts), "{attempts}");
 }
 
-/// Requests that can still be in time go before those that can't, then by rank.
+/// Requests that can still be in time come before late ones, then by priority.
 #[test]
-fn waiting_in_order() {
+fn waiting_requests_are_ordered() {
     let mut urgent = route("urgent", RequestKind::Stream, "llm");
     urgent.priority = 0;
     let mut routes = routes();
@@ -162,17 +162,17 @@
         head
     };
     let (late, _) = host.arrive(big("late", "urgent"));
-    host.pass(1_500);
+    host.advance(1_500);
     let (plain, _) = host.arrive(big("plain", "offer"));
     let (first, _) = host.arrive(big("first", "urgent"));
-    let actions = host.see("i-1", upstream("llm", 1, &["m1"]));
+    let actions = host.announce("i-1", upstream("llm", 1, &["m1"]));
     assert_eq!(sent(&actions, first).len(), 1);
     assert!(sent(&actions, plain).is_empty() && sent(&actions, late).is_empty());
 }
 
-/// One that fails is left alone, unless it is the last.
+/// A failing upstream gets no requests unless it is the last one.
 #[test]
-fn failing_is_ejected() {
+fn failing_upstream_is_ejected() {
     let mut host = host();
     for number in 0..6 {
         let (id, actions) = host.arrive(request(&format!("a{number}"), "offer", Some("m1")));
@@ -180,42 +180,43 @@
             "i-1" => AttemptEnd::Broken,
             _ => AttemptEnd::Served,
         };
-        host.end(id, end);
+        host.end_attempt(id, end);
     }
     for number in 0..4 {
         let (id, actions) = host.arrive(request(&format!("b{number}"), "offer", Some("m1")));
         assert_eq!(&*sent_to(&actions, id).id, "i-2");
-        host.tell(Event::FirstPiece { id });
+        host.handle(Event::FirstPiece { id });
     }
-    host.tell(Event::UpstreamGone { id: "i-2".into() });
+    host.handle(Event::UpstreamGone { id: "i-2".into() });
     let (id, actions) = host.arrive(request("c", "offer", Some("m1")));
-    assert_eq!(&*sent_to(&actions, id).id, "i-1", "never the last");
+    assert_eq!(&*sent_to(&actions, id).id, "i-1", "the last one is still used");
 }
 
-/// Found on a played day: weights that go stay in the announcement until their last run has ended, and
-/// requests went there again after four seconds, to be turned away.
+/// Weights that are being unloaded stay in the announcement until their last request has ended.
+/// Guards against using the announcement again too early, after which requests were sent there and
+/// rejected.
 #[test]
-fn going_stays_left() {
+fn unloading_model_gets_nothing() {
     let mut host = host();
     let subject = ModelRef { model: "m1".into(), adapter: None };
-    let told = |presence| Event::PresenceReported {
+    let reported = |presence| Event::PresenceReported {
         runner: "i-1".into(),
         subject: subject.clone(),
         presence,
     };
-    host.tell(told(Presence::Absent));
+    host.handle(reported(Presence::Absent));
     for number in 0..10 {
-        host.pass(1_000);
-        host.see("i-1", upstream("llm", 1, &["m1"]));
+        host.advance(1_000);
+        host.announce("i-1", upstream("llm", 1, &["m1"]));
         let (id, actions) = host.arrive(request(&format!("a{number}"), "offer", Some("m1")));
         assert_eq!(&*sent_to(&actions, id).id, "i-2");
-        host.end(id, AttemptEnd::Served);
+        host.end_attempt(id, AttemptEnd::Served);
     }
-    host.see("i-1", upstream("llm", 1, &[]));
-    host.see("i-1", upstream("llm", 1, &["m1"]));
-    host.tell(Event::UpstreamGone { id: "i-2".into() });
+    host.announce("i-1", upstream("llm", 1, &[]));
+    host.announce("i-1", upstream("llm", 1, &["m1"]));
+    host.handle(Event::UpstreamGone { id: "i-2".into() });
     let (id, actions) = host.arrive(request("b", "offer", Some("m1")));
-    assert_eq!(&*sent_to(&actions, id).id, "i-1", "brought anew");
+    assert_eq!(&*sent_to(&actions, id).id, "i-1", "loaded again");
 }
 
 fn adapter_request(id: &str) -> vanetally_ports::CallerRequest {
@@ -223,20 +224,20 @@
     vanetally_ports::CallerRequest { model: Some(subject), ..request(id, "offer", None) }
 }
 
-/// An adapter that is held where there is no room is asked for once more; a model's replicas follow its
-/// demand.
+/// Another copy of an adapter is requested if its holders have no capacity; the replicas of a model
+/// follow its demand.
 #[rstest]
 #[case(adapter_request("a"), true)]
 #[case(request("a", "offer", Some("m1")), false)]
-fn crowded_adapter_wanted(
+fn saturated_adapter_is_requested(
     #[case] request: vanetally_ports::CallerRequest,
-    #[case] is_wanted: bool,
+    #[case] is_requested: bool,
 ) {
     let mut host = host();
     let mut state = upstream("llm", 1, &["m1"]);
     state.models[0].adapters.push("a1".into());
-    host.see("i-1", state);
-    host.tell(Event::UpstreamGone { id: "i-2".into() });
+    host.announce("i-1", state);
+    host.handle(Event::UpstreamGone { id: "i-2".into() });
     let row = LoadRow {
         upstream: "i-1".into(),
         running: 4,
@@ -247,41 +248,42 @@
         limit: None,
     };
     let digest = Digest { loads: vec![row], demand: Vec::new() };
-    host.tell(Event::PeerDigest { host: "front-2".into(), digest });
+    host.handle(Event::PeerDigest { host: "front-2".into(), digest });
     let (_, actions) = host.arrive(request);
-    let wants = |action: &Action| matches!(action, Action::RequestModel { is_saturated: true, .. });
-    assert_eq!(actions.iter().any(wants), is_wanted, "{actions:?}");
+    let requests_model =
+        |action: &Action| matches!(action, Action::RequestModel { is_saturated: true, .. });
+    assert_eq!(actions.iter().any(requests_model), is_requested, "{actions:?}");
 }
 
-/// Found on a played day: 22 runners crashed and came back at their addresses as others; for as long as the
-/// old announcements lasted, 296 requests went to them and were turned away.
+/// A crashed runner restarts at the same address as another incarnation. Guards against sending to
+/// the old incarnation until its announcement expires.
 #[rstest]
 #[case::after_a_failure(true)]
 #[case::without_one(false)]
-fn successor_takes_over(#[case] has_failed: bool) {
+fn successor_ends_predecessor(#[case] has_failed: bool) {
     let mut host = Host::new(routes());
-    host.see("i-1", upstream("llm", 1, &["m1"]));
+    host.announce("i-1", upstream("llm", 1, &["m1"]));
     if has_failed {
         let (id, _) = host.arrive(request("a", "offer", Some("m1")));
-        host.end(id, AttemptEnd::Broken);
-        host.pass(2_000);
+        host.end_attempt(id, AttemptEnd::Broken);
+        host.advance(2_000);
     }
-    host.see("i-9", upstream("llm", 1, &[]));
+    host.announce("i-9", upstream("llm", 1, &[]));
     let (id, actions) = host.arrive(request("b", "offer", Some("m1")));
     assert_eq!(sent(&actions, id).is_empty(), has_failed);
-    // It was no successor, but the late announcement of one that went before.
-    host.tell(Event::UpstreamGone { id: "i-9".into() });
+    // It was not a successor but a delayed announcement of a previous incarnation.
+    host.handle(Event::UpstreamGone { id: "i-9".into() });
     let (id, actions) = host.arrive(request("c", "offer", Some("m1")));
     assert_eq!(sent(&actions, id).len(), 1);
 }
 
-/// The last places of an engine are for those that can still be in time.
+/// The last slots of an engine are kept for requests that can still be in time.
 #[rstest]
 #[case::in_time(500, 1)]
 #[case::late(1_200, 0)]
-fn late_ones_leave_room(#[case] waited_ms: u64, #[case] sendings: usize) {
+fn late_requests_leave_slots_free(#[case] waited_ms: u64, #[case] attempts: usize) {
     let mut host = Host::new(routes());
-    host.see("i-1", upstream("llm", 1, &["m1"]));
+    host.announce("i-1", upstream("llm", 1, &["m1"]));
     let busy = |running: u32| {
         let row = LoadRow {
             upstream: "i-1".into(),
@@ -295,13 +297,13 @@
         let digest = Digest { loads: vec![row], demand: Vec::new() };
         Event::PeerDigest { host: "front-2".into(), digest }
     };
-    host.tell(busy(4));
+    host.handle(busy(4));
     let (id, actions) = host.arrive(request("a", "offer", Some("m1")));
     assert!(sent(&actions, id).is_empty());
-    host.pass(waited_ms);
-    // One of four places is free: a quarter.
-    let actions = host.tell(busy(3));
-    assert_eq!(sent(&actions, id).len(), sendings, "{actions:?}");
-    let actions = host.tell(busy(2));
-    assert_eq!(sent(&actions, id).len(), 1 - sendings, "{actions:?}");
+    host.advance(waited_ms);
+    // One of four slots is free.
+    let actions = host.handle(busy(3));
+    assert_eq!(sent(&actions, id).len(), attempts, "{actions:?}");
+    let actions = host.handle(busy(2));
+    assert_eq!(sent(&actions, id).len(), 1 - attempts, "{actions:?}");
 }
--- a/crates/dispatch/tests/cooldown.rs
+++ b/crates/dispatch/tests/cooldown.rs
@@ -1,4 +1,4 @@
-//! Rests that upstreams ask a host for.
+//! Cooldowns that upstreams request from a host.
 
 mod support;
 
@@ -11,134 +11,133 @@
 fn host(count: u16) -> Host {
     let mut host = Host::new(vec![route("check", RequestKind::Idempotent, "desk")]);
     for port in 1..=count {
-        host.see(&format!("i-{port}"), upstream("desk", port, &[]));
+        host.announce(&format!("i-{port}"), upstream("desk", port, &[]));
     }
     host
 }
 
-fn ask_rest(host: &mut Host, id: &str, for_ms: u64) {
-    host.tell(Event::CooldownRequested { upstream: id.into(), for_ms });
+fn request_cooldown(host: &mut Host, id: &str, for_ms: u64) {
+    host.handle(Event::CooldownRequested { upstream: id.into(), for_ms });
 }
 
-/// The upstream that a request goes to, if it goes anywhere.
-fn goes_to(host: &mut Host, name: &str) -> (RequestId, Option<String>) {
+/// Returns the upstream to which a request is sent, if it is sent.
+fn chosen_upstream(host: &mut Host, name: &str) -> (RequestId, Option<String>) {
     let (id, actions) = host.arrive(request(name, "check", None));
     let upstream = sent(&actions, id).pop().map(|attempt| attempt.upstream.id.to_string());
     (id, upstream)
 }
 
-/// Another one takes what it would have got.
 #[test]
-fn others_go_on() {
+fn other_upstream_takes_over() {
     let mut host = host(2);
-    ask_rest(&mut host, "i-1", 3_000);
+    request_cooldown(&mut host, "i-1", 3_000);
     for number in 0..5 {
-        let (id, upstream) = goes_to(&mut host, &format!("a{number}"));
+        let (id, upstream) = chosen_upstream(&mut host, &format!("a{number}"));
         assert_eq!(upstream.as_deref(), Some("i-2"));
-        host.end(id, AttemptEnd::Served);
+        host.end_attempt(id, AttemptEnd::Served);
     }
 }
 
-/// The only one rests: refused at once, with the time that is left.
+/// The only upstream is in cooldown: the request is refused at once with the remaining time.
 #[test]
-fn refused_at_once() {
+fn only_upstream_refuses_at_once() {
     let mut host = host(1);
-    ask_rest(&mut host, "i-1", 3_000);
+    request_cooldown(&mut host, "i-1", 3_000);
     host.now = host.now + 1_000;
     let (id, actions) = host.arrive(request("a", "check", None));
-    let refusal = refusal(&actions, id).expect("an answer at once");
+    let refusal = refusal(&actions, id).expect("refused at once");
     assert_eq!((refusal.cause, refusal.verdict), (RefusalCause::Cooldown, Verdict::NotRun));
-    let retry_ms = refusal.retry_after_ms.expect("a time to come back");
+    let retry_ms = refusal.retry_after_ms.expect("a Retry-After");
     assert!((2_000..=2_375).contains(&retry_ms), "{retry_ms}");
 }
 
-/// After the rest one goes first; the others follow its answer.
+/// After the cooldown one request is sent; the others follow after its answer.
 #[test]
-fn one_first() {
+fn one_trial_request() {
     let mut host = host(1);
-    ask_rest(&mut host, "i-1", 3_000);
+    request_cooldown(&mut host, "i-1", 3_000);
     host.now = host.now + 3_400;
-    let (first, upstream) = goes_to(&mut host, "a");
+    let (first, upstream) = chosen_upstream(&mut host, "a");
     assert_eq!(upstream.as_deref(), Some("i-1"));
-    let (second, upstream) = goes_to(&mut host, "b");
-    assert_eq!(upstream, None, "it waits");
-    let actions = host.end(first, AttemptEnd::Served);
+    let (second, upstream) = chosen_upstream(&mut host, "b");
+    assert_eq!(upstream, None, "waits for the trial request");
+    let actions = host.end_attempt(first, AttemptEnd::Served);
     assert_eq!(sent(&actions, second).len(), 1);
-    assert!(goes_to(&mut host, "c").1.is_some());
+    assert!(chosen_upstream(&mut host, "c").1.is_some());
 }
 
-/// One that is turned away again tells how much longer.
+/// The upstream rejects the trial request and requests another cooldown.
 #[test]
-fn rest_again() {
+fn second_cooldown() {
     let mut host = host(1);
-    ask_rest(&mut host, "i-1", 3_000);
+    request_cooldown(&mut host, "i-1", 3_000);
     host.now = host.now + 3_400;
-    let (first, _) = goes_to(&mut host, "a");
-    ask_rest(&mut host, "i-1", 3_000);
-    host.end(first, AttemptEnd::Full);
-    let actions = host.pass(40);
+    let (first, _) = chosen_upstream(&mut host, "a");
+    request_cooldown(&mut host, "i-1", 3_000);
+    host.end_attempt(first, AttemptEnd::Full);
+    let actions = host.advance(40);
     assert_eq!(refusal(&actions, first).map(|r| r.cause), Some(RefusalCause::Cooldown));
     let (id, actions) = host.arrive(request("b", "check", None));
     assert!(refusal(&actions, id).is_some() && sent(&actions, id).is_empty());
 }
 
-/// A first request that is never answered keeps the others back for a second at most.
+/// An unanswered trial request holds back the others for one second at most.
 #[test]
-fn silent_first() {
+fn unanswered_trial_request() {
     let mut host = host(1);
-    ask_rest(&mut host, "i-1", 1_000);
+    request_cooldown(&mut host, "i-1", 1_000);
     host.now = host.now + 1_200;
-    assert!(goes_to(&mut host, "a").1.is_some());
-    host.pass(1_001);
-    assert!(goes_to(&mut host, "b").1.is_some());
+    assert!(chosen_upstream(&mut host, "a").1.is_some());
+    host.advance(1_001);
+    assert!(chosen_upstream(&mut host, "b").1.is_some());
 }
 
-/// A shorter rest does not end a longer one, and no answer does.
+/// Neither a shorter cooldown nor an answer ends a longer cooldown.
 #[test]
-fn longest_holds() {
+fn longest_cooldown_counts() {
     let mut host = host(2);
-    let (id, upstream) = goes_to(&mut host, "a");
-    let upstream = upstream.expect("it goes");
-    ask_rest(&mut host, &upstream, 3_000);
-    ask_rest(&mut host, &upstream, 100);
-    host.end(id, AttemptEnd::Served);
+    let (id, upstream) = chosen_upstream(&mut host, "a");
+    let upstream = upstream.expect("a chosen upstream");
+    request_cooldown(&mut host, &upstream, 3_000);
+    request_cooldown(&mut host, &upstream, 100);
+    host.end_attempt(id, AttemptEnd::Served);
     host.now = host.now + 2_900;
     for number in 0..4 {
-        let (_, other) = goes_to(&mut host, &format!("b{number}"));
+        let (_, other) = chosen_upstream(&mut host, &format!("b{number}"));
         assert!(other.is_some_and(|other| other != upstream));
     }
 }
 
-/// What asks for years is asked again after minutes.
+/// An upstream that requests a cooldown of years gets a request after some minutes.
 #[test]
-fn absurd_rest() {
+fn huge_cooldown_is_capped() {
     let mut host = host(1);
-    ask_rest(&mut host, "i-1", u64::MAX);
+    request_cooldown(&mut host, "i-1", u64::MAX);
     host.now = host.now + 299_000;
-    assert_eq!(goes_to(&mut host, "a").1, None);
+    assert_eq!(chosen_upstream(&mut host, "a").1, None);
     host.now = host.now + 1_001;
-    assert!(goes_to(&mut host, "b").1.is_some());
+    assert!(chosen_upstream(&mut host, "b").1.is_some());
 }
 
-/// A request that was chosen for it before stays away as well.
+/// A request for which the upstream was chosen before the cooldown is not sent.
 #[test]
-fn chosen_before() {
+fn chosen_before_cooldown() {
     let mut host = host(1);
-    let (id, _) = goes_to(&mut host, "a");
+    let (id, _) = chosen_upstream(&mut host, "a");
     assert!(host.dispatch.may_send(host.now, id));
-    ask_rest(&mut host, "i-1", 3_000);
+    request_cooldown(&mut host, "i-1", 3_000);
     assert!(!host.dispatch.may_send(host.now, id));
 }
 
-/// Its announcement lapses and comes back: the same life rests on.
+/// The announcement expires and returns: the cooldown of the same incarnation continues.
 #[test]
-fn announced_again() {
+fn cooldown_survives_reannouncement() {
     let mut host = host(1);
-    ask_rest(&mut host, "i-1", 3_000);
-    host.tell(Event::UpstreamGone { id: "i-1".into() });
+    request_cooldown(&mut host, "i-1", 3_000);
+    host.handle(Event::UpstreamGone { id: "i-1".into() });
     host.now = host.now + 1_000;
-    host.see("i-1", upstream("desk", 1, &[]));
-    assert_eq!(goes_to(&mut host, "a").1, None);
+    host.announce("i-1", upstream("desk", 1, &[]));
+    assert_eq!(chosen_upstream(&mut host, "a").1, None);
     host.now = host.now + 2_400;
-    assert!(goes_to(&mut host, "b").1.is_some());
+    assert!(chosen_upstream(&mut host, "b").1.is_some());
 }
--- a/crates/dispatch/tests/planned_stop.rs
+++ b/crates/dispatch/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: what is taken, what is refused.
+//! A planned stop: which requests are accepted and which are refused.
 
 mod support;
 
@@ -11,48 +11,48 @@
     Host::new(vec![route("offer", RequestKind::Stream, "llm")])
 }
 
-/// Found by a hunt: a request that waited for a model got no answer when the process ended.
+/// Guards against a request that waits for a model and gets no answer before the process ends.
 #[test]
-fn waiting_is_refused() {
+fn waiting_request_is_refused() {
     let mut host = host();
-    host.see("i-1", upstream("llm", 1, &["m2"]));
+    host.announce("i-1", upstream("llm", 1, &["m2"]));
     let (id, actions) = host.arrive(request("a", "offer", Some("m1")));
     assert!(sent(&actions, id).is_empty() && refusal(&actions, id).is_none());
-    host.tell(Event::Stopping);
-    let refused = refusal(&host.pass(2_600), id).expect("refused before the end");
+    host.handle(Event::Stopping);
+    let refused = refusal(&host.advance(2_600), id).expect("refused before the process ends");
     assert_eq!(refused.cause, RefusalCause::Stopping);
     assert_eq!(refused.verdict, Verdict::NotRun);
     assert!(refused.retry_after_ms.is_some());
 }
 
 #[test]
-fn early_is_taken() {
+fn early_request_is_accepted() {
     let mut host = host();
-    host.see("i-1", upstream("llm", 1, &["m1"]));
-    host.tell(Event::Stopping);
-    host.pass(1_000);
+    host.announce("i-1", upstream("llm", 1, &["m1"]));
+    host.handle(Event::Stopping);
+    host.advance(1_000);
     let (id, actions) = host.arrive(request("a", "offer", Some("m1")));
     assert_eq!(sent(&actions, id).len(), 1);
     assert!(!host.dispatch.is_ready(host.now));
 }
 
 #[test]
-fn late_is_refused() {
+fn late_request_is_refused() {
     let mut host = host();
-    host.see("i-1", upstream("llm", 1, &["m1"]));
-    host.tell(Event::Stopping);
-    host.pass(3_000);
+    host.announce("i-1", upstream("llm", 1, &["m1"]));
+    host.handle(Event::Stopping);
+    host.advance(3_000);
     let (id, actions) = host.arrive(request("a", "offer", Some("m1")));
     let refused = refusal(&actions, id).expect("refused at once");
     assert_eq!((refused.cause, refused.verdict), (RefusalCause::Stopping, Verdict::NotRun));
 }
 
 #[test]
-fn running_goes_on() {
+fn running_request_continues() {
     let mut host = host();
-    host.see("i-1", upstream("llm", 1, &["m1"]));
+    host.announce("i-1", upstream("llm", 1, &["m1"]));
     let (id, _) = host.arrive(request("a", "offer", Some("m1")));
-    host.tell(Event::FirstPiece { id });
-    host.tell(Event::Stopping);
-    assert_eq!(refusal(&host.pass(7_000), id), None);
+    host.handle(Event::FirstPiece { id });
+    host.handle(Event::Stopping);
+    assert_eq!(refusal(&host.advance(7_000), id), None);
 }
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which upstreams end are not sent on.
+//! Requests under which upstreams crash are not sent again.
 
 mod support;
 
@@ -15,7 +15,7 @@
 fn host() -> Host {
     let mut host = Host::new(vec![route("offer", RequestKind::Stream, "llm")]);
     for port in 1..=8 {
-        host.see(&format!("i-{port}"), upstream("llm", port, &["m1"]));
+        host.announce(&format!("i-{port}"), upstream("llm", port, &["m1"]));
     }
     host
 }
@@ -23,68 +23,65 @@
 fn arrive(host: &mut Host, number: u64, content: u64) -> (RequestId, Vec<Action>) {
     let id = RequestId(1_000 + number);
     let request = request(&format!("r{number}"), "offer", Some("m1"));
-    (id, host.tell(Event::Arrived { id, request, content_hash: content }))
+    (id, host.handle(Event::Arrived { id, request, content_hash: content }))
 }
 
-/// Played: the same content came back about once a second, under a new id and at another host each time, and each
-/// runner that began it ended within a second. Log lines of one end:
-///
-/// `event=attempt_ended request=04f1.. upstream=i-9046ff59e0 number=1 end=broken answered=true after_ms=4732`
-/// (of 9 to 66 requests that were there, by all hosts; only one content was the same each time).
-///
-/// Replayed with two hosts and one that keeps the evidence: how many upstreams does it end?
+/// The same content returns about once a second, with a new id and at another host each time, and
+/// crashes each runner that begins it. Only this content is common to the crashes, among all
+/// requests that were open at these runners. With two hosts and one that keeps the evidence, it
+/// must not crash more than two upstreams.
 #[test]
-fn same_content_again() {
+fn repeated_content_is_quarantined() {
     let mut hosts = [host(), host()];
     let mut evidence = CrashEvidence::default();
-    let mut ended = 0;
+    let mut crashes = 0;
     for round in 0..25 {
         let now = START + round * 800;
         let host = &mut hosts[round as usize % 2];
         host.now = now;
         let (id, actions) = arrive(host, round, CONTENT);
         let Some(attempt) = sent(&actions, id).pop() else {
-            let refusal = refusal(&actions, id).expect("an answer at once");
+            let refusal = refusal(&actions, id).expect("refused at once");
             assert_eq!(refusal.cause, RefusalCause::Quarantined);
-            assert_eq!(refusal.verdict, Verdict::NotRun, "this one has not run");
+            assert_eq!(refusal.verdict, Verdict::NotRun, "this request has not run");
             continue;
         };
-        ended += 1;
+        crashes += 1;
         let actions =
-            host.tell(Event::AttemptEnded { id, end: AttemptEnd::Broken, answered: true });
-        let suspect = actions.iter().find_map(|action| match action {
+            host.handle(Event::AttemptEnded { id, end: AttemptEnd::Broken, answered: true });
+        let probe = actions.iter().find_map(|action| match action {
             Action::Probe { content_hash: content, upstream, .. } => {
                 Some((*content, upstream.clone()))
             }
             _ => None,
         });
-        let (content, upstream) = suspect.expect("its upstream is looked at");
+        let (content, upstream) = probe.expect("its upstream is probed");
         assert_eq!((content, &upstream), (CONTENT, &attempt.upstream));
-        // Its next life announces itself under another incarnation.
+        // The upstream restarts as another incarnation.
         for host in &mut hosts {
-            host.tell(Event::UpstreamGone { id: upstream.clone() });
+            host.handle(Event::UpstreamGone { id: upstream.clone() });
         }
         let suspicion = CrashReport { content, upstream, sign: CrashSign::Ended, is_common: false };
         if let Some(quarantine) = evidence.add(now, suspicion) {
-            hosts.iter_mut().for_each(|host| drop(host.tell(Event::Quarantined(quarantine))));
+            hosts.iter_mut().for_each(|host| drop(host.handle(Event::Quarantined(quarantine))));
         }
     }
-    assert_eq!(ended, 2, "of 25 requests");
+    assert_eq!(crashes, 2, "of 25 requests");
 }
 
 #[test]
-fn others_go_on() {
+fn other_contents_continue() {
     let mut host = host();
-    host.tell(Event::Quarantined(QUARANTINE));
+    host.handle(Event::Quarantined(QUARANTINE));
     let (id, actions) = arrive(&mut host, 1, CONTENT + 1);
     assert_eq!(sent(&actions, id).len(), 1);
 }
 
 #[test]
-fn waiting_request() {
+fn waiting_request_is_refused() {
     let mut host = Host::new(vec![route("offer", RequestKind::Stream, "llm")]);
     let (id, _) = arrive(&mut host, 1, CONTENT);
-    let actions = host.tell(Event::Quarantined(QUARANTINE));
+    let actions = host.handle(Event::Quarantined(QUARANTINE));
     assert_eq!(refusal(&actions, id).map(|r| r.cause), Some(RefusalCause::Quarantined));
 }
 
@@ -93,83 +90,86 @@
     let mut host = host();
     let (id, _) = arrive(&mut host, 1, CONTENT);
     assert!(host.dispatch.may_send(host.now, id));
-    host.tell(Event::Quarantined(QUARANTINE));
+    host.handle(Event::Quarantined(QUARANTINE));
     assert!(!host.dispatch.may_send(host.now, id));
 }
 
 #[test]
-fn after_its_time() {
+fn quarantine_expires() {
     let mut host = host();
-    host.tell(Event::Quarantined(QUARANTINE));
+    host.handle(Event::Quarantined(QUARANTINE));
     host.now = Tick(host.now.0 + QUARANTINE.for_ms + 1);
     let (id, actions) = arrive(&mut host, 1, CONTENT);
-    assert_eq!(sent(&actions, id).len(), 1, "it is tried again");
+    assert_eq!(sent(&actions, id).len(), 1, "sent again");
 }
 
-/// A content that is answered again and again is a bystander when upstreams crash under it.
+/// A content that is answered again and again is not the cause when upstreams crash under it.
 #[test]
-fn popular_content() {
+fn answered_content_is_not_blamed() {
     let mut host = host();
     let (id, _) = arrive(&mut host, 1, CONTENT);
-    host.tell(Event::AttemptEnded { id, end: AttemptEnd::Served, answered: true });
+    host.handle(Event::AttemptEnded { id, end: AttemptEnd::Served, answered: true });
     let (id, _) = arrive(&mut host, 2, CONTENT);
-    let actions = host.tell(Event::AttemptEnded { id, end: AttemptEnd::Broken, answered: true });
-    let looks = |action: &Action| matches!(action, Action::Probe { .. });
-    assert!(!actions.iter().any(looks), "{actions:?}");
-    host.tell(Event::Quarantined(QUARANTINE));
+    let actions = host.handle(Event::AttemptEnded { id, end: AttemptEnd::Broken, answered: true });
+    let is_probe = |action: &Action| matches!(action, Action::Probe { .. });
+    assert!(!actions.iter().any(is_probe), "{actions:?}");
+    host.handle(Event::Quarantined(QUARANTINE));
     let (id, actions) = arrive(&mut host, 3, CONTENT);
     assert_eq!(sent(&actions, id).len(), 1);
 }
 
-/// While it is looked whether the upstream of a broken attempt lives, no second request of the content goes: at four
-/// hosts the first one alone would end four runners.
+/// While the upstream of a broken attempt is probed, no second request with the content is sent:
+/// otherwise four hosts would crash four runners with the first content alone.
 #[test]
-fn one_at_a_time() {
+fn one_attempt_during_probe() {
     let mut host = host();
     let (id, _) = arrive(&mut host, 1, CONTENT);
-    let actions = host.tell(Event::AttemptEnded { id, end: AttemptEnd::Broken, answered: true });
+    let actions = host.handle(Event::AttemptEnded { id, end: AttemptEnd::Broken, answered: true });
     let upstream = actions.iter().find_map(|action| match action {
         Action::Probe { upstream, .. } => Some(upstream.clone()),
         _ => None,
     });
-    let upstream = upstream.expect("its upstream is looked at");
+    let upstream = upstream.expect("its upstream is probed");
     let (second, actions) = arrive(&mut host, 2, CONTENT);
     assert!(sent(&actions, second).is_empty() && refusal(&actions, second).is_none());
     let (other, actions) = arrive(&mut host, 3, CONTENT + 1);
-    assert_eq!(sent(&actions, other).len(), 1, "others go on");
-    let looked = Event::Probed { upstream, content_hashes: vec![CONTENT], sign: None };
-    let actions = host.tell(looked);
-    assert_eq!(sent(&actions, second).len(), 1, "it lives: nothing speaks against the content");
+    assert_eq!(sent(&actions, other).len(), 1, "other contents are sent");
+    let probed = Event::Probed { upstream, content_hashes: vec![CONTENT], sign: None };
+    let actions = host.handle(probed);
+    assert_eq!(sent(&actions, second).len(), 1, "the upstream is alive, so the content is sent");
 }
 
-/// An upstream that shows no life gets nothing while others are there.
+/// An upstream that does not respond gets no requests while others are available.
 #[test]
-fn silent_upstream() {
+fn unresponsive_upstream() {
     let mut host = host();
     let upstream: vanetally_types::Incarnation = "i-1".into();
-    let looked = Event::Probed {
+    let probed = Event::Probed {
         upstream: upstream.clone(),
         content_hashes: vec![],
         sign: Some(CrashSign::Silent),
     };
-    host.tell(looked);
+    host.handle(probed);
     for number in 0..7 {
         let (id, actions) = arrive(&mut host, number, 1_000 + number);
         assert!(sent(&actions, id).iter().all(|attempt| attempt.upstream != upstream));
     }
 }
 
-/// Another life of an upstream is announced while an attempt is there, which nobody has answered: the one before has ended
-/// under it, though its connection stays open, as that of a machine without power does.
+/// Another incarnation is announced while an attempt is open that was not answered: the previous
+/// one crashed under it, although its connection stays open, as after a power loss.
 #[test]
-fn next_life_announced() {
+fn next_incarnation_announced() {
     let mut host = host();
     let (id, actions) = arrive(&mut host, 1, CONTENT);
-    let upstream = sent(&actions, id).pop().expect("it goes").upstream;
-    let actions = host.tell(Event::UpstreamEnded { id: upstream.clone() });
+    let upstream = sent(&actions, id).pop().expect("an attempt").upstream;
+    let actions = host.handle(Event::UpstreamEnded { id: upstream.clone() });
     let suspicion =
         CrashReport { content: CONTENT, upstream, sign: CrashSign::Ended, is_common: false };
     assert!(actions.contains(&Action::ReportCrash(suspicion)), "{actions:?}");
-    let actions = host.tell(Event::AttemptEnded { id, end: AttemptEnd::Broken, answered: false });
-    assert!(!actions.iter().any(|action| matches!(action, Action::Probe { .. })), "it is known");
+    let actions = host.handle(Event::AttemptEnded { id, end: AttemptEnd::Broken, answered: false });
+    assert!(
+        !actions.iter().any(|action| matches!(action, Action::Probe { .. })),
+        "no probe after a known crash"
+    );
 }
--- a/crates/dispatch/tests/retries.rs
+++ b/crates/dispatch/tests/retries.rs
@@ -1,4 +1,4 @@
-//! What may be sent again, how often, and what the caller is told.
+//! Which requests are retried, how often, and the final answer.
 
 mod support;
 
@@ -10,43 +10,43 @@
 
 fn host(route: Route) -> Host {
     let mut host = Host::new(vec![route]);
-    host.see("i-1", upstream("desk", 1, &[]));
-    host.see("i-2", upstream("desk", 2, &[]));
+    host.announce("i-1", upstream("desk", 1, &[]));
+    host.announce("i-2", upstream("desk", 2, &[]));
     host
 }
 
-/// What may have run runs again only if it may be repeated.
+/// A request that may have run is sent again only if it may be repeated.
 #[rstest]
 #[case(RequestKind::Idempotent, true)]
 #[case(RequestKind::Once, false)]
 #[case(RequestKind::Stream, false)]
-fn broken(#[case] kind: RequestKind, #[case] is_repeated: bool) {
+fn broken_attempt(#[case] kind: RequestKind, #[case] is_repeated: bool) {
     let mut host = host(route("check", kind, "desk"));
     let (id, actions) = host.arrive(request("a", "check", None));
     let first = sent_to(&actions, id);
-    let actions = host.end(id, AttemptEnd::Broken);
+    let actions = host.end_attempt(id, AttemptEnd::Broken);
     if is_repeated {
-        assert_ne!(sent_to(&actions, id), first, "not where it broke");
+        assert_ne!(sent_to(&actions, id), first, "not the broken upstream");
     } else {
-        let refused = refusal(&actions, id).expect("a final answer at once");
+        let refused = refusal(&actions, id).expect("refused at once");
         assert_eq!(refused.verdict, Verdict::MayHaveRun);
-        assert_eq!(refused.retry_after_ms, None, "nothing is promised");
+        assert_eq!(refused.retry_after_ms, None, "no retry is suggested");
     }
 }
 
-/// What was turned away has not run: the promise holds for every kind.
+/// A rejected request has not run, whatever its kind.
 #[rstest]
 #[case(RequestKind::Idempotent)]
 #[case(RequestKind::Once)]
-fn turned_away(#[case] kind: RequestKind) {
+fn rejected_attempt(#[case] kind: RequestKind) {
     let mut host = host(route("check", kind, "desk"));
     let (id, actions) = host.arrive(request("a", "check", None));
     let first = sent_to(&actions, id);
-    host.end(id, AttemptEnd::Full);
-    assert_ne!(sent_to(&host.pass(100), id), first);
+    host.end_attempt(id, AttemptEnd::Full);
+    assert_ne!(sent_to(&host.advance(100), id), first);
     for _ in 0..100 {
-        let mut actions = host.end(id, AttemptEnd::Full);
-        actions.extend(host.pass(100));
+        let mut actions = host.end_attempt(id, AttemptEnd::Full);
+        actions.extend(host.advance(100));
         if let Some(refused) = refusal(&actions, id) {
             assert_eq!(refused.verdict, Verdict::NotRun);
             assert!(refused.retry_after_ms.is_some());
@@ -57,85 +57,85 @@
 }
 
 #[test]
-fn upstreams_limited() {
+fn upstream_count_is_limited() {
     let mut host =
         host(Route { max_attempts: 1, ..route("check", RequestKind::Idempotent, "desk") });
     let (id, actions) = host.arrive(request("a", "check", None));
     let first = sent_to(&actions, id);
-    let mut actions = host.end(id, AttemptEnd::Broken);
-    actions.extend(host.pass(3_000));
+    let mut actions = host.end_attempt(id, AttemptEnd::Broken);
+    actions.extend(host.advance(3_000));
     assert!(sent(&actions, id).iter().all(|attempt| attempt.upstream == first));
 }
 
 #[test]
-fn unreachable_goes_on() {
+fn unreachable_upstream_is_replaced() {
     let mut host = host(Route { max_attempts: 1, ..route("check", RequestKind::Once, "desk") });
     let (id, actions) = host.arrive(request("a", "check", None));
     let first = sent_to(&actions, id);
-    let actions = host.end(id, AttemptEnd::Unreachable);
-    assert_ne!(sent_to(&actions, id), first, "nothing was sent: another one may take it");
+    let actions = host.end_attempt(id, AttemptEnd::Unreachable);
+    assert_ne!(sent_to(&actions, id), first, "nothing was sent, so another upstream may take it");
 }
 
-/// Found on a played day: a refused connection was tried again in a loop.
+/// Guards against retrying a refused connection in a loop.
 #[test]
 fn unreachable_backs_off() {
     let mut host = Host::new(vec![route("check", RequestKind::Once, "desk")]);
-    host.see("i-1", upstream("desk", 1, &[]));
+    host.announce("i-1", upstream("desk", 1, &[]));
     let (id, _) = host.arrive(request("a", "check", None));
-    let mut sendings = 1;
+    let mut attempts = 1;
     for _ in 0..50 {
-        let mut actions = host.end(id, AttemptEnd::Unreachable);
-        actions.extend(host.pass(20));
-        sendings += sent(&actions, id).len();
+        let mut actions = host.end_attempt(id, AttemptEnd::Unreachable);
+        actions.extend(host.advance(20));
+        attempts += sent(&actions, id).len();
     }
-    assert!(sendings <= 5, "{sendings} in a second");
+    assert!(attempts <= 5, "{attempts} in a second");
 }
 
 #[test]
-fn replaced_is_left() {
+fn replaced_upstream_gets_nothing() {
     let mut host = host(route("check", RequestKind::Idempotent, "desk"));
     let (id, actions) = host.arrive(request("a", "check", None));
     let first = sent_to(&actions, id);
-    host.end(id, AttemptEnd::Replaced);
-    host.pass(100);
+    host.end_attempt(id, AttemptEnd::Replaced);
+    host.advance(100);
     for number in 0..4 {
         let (id, actions) = host.arrive(request(&format!("b{number}"), "check", None));
         assert_ne!(sent_to(&actions, id), first);
     }
 }
 
-/// A deadline is passed on as what is left, and ends in a final answer.
+/// The remaining time is passed on as the deadline, and its end leads to a final answer.
 #[test]
-fn deadline_ends_it() {
+fn deadline_ends_request() {
     let mut host = host(Route { timeout_ms: 2_000, ..route("check", RequestKind::Once, "desk") });
     let (id, actions) = host.arrive(request("a", "check", None));
-    assert_eq!(sent(&actions, id)[0].deadline_ms, 2_000, "the route's, which is the shorter");
-    assert_eq!(refusal(&host.pass(1_990), id), None);
-    let refused = refusal(&host.pass(400), id).expect("answered within half a second");
+    assert_eq!(sent(&actions, id)[0].deadline_ms, 2_000, "the shorter timeout of the route");
+    assert_eq!(refusal(&host.advance(1_990), id), None);
+    let refused = refusal(&host.advance(400), id).expect("refused within half a second");
     assert_eq!((refused.cause, refused.verdict), (RefusalCause::TimedOut, Verdict::MayHaveRun));
 }
 
 #[test]
-fn left_is_not_sent() {
+fn abandoned_request_is_not_sent() {
     let mut host = Host::new(vec![route("check", RequestKind::Idempotent, "desk")]);
     let (id, _) = host.arrive(request("a", "check", None));
-    host.tell(Event::CallerLeft { id });
-    assert!(sent(&host.see("i-1", upstream("desk", 1, &[])), id).is_empty());
+    host.handle(Event::CallerLeft { id });
+    assert!(sent(&host.announce("i-1", upstream("desk", 1, &[])), id).is_empty());
 }
 
 #[test]
-fn load_is_given_back() {
+fn load_is_released() {
     let mut host = Host::new(vec![route("check", RequestKind::Once, "desk")]);
-    host.see("i-1", upstream("desk", 1, &[]));
+    host.announce("i-1", upstream("desk", 1, &[]));
     for number in 0..100 {
         let (id, actions) = host.arrive(request(&format!("a{number}"), "check", None));
         assert_eq!(sent(&actions, id)[0].own_load, 0);
         match number % 3 {
-            0 => drop(host.tell(Event::CallerLeft { id })),
-            1 => drop(host.end(id, AttemptEnd::Served)),
-            _ => drop(host.end(id, AttemptEnd::Failed)),
+            0 => drop(host.handle(Event::CallerLeft { id })),
+            1 => drop(host.end_attempt(id, AttemptEnd::Served)),
+            _ => drop(host.end_attempt(id, AttemptEnd::Failed)),
         }
-        host.pass(3_000);
+        host.advance(3_000);
     }
     assert_eq!(host.dispatch.counts().open, 0);
 }
@@ -143,12 +143,12 @@
 const BOUNDS: RetryBudgetOptions =
     RetryBudgetOptions { ratio: 0.2, window_ms: 10_000, slack: 50.0 };
 
-/// All hosts together stay within the bound, whatever share of the requests each one gets.
+/// All hosts together stay within the budget, however the requests are distributed.
 #[rstest]
 #[case(1)]
 #[case(9)]
 #[case(12)]
-fn budget_shared(#[case] hosts: usize) {
+fn budget_is_shared(#[case] hosts: usize) {
     let mut spent = 0;
     for _ in 0..hosts {
         let mut budget = RetryBudget::new(BOUNDS);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn budget_slides() {
+fn budget_window_slides() {
     let mut budget = RetryBudget::new(BOUNDS);
     budget.set_hosts(10);
     let first = (0..100).filter(|_| budget.try_spend(Tick(0))).count();
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn budget_grows() {
+fn budget_grows_with_requests() {
     let mut budget = RetryBudget::new(BOUNDS);
     budget.set_hosts(10);
     (0..100).for_each(|_| budget.record_request(Tick(0)));
@@ -177,31 +177,32 @@
     assert!((15..=25).contains(&spent), "{spent}");
 }
 
-/// Found on a played day: a request whose only upstream was full waited there until its caller left.
+/// Guards against a request whose only upstream is full and that waits there until its caller
+/// leaves.
 #[test]
-fn exhausted_is_refused() {
+fn exhausted_request_is_refused() {
     let mut host = host(Route { max_attempts: 1, ..route("check", RequestKind::Once, "desk") });
     let (id, actions) = host.arrive(request("a", "check", None));
     let first = sent_to(&actions, id);
-    host.see(&first.id, upstream("desk", 9, &[]));
-    let mut actions = host.end(id, AttemptEnd::Full);
-    host.tell(Event::UpstreamGone { id: first });
-    actions.extend(host.pass(400));
-    let refused = refusal(&actions, id).expect("refused soon, to come back elsewhere");
+    host.announce(&first.id, upstream("desk", 9, &[]));
+    let mut actions = host.end_attempt(id, AttemptEnd::Full);
+    host.handle(Event::UpstreamGone { id: first });
+    actions.extend(host.advance(400));
+    let refused = refusal(&actions, id).expect("refused soon");
     assert_eq!(refused.verdict, Verdict::NotRun);
     assert!(refused.retry_after_ms.is_some_and(|ms| ms <= 500));
 }
 
-/// A request that may go to one upstream only, which turned out to be another one or without the model,
-/// waited 150 ms for nothing.
+/// The only upstream allowed to a request turns out to be another incarnation or not to hold the
+/// model. Guards against waiting 150 ms for nothing.
 #[rstest]
 #[case(AttemptEnd::Replaced)]
 #[case(AttemptEnd::Absent)]
-fn hopeless_is_refused_at_once(#[case] end: AttemptEnd) {
+fn futile_request_is_refused_at_once(#[case] end: AttemptEnd) {
     let mut host = host(Route { max_attempts: 1, ..route("check", RequestKind::Once, "desk") });
     let (id, actions) = host.arrive(request("a", "check", None));
     sent_to(&actions, id);
-    let refused = refusal(&host.end(id, end), id).expect("refused at once");
+    let refused = refusal(&host.end_attempt(id, end), id).expect("refused at once");
     assert_eq!(refused.verdict, Verdict::NotRun);
     assert!(refused.retry_after_ms.is_some_and(|ms| ms <= 100));
 }
--- a/crates/dispatch/tests/roster.rs
+++ b/crates/dispatch/tests/roster.rs
@@ -1,6 +1,8 @@
-//! An engine that started again under its id was taken for the one before it: its report counts fewer orders than
-//! were known of it, so every report was dropped as stale for as long as the holder of orders lived. It was believed to
-//! hold what it had held, and 991 requests came to engines that had nothing any more.
+//! Incarnations of upstreams by their announcements.
+//!
+//! Guards against taking a restarted engine for its previous incarnation: its report counts fewer
+//! orders than were known, so every report would be dropped as stale, and requests would be sent
+//! for models that it no longer holds.
 
 use std::net::SocketAddr;
 use vanetally_dispatch::{Roster, RosterUpdate};
@@ -11,7 +13,7 @@
     "i-1".into()
 }
 
-fn life(born: u64) -> Incarnation {
+fn incarnation(born: u64) -> Incarnation {
     Incarnation::new("i-1", Some(born))
 }
 
@@ -29,101 +31,131 @@
     }
 }
 
-fn told(born: impl Into<Option<u64>>) -> Result<Announcement, AnnouncementError> {
+fn announcement(born: impl Into<Option<u64>>) -> Result<Announcement, AnnouncementError> {
     Ok(Announcement { incarnation: Incarnation::new("i-1", born.into()), state: state() })
 }
 
-fn spoiled() -> Result<Announcement, AnnouncementError> {
+fn unreadable_announcement() -> Result<Announcement, AnnouncementError> {
     Err(AnnouncementError::State("resting".into()))
 }
 
-/// A roster that knows the life that began at 1,000, by revision 10.
+/// A roster with the incarnation that began at 1,000, at revision 10.
 fn roster() -> Roster {
     let mut roster = Roster::default();
-    let news = roster.record(Tick(0), &id(), Revision::without_era(10), told(1_000));
+    let updates = roster.record(Tick(0), &id(), Revision::without_era(10), announcement(1_000));
     assert_eq!(
-        news,
-        [RosterUpdate::Seen { incarnation: life(1_000), state: state(), is_new: true }]
+        updates,
+        [RosterUpdate::Seen { incarnation: incarnation(1_000), state: state(), is_new: true }]
     );
     roster
 }
 
 #[test]
-fn same_life() {
-    let news = roster().record(Tick(1_000), &id(), Revision::without_era(11), told(1_000));
+fn same_incarnation() {
+    let updates =
+        roster().record(Tick(1_000), &id(), Revision::without_era(11), announcement(1_000));
     assert_eq!(
-        news,
-        [RosterUpdate::Seen { incarnation: life(1_000), state: state(), is_new: false }]
+        updates,
+        [RosterUpdate::Seen { incarnation: incarnation(1_000), state: state(), is_new: false }]
     );
 }
 
 #[test]
-fn other_life() {
-    let news = roster().record(Tick(1_000), &id(), Revision::without_era(11), told(9_000));
-    let ended = RosterUpdate::Ended { incarnation: life(1_000), next: life(9_000) };
+fn other_incarnation() {
+    let updates =
+        roster().record(Tick(1_000), &id(), Revision::without_era(11), announcement(9_000));
+    let ended = RosterUpdate::Ended { incarnation: incarnation(1_000), next: incarnation(9_000) };
     assert_eq!(
-        news,
-        [ended, RosterUpdate::Seen { incarnation: life(9_000), state: state(), is_new: true }]
+        updates,
+        [
+            ended,
+            RosterUpdate::Seen { incarnation: incarnation(9_000), state: state(), is_new: true }
+        ]
     );
 }
 
-/// The clock of an upstream may have been set back between two lives: the later one is what was told later.
+/// The upstream's clock may have been set back between two incarnations: the one announced later is
+/// the newer one.
 #[test]
 fn clock_set_back() {
-    let news = roster().record(Tick(1_000), &id(), Revision::without_era(11), told(400));
+    let updates = roster().record(Tick(1_000), &id(), Revision::without_era(11), announcement(400));
     assert!(
-        news.contains(&RosterUpdate::Ended { incarnation: life(1_000), next: life(400) }),
-        "{news:?}"
+        updates.contains(&RosterUpdate::Ended {
+            incarnation: incarnation(1_000),
+            next: incarnation(400)
+        }),
+        "{updates:?}"
     );
 }
 
-/// A heartbeat of the life that has ended, on its way for long, does not bring it back.
+/// A delayed heartbeat of the ended incarnation does not restore it.
 #[test]
 fn late_heartbeat() {
     let mut roster = roster();
-    roster.record(Tick(1_000), &id(), Revision::without_era(11), told(9_000));
-    assert_eq!(roster.record(Tick(1_400), &id(), Revision::without_era(12), told(1_000)), []);
-    let news = roster.record(Tick(2_000), &id(), Revision::without_era(13), told(9_000));
+    roster.record(Tick(1_000), &id(), Revision::without_era(11), announcement(9_000));
     assert_eq!(
-        news,
-        [RosterUpdate::Seen { incarnation: life(9_000), state: state(), is_new: false }]
+        roster.record(Tick(1_400), &id(), Revision::without_era(12), announcement(1_000)),
+        []
+    );
+    let updates = roster.record(Tick(2_000), &id(), Revision::without_era(13), announcement(9_000));
+    assert_eq!(
+        updates,
+        [RosterUpdate::Seen { incarnation: incarnation(9_000), state: state(), is_new: false }]
     );
 }
 
-/// A host that heard of the late heartbeat first takes the living one for ended; its heartbeats go on and win.
+/// A host that reads the delayed heartbeat first takes the live incarnation for ended; later
+/// heartbeats restore it.
 #[test]
-fn mistaken_order() {
+fn late_heartbeat_seen_first() {
     let mut roster = Roster::default();
-    roster.record(Tick(0), &id(), Revision::without_era(10), told(9_000));
-    roster.record(Tick(100), &id(), Revision::without_era(11), told(1_000));
-    assert_eq!(roster.record(Tick(1_200), &id(), Revision::without_era(12), told(9_000)), []);
-    let news = roster.record(Tick(3_200), &id(), Revision::without_era(13), told(9_000));
+    roster.record(Tick(0), &id(), Revision::without_era(10), announcement(9_000));
+    roster.record(Tick(100), &id(), Revision::without_era(11), announcement(1_000));
+    assert_eq!(
+        roster.record(Tick(1_200), &id(), Revision::without_era(12), announcement(9_000)),
+        []
+    );
+    let updates = roster.record(Tick(3_200), &id(), Revision::without_era(13), announcement(9_000));
     assert!(
-        news.contains(&RosterUpdate::Ended { incarnation: life(1_000), next: life(9_000) }),
-        "{news:?}"
+        updates.contains(&RosterUpdate::Ended {
+            incarnation: incarnation(1_000),
+            next: incarnation(9_000)
+        }),
+        "{updates:?}"
     );
 }
 
 #[test]
-fn old_reading() {
+fn old_revision_is_ignored() {
     let mut roster = roster();
-    roster.record(Tick(1_000), &id(), Revision::without_era(20), told(9_000));
-    assert_eq!(roster.record(Tick(5_000), &id(), Revision::without_era(11), told(1_000)), []);
+    roster.record(Tick(1_000), &id(), Revision::without_era(20), announcement(9_000));
+    assert_eq!(
+        roster.record(Tick(5_000), &id(), Revision::without_era(11), announcement(1_000)),
+        []
+    );
 }
 
-/// What can't be read is neither gone nor another life, and is told once.
+/// An unreadable announcement neither ends the incarnation nor begins another one, and is reported
+/// once.
 #[test]
-fn unreadable() {
+fn becomes_unreadable() {
     let mut roster = roster();
-    let news = roster.record(Tick(100), &id(), Revision::without_era(11), spoiled());
+    let updates =
+        roster.record(Tick(100), &id(), Revision::without_era(11), unreadable_announcement());
     let error = AnnouncementError::State("resting".into());
-    assert_eq!(news, [RosterUpdate::Unreadable { incarnation: Some(life(1_000)), error }]);
-    assert_eq!(roster.record(Tick(200), &id(), Revision::without_era(12), spoiled()), []);
+    assert_eq!(
+        updates,
+        [RosterUpdate::Unreadable { incarnation: Some(incarnation(1_000)), error }]
+    );
+    assert_eq!(
+        roster.record(Tick(200), &id(), Revision::without_era(12), unreadable_announcement()),
+        []
+    );
     assert!(roster.contains(&id()));
-    let news = roster.record(Tick(300), &id(), Revision::without_era(13), told(1_000));
+    let updates = roster.record(Tick(300), &id(), Revision::without_era(13), announcement(1_000));
     assert_eq!(
-        news,
-        [RosterUpdate::Seen { incarnation: life(1_000), state: state(), is_new: false }]
+        updates,
+        [RosterUpdate::Seen { incarnation: incarnation(1_000), state: state(), is_new: false }]
     );
 }
 
@@ -131,28 +163,35 @@
 fn unreadable_at_first() {
     let mut roster = Roster::default();
     let error = AnnouncementError::State("resting".into());
-    let news = roster.record(Tick(0), &id(), Revision::without_era(1), spoiled());
-    assert_eq!(news, [RosterUpdate::Unreadable { incarnation: None, error }]);
-    assert_eq!(roster.record(Tick(0), &id(), Revision::without_era(2), spoiled()), []);
+    let updates =
+        roster.record(Tick(0), &id(), Revision::without_era(1), unreadable_announcement());
+    assert_eq!(updates, [RosterUpdate::Unreadable { incarnation: None, error }]);
+    assert_eq!(
+        roster.record(Tick(0), &id(), Revision::without_era(2), unreadable_announcement()),
+        []
+    );
     assert!(!roster.contains(&id()));
-    let news = roster.record(Tick(9), &id(), Revision::without_era(3), told(1_000));
+    let updates = roster.record(Tick(9), &id(), Revision::without_era(3), announcement(1_000));
     assert_eq!(
-        news,
-        [RosterUpdate::Seen { incarnation: life(1_000), state: state(), is_new: true }]
+        updates,
+        [RosterUpdate::Seen { incarnation: incarnation(1_000), state: state(), is_new: true }]
     );
 }
 
-/// An announcement without the start, after one that told it, comes from another writer.
+/// An announcement without a start time after one with it comes from another writer.
 #[test]
-fn start_left_out() {
-    let news = roster().record(Tick(100), &id(), Revision::without_era(11), told(None));
+fn start_time_missing() {
+    let updates = roster().record(Tick(100), &id(), Revision::without_era(11), announcement(None));
     let error = AnnouncementError::StartMissing;
-    assert_eq!(news, [RosterUpdate::Unreadable { incarnation: Some(life(1_000)), error }]);
+    assert_eq!(
+        updates,
+        [RosterUpdate::Unreadable { incarnation: Some(incarnation(1_000)), error }]
+    );
 }
 
 #[test]
-fn gone() {
+fn announcement_gone() {
     let mut roster = roster();
-    assert_eq!(roster.remove(Tick(0), &id()), Some(life(1_000)));
+    assert_eq!(roster.remove(Tick(0), &id()), Some(incarnation(1_000)));
     assert_eq!(roster.remove(Tick(0), &id()), None);
 }
--- a/crates/dispatch/tests/starting.rs
+++ b/crates/dispatch/tests/starting.rs
@@ -1,4 +1,4 @@
-//! What a host says that has just started and knows no configuration.
+//! `Retry-After` of a host that has just started and has no configuration.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use vanetally_dispatch::{Dispatch, Event, RequestId};
 use vanetally_ports::RefusalCause;
 
-/// What a caller is told that comes `age_ms` after the start.
+/// Returns the `Retry-After` of a request that arrives `age_ms` after the start.
 fn retry_ms(age_ms: u64, has_store: bool) -> Option<u64> {
     let mut dispatch = Dispatch::new(START, options());
     if has_store {
@@ -19,25 +19,26 @@
     refused.retry_after_ms
 }
 
-/// All hosts start at once, know a configuration half a second later, and callers want an answer within a
-/// second of their first try: whoever is refused comes back when the host serves, not after a whole second.
+/// All hosts start together and have a configuration half a second later, and callers expect an
+/// answer within a second of their first try. A refused caller must return when the host serves,
+/// not after a whole second.
 #[test]
-fn back_in_time() {
+fn retry_meets_startup() {
     for age_ms in (0..=400).step_by(50) {
         let back_ms = age_ms + retry_ms(age_ms, true).unwrap();
         assert!((550..=650).contains(&back_ms), "{age_ms} ms old: back at {back_ms} ms");
     }
 }
 
-/// The first call to the store takes a while.
+/// The first call to the store takes some time.
 #[test]
-fn store_unknown() {
+fn first_store_call_pending() {
     assert_eq!(retry_ms(20, false), retry_ms(20, true));
 }
 
-/// Hosts start while the store is away: nothing is gained by coming back at once.
+/// Hosts start while the store is unavailable: returning early does not help.
 #[test]
-fn store_away() {
+fn store_unavailable() {
     assert_eq!(retry_ms(200, false), Some(1_000));
     assert_eq!(retry_ms(5_000, false), Some(1_000));
     assert_eq!(retry_ms(5_000, true), Some(1_000));
--- a/crates/dispatch/tests/store_copies.rs
+++ b/crates/dispatch/tests/store_copies.rs
@@ -1,4 +1,4 @@
-//! What a store that came back from a copy tells of upstreams, and what is known of them.
+//! Announcements from a store that was restored from a copy, compared with the known state.
 
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -7,18 +7,18 @@
 use vanetally_types::{Incarnation, Name, Tick};
 
 const NOW: Tick = Tick(1_000_000);
-/// The next heartbeats.
+/// Time of the next heartbeats.
 const LATER: Tick = Tick(1_010_000);
 
 fn id() -> Name {
     "i-1".into()
 }
 
-fn life(born: Option<u64>) -> Incarnation {
+fn incarnation(born: Option<u64>) -> Incarnation {
     Incarnation::new("i-1", born)
 }
 
-fn at(era: u64, number: u64) -> Revision {
+fn revision(era: u64, number: u64) -> Revision {
     Revision::new(Era(era), number)
 }
 
@@ -36,96 +36,110 @@
     }
 }
 
-/// Tells the roster; gives back the lives that it takes for alive, and whether they leave.
-fn tell(
+/// Records an announcement; returns the start times of the incarnations taken for alive, and
+/// whether they are leaving.
+fn record(
     roster: &mut Roster,
     now: Tick,
     revision: Revision,
     born: Option<u64>,
     draining: bool,
 ) -> Vec<(Option<u64>, bool)> {
-    let read = Ok(Announcement { incarnation: life(born), state: state(draining) });
-    let news = roster.record(now, &id(), revision, read);
-    let seen = news.into_iter().filter_map(|news| match news {
+    let read = Ok(Announcement { incarnation: incarnation(born), state: state(draining) });
+    let updates = roster.record(now, &id(), revision, read);
+    let seen = updates.into_iter().filter_map(|update| match update {
         RosterUpdate::Seen { incarnation: life, state, .. } => Some((life.born, state.draining)),
         _ => None,
     });
     seen.collect()
 }
 
-/// The copy has a runner as ready that has said since that it leaves; whatever the copy's revision, nobody sends to it.
+/// The copy lists a runner as ready that has announced since that it leaves; it gets no requests,
+/// whatever the revision in the copy.
 #[rstest]
-fn leaving_kept(#[values(Some(7), None)] born: Option<u64>, #[values(4, 90)] number: u64) {
+fn leaving_state_survives_copy(
+    #[values(Some(7), None)] born: Option<u64>,
+    #[values(4, 90)] number: u64,
+) {
     let mut roster = Roster::default();
-    tell(&mut roster, NOW, at(1, 10), born, false);
-    tell(&mut roster, NOW, at(1, 20), born, true);
-    assert_eq!(tell(&mut roster, NOW, at(2, number), born, false), [(born, true)]);
-    assert_eq!(tell(&mut roster, LATER, at(2, 95), born, false), [(born, true)]);
-    assert_eq!(tell(&mut roster, LATER, at(3, 2), born, false), [(born, true)]);
+    record(&mut roster, NOW, revision(1, 10), born, false);
+    record(&mut roster, NOW, revision(1, 20), born, true);
+    assert_eq!(record(&mut roster, NOW, revision(2, number), born, false), [(born, true)]);
+    assert_eq!(record(&mut roster, LATER, revision(2, 95), born, false), [(born, true)]);
+    assert_eq!(record(&mut roster, LATER, revision(3, 2), born, false), [(born, true)]);
 }
 
-/// In one era its last word holds.
+/// Within one era, the last announcement counts.
 #[test]
-fn leaving_taken_back() {
+fn leaving_state_is_withdrawn() {
     let mut roster = Roster::default();
-    tell(&mut roster, NOW, at(1, 20), None, true);
-    assert_eq!(tell(&mut roster, NOW, at(1, 21), None, false), [(None, false)]);
-    tell(&mut roster, NOW, at(1, 22), None, true);
-    tell(&mut roster, NOW, at(2, 5), None, true);
-    assert_eq!(tell(&mut roster, NOW, at(2, 6), None, false), [(None, false)]);
+    record(&mut roster, NOW, revision(1, 20), None, true);
+    assert_eq!(record(&mut roster, NOW, revision(1, 21), None, false), [(None, false)]);
+    record(&mut roster, NOW, revision(1, 22), None, true);
+    record(&mut roster, NOW, revision(2, 5), None, true);
+    assert_eq!(record(&mut roster, NOW, revision(2, 6), None, false), [(None, false)]);
 }
 
-/// One that left and went is in the copy still, and comes back only with a word of its own.
+/// An upstream that left and ended is still in the copy; only a newer announcement of its own
+/// restores it.
 #[test]
-fn departed_stays_away() {
+fn ended_upstream_stays_ended() {
     let mut roster = Roster::default();
-    tell(&mut roster, NOW, at(1, 10), None, true);
+    record(&mut roster, NOW, revision(1, 10), None, true);
     roster.remove(NOW, &id());
-    assert_eq!(tell(&mut roster, NOW, at(2, 10), None, false), [], "its last word");
-    assert_eq!(tell(&mut roster, NOW, at(2, 4), None, false), [], "an earlier one");
+    assert_eq!(record(&mut roster, NOW, revision(2, 10), None, false), [], "the last announcement");
+    assert_eq!(
+        record(&mut roster, NOW, revision(2, 4), None, false),
+        [],
+        "an earlier announcement"
+    );
     assert!(!roster.contains(&id()));
-    assert_eq!(tell(&mut roster, NOW, at(2, 11), None, false), [(None, true)], "it leaves still");
+    assert_eq!(
+        record(&mut roster, NOW, revision(2, 11), None, false),
+        [(None, true)],
+        "still leaving"
+    );
 }
 
 #[test]
-fn departed_returns_in_its_era() {
+fn ended_upstream_returns_in_same_era() {
     let mut roster = Roster::default();
-    tell(&mut roster, NOW, at(1, 10), None, false);
+    record(&mut roster, NOW, revision(1, 10), None, false);
     roster.remove(NOW, &id());
-    assert_eq!(tell(&mut roster, NOW, at(1, 12), None, false), [(None, false)]);
+    assert_eq!(record(&mut roster, NOW, revision(1, 12), None, false), [(None, false)]);
 }
 
-/// A copy is not older than a minute.
+/// A copy is at most one minute old.
 #[test]
-fn departed_forgotten() {
+fn ended_upstream_is_forgotten() {
     let mut roster = Roster::default();
-    tell(&mut roster, NOW, at(1, 10), None, false);
+    record(&mut roster, NOW, revision(1, 10), None, false);
     roster.remove(NOW, &id());
-    assert_eq!(tell(&mut roster, NOW + 60_000, at(2, 10), None, false), [(None, false)]);
+    assert_eq!(record(&mut roster, NOW + 60_000, revision(2, 10), None, false), [(None, false)]);
 }
 
-/// A runner that started again was taken for its earlier life, which the copy told, and then for one that had ended,
-/// though it went on announcing itself: it got nothing more.
+/// Guards against taking a restarted runner for its previous incarnation, which the copy announces,
+/// and then for an ended one although it continues to announce itself.
 #[rstest]
 #[case::replaced(false)]
 #[case::gone_between(true)]
-fn younger_life_kept(#[case] goes_between: bool) {
+fn newer_incarnation_is_kept(#[case] is_gone_between: bool) {
     let mut roster = Roster::default();
-    tell(&mut roster, NOW, at(1, 30), Some(1), false);
-    if goes_between {
+    record(&mut roster, NOW, revision(1, 30), Some(1), false);
+    if is_gone_between {
         roster.remove(NOW, &id());
     }
-    tell(&mut roster, NOW, at(1, 42), Some(2), false);
-    assert_eq!(tell(&mut roster, NOW, at(2, 35), Some(1), false), [], "the copy's");
-    assert_eq!(tell(&mut roster, NOW, at(3, 66), Some(2), false), [(Some(2), false)]);
+    record(&mut roster, NOW, revision(1, 42), Some(2), false);
+    assert_eq!(record(&mut roster, NOW, revision(2, 35), Some(1), false), [], "from the copy");
+    assert_eq!(record(&mut roster, NOW, revision(3, 66), Some(2), false), [(Some(2), false)]);
 }
 
-/// What comes late of an era before changes nothing.
+/// A late announcement from the previous era changes nothing.
 #[test]
-fn late_news_of_an_era_before() {
+fn late_announcement_of_previous_era() {
     let mut roster = Roster::default();
-    tell(&mut roster, NOW, at(2, 5), Some(1), false);
-    assert_eq!(tell(&mut roster, NOW, at(1, 90), Some(2), false), []);
-    assert_eq!(tell(&mut roster, NOW, at(1, 91), Some(1), true), []);
-    assert_eq!(tell(&mut roster, NOW, at(2, 6), Some(1), false), [(Some(1), false)]);
+    record(&mut roster, NOW, revision(2, 5), Some(1), false);
+    assert_eq!(record(&mut roster, NOW, revision(1, 90), Some(2), false), []);
+    assert_eq!(record(&mut roster, NOW, revision(1, 91), Some(1), true), []);
+    assert_eq!(record(&mut roster, NOW, revision(2, 6), Some(1), false), [(Some(1), false)]);
 }
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small deployment for tests of the request decisions.
+//! A small deployment for tests of the request dispatch.
 #![allow(dead_code)]
 
 use std::{
@@ -15,10 +15,10 @@
 };
 use vanetally_types::{Incarnation, Tick};
 
-/// The first moment of each test.
+/// Start time of each test.
 pub const START: Tick = Tick(1_000_000);
 
-/// Bounds of the tests' deployment.
+/// Settings of the test deployment.
 pub fn options() -> Options {
     Options {
         host: "front-0".into(),
@@ -47,7 +47,7 @@
     }
 }
 
-/// A configuration with a plain service `desk` and a service of engines `llm`.
+/// A configuration with a plain service `desk` and an engine service `llm`.
 pub fn configuration(version: u64, routes: Vec<Route>) -> Rc<Configuration> {
     let model = ModelSpec {
         weights_mb: 60.0,
@@ -76,7 +76,7 @@
     })
 }
 
-/// An upstream that announces itself.
+/// The announced state of an upstream.
 pub fn upstream(service: &str, port: u16, models: &[&str]) -> UpstreamState {
     UpstreamState {
         service: service.into(),
@@ -94,7 +94,7 @@
     }
 }
 
-/// A request to the route `route`.
+/// A request to `route`.
 pub fn request(id: &str, route: &str, model: Option<&str>) -> CallerRequest {
     CallerRequest {
         id: id.into(),
@@ -111,25 +111,23 @@
     }
 }
 
-/// The decisions of one host, with what they said.
+/// The dispatch of one host, with a simulated clock.
 pub struct Host {
     pub dispatch: Dispatch,
     pub now: Tick,
-    next: u64,
+    next_id: u64,
 }
 
 impl Host {
-    /// A host that knows `routes` and nothing else.
+    /// Creates a host that knows only `routes`.
     pub fn new(routes: Vec<Route>) -> Self {
-        let mut host = Self { dispatch: Dispatch::new(START, options()), now: START, next: 0 };
-        host.tell(Event::Configured(configuration(1, routes)));
+        let mut host = Self { dispatch: Dispatch::new(START, options()), now: START, next_id: 0 };
+        host.handle(Event::Configured(configuration(1, routes)));
         host
     }
 
-    /// Tells an event.
-    ///
-    /// Pacers give each prompt its moment at once.
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    /// Handles an event and returns the actions. Reservations at a pacer are granted at once.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
@@ -147,54 +145,54 @@
     }
 
     /// Lets `millis` pass, in steps like those of the event loop.
-    pub fn pass(&mut self, millis: u64) -> Vec<Action> {
+    pub fn advance(&mut self, millis: u64) -> Vec<Action> {
         let end = self.now + millis;
         let mut actions = Vec::new();
         while self.now < end {
             self.now = (self.now + 20).min(end);
-            actions.extend(self.tell(Event::Tick));
+            actions.extend(self.handle(Event::Tick));
         }
         actions
     }
 
-    /// An upstream announces itself.
-    pub fn see(&mut self, id: &str, state: UpstreamState) -> Vec<Action> {
-        self.tell(Event::UpstreamSeen { id: id.into(), state })
+    /// Announces an upstream.
+    pub fn announce(&mut self, id: &str, state: UpstreamState) -> Vec<Action> {
+        self.handle(Event::UpstreamSeen { id: id.into(), state })
     }
 
-    /// A request arrives.
+    /// Lets a request arrive, with a content of its own.
     pub fn arrive(&mut self, request: CallerRequest) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
-        (id, self.tell(Event::Arrived { id, request, content_hash: id.0 }))
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        (id, self.handle(Event::Arrived { id, request, content_hash: id.0 }))
     }
 
-    /// An attempt ends before any of its answer went out.
-    pub fn end(&mut self, id: RequestId, end: AttemptEnd) -> Vec<Action> {
-        self.tell(Event::AttemptEnded { id, end, answered: false })
+    /// Ends an attempt before any part of an answer was passed to the caller.
+    pub fn end_attempt(&mut self, id: RequestId, end: AttemptEnd) -> Vec<Action> {
+        self.handle(Event::AttemptEnded { id, end, answered: false })
     }
 }
 
-/// The sendings of `id` among `actions`.
+/// Returns the attempts of `id` among `actions`.
 pub fn sent(actions: &[Action], id: RequestId) -> Vec<Attempt> {
     let own = actions.iter().filter_map(|action| match action {
-        Action::Send { id: of, attempt } if *of == id => Some(attempt.clone()),
+        Action::Send { id: other, attempt } if *other == id => Some(attempt.clone()),
         _ => None,
     });
     own.collect()
 }
 
-/// Where the one sending of `id` went.
+/// Returns the upstream of the only attempt of `id`.
 pub fn sent_to(actions: &[Action], id: RequestId) -> Incarnation {
     let attempts = sent(actions, id);
     assert_eq!(attempts.len(), 1, "{actions:?}");
     attempts[0].upstream.clone()
 }
 
-/// The refusal of `id` among `actions`.
+/// Returns the refusal of `id` among `actions`.
 pub fn refusal(actions: &[Action], id: RequestId) -> Option<Refusal> {
     actions.iter().find_map(|action| match action {
-        Action::Refuse { id: of, refusal, .. } if *of == id => Some(*refusal),
+        Action::Refuse { id: other, refusal, .. } if *other == id => Some(*refusal),
         _ => None,
     })
 }
--- a/crates/dispatch/tests/withdrawn.rs
+++ b/crates/dispatch/tests/withdrawn.rs
@@ -9,7 +9,7 @@
 
 fn host() -> Host {
     let mut host = Host::new(vec![route("check", RequestKind::Once, "desk")]);
-    host.see("s-1", upstream("desk", 1, &[]));
+    host.announce("s-1", upstream("desk", 1, &[]));
     host
 }
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn stays() {
+fn upstream_stays() {
     let mut host = host();
     let (id, _) = host.arrive(request("a", "check", None));
     assert!(host.dispatch.may_send(host.now, id));
@@ -27,27 +27,31 @@
 #[rstest]
 #[case::draining(Event::UpstreamSeen { id: "s-1".into(), state: leaving() })]
 #[case::gone(Event::UpstreamGone { id: "s-1".into() })]
-fn leaves_meanwhile(#[case] event: Event) {
+fn upstream_leaves_before_first_byte(#[case] event: Event) {
     let mut host = host();
     let (id, actions) = host.arrive(request("a", "check", None));
     assert_eq!(&*sent_to(&actions, id).id, "s-1");
-    host.see("s-2", upstream("desk", 2, &[]));
-    host.tell(event);
+    host.announce("s-2", upstream("desk", 2, &[]));
+    host.handle(event);
     assert!(!host.dispatch.may_send(host.now, id));
-    let actions = host.end(id, AttemptEnd::Withdrawn);
-    assert_eq!(&*sent_to(&actions, id).id, "s-2", "at once, though it may run only once");
+    let actions = host.end_attempt(id, AttemptEnd::Withdrawn);
+    assert_eq!(
+        &*sent_to(&actions, id).id,
+        "s-2",
+        "sent again at once, though it must not run twice"
+    );
 }
 
-/// What was withdrawn spends nothing of the budget for repeats, and speaks against nobody.
+/// Withdrawn attempts use no retry budget and do not count against any upstream.
 #[test]
-fn costs_nothing() {
+fn withdrawn_attempts_cost_nothing() {
     let mut host = host();
-    host.see("s-2", upstream("desk", 2, &[]));
+    host.announce("s-2", upstream("desk", 2, &[]));
     for number in 0..100 {
         let (id, _) = host.arrive(request(&format!("a{number}"), "check", None));
-        let actions = host.end(id, AttemptEnd::Withdrawn);
+        let actions = host.end_attempt(id, AttemptEnd::Withdrawn);
         assert_eq!(sent(&actions, id).len(), 1, "{number}: {actions:?}");
-        host.end(id, AttemptEnd::Served);
+        host.end_attempt(id, AttemptEnd::Served);
     }
     assert_eq!(host.dispatch.counts().suspects, 0);
 }
@@ -56,6 +60,6 @@
 fn caller_left() {
     let mut host = host();
     let (id, _) = host.arrive(request("a", "check", None));
-    host.tell(Event::CallerLeft { id });
+    host.handle(Event::CallerLeft { id });
     assert!(!host.dispatch.may_send(host.now, id));
 }
--- a/crates/quota/src/grantor.rs
+++ b/crates/quota/src/grantor.rs
@@ -27,11 +27,11 @@
 /// Minimum share of the known hosts that must ask a grantor whose lease can't be renewed. The
 /// others may have another grantor; what that grants them stays within a tenth of the quota.
 const MIN_ASKING_SHARE: f64 = 0.9;
-/// How long a grantor may continue after it last held its lease. It takes a second to be sure that
-/// the store is unavailable.
-const MAX_LEASE_GAP_MS: u64 = 3_000;
-/// How long a host counts as asking this grantor. Later it may ask another one: with a third of the
-/// hosts cut off, a grantor that has a successor stops before it has granted the other hosts two
+/// Longest pause in granting after which a grantor may continue without its lease. It takes a second
+/// after the end of the lease to be sure that the store is unavailable.
+const MAX_GRANT_GAP_MS: u64 = 3_000;
+/// How long a host counts as asking this grantor; later it may ask another one. A grantor that has a
+/// successor and is cut off together with a third of the hosts stops before it has granted them two
 /// thirds of a second of the quota.
 const ASKER_MS: u64 = 2_000;
 
@@ -45,7 +45,7 @@
     quotas: HashMap<Name, Quota>,
     buckets: HashMap<Name, Bucket>,
     is_granting: bool,
-    /// When this host last held the lease.
+    /// When this host last was allowed to grant.
     granted_at: Option<Tick>,
     /// When each host last asked.
     hosts_asking: HashMap<Name, Tick>,
@@ -96,8 +96,9 @@
     /// all of `hosts` still ask it, so hardly any can have another grantor.
     pub fn may_continue(&mut self, now: Tick, hosts: usize) -> bool {
         self.hosts_asking.retain(|_, at| now.since(*at) <= ASKER_MS);
-        let has_recent_lease = self.granted_at.is_some_and(|at| now.since(at) <= MAX_LEASE_GAP_MS);
-        has_recent_lease && self.hosts_asking.len() as f64 >= hosts as f64 * MIN_ASKING_SHARE
+        let has_recently_granted =
+            self.granted_at.is_some_and(|at| now.since(at) <= MAX_GRANT_GAP_MS);
+        has_recently_granted && self.hosts_asking.len() as f64 >= hosts as f64 * MIN_ASKING_SHARE
     }
 
     /// Decides whether `organisation` may spend `cost` now, and takes the cost if so.
--- a/crates/quota/tests/grants.rs
+++ b/crates/quota/tests/grants.rs
@@ -1,4 +1,4 @@
-//! What the grantor grants, alone and across its successors.
+//! Grants of one grantor, and across successive grantors.
 
 use proptest::prelude::*;
 use std::collections::HashMap;
@@ -21,8 +21,9 @@
     grantor
 }
 
-/// Spends requests of 1,000 tokens, one each 10 ms: ten times the quota. Gives back what was granted, by time.
-fn press(grantor: &mut Grantor, from: Tick, millis: u64) -> Vec<(Tick, u32)> {
+/// Spends requests of 1,000 tokens every 10 ms, ten times the quota. Returns what was granted, by
+/// time.
+fn overload(grantor: &mut Grantor, from: Tick, millis: u64) -> Vec<(Tick, u32)> {
     let mut granted = Vec::new();
     for ms in (0..millis).step_by(10) {
         let now = from + ms;
@@ -38,16 +39,16 @@
 }
 
 #[test]
-fn ten_times_the_quota() {
+fn overload_is_held_to_quota() {
     let mut grantor = grantor(START, RATE);
-    let first = press(&mut grantor, START, 8_000);
-    let most = RATE * 8.0 + 1_000.0;
-    assert!(total(&first) <= most, "{}", total(&first));
+    let first = overload(&mut grantor, START, 8_000);
+    let max = RATE * 8.0 + 1_000.0;
+    assert!(total(&first) <= max, "{}", total(&first));
     assert!(total(&first) >= RATE * 7.8, "nothing below the quota is refused: {}", total(&first));
 }
 
 #[test]
-fn refusal_tells_the_time() {
+fn refusal_states_retry_time() {
     let mut grantor = grantor(START, RATE);
     let now = START + 1_000;
     let refused = (0..20).find_map(|_| match grantor.spend(now, &"o".into(), 1_000) {
@@ -60,15 +61,15 @@
     assert!(matches!(later, QuotaAnswer::Granted { .. }), "{later:?}");
 }
 
-/// The holder of the lease is killed and another one takes over: what both grant keeps to the quota.
+/// The lease holder is killed and another host takes over: both together stay within the quota.
 #[test]
-fn successor_begins_empty() {
+fn successor_starts_empty() {
     let mut first = Grantor::default();
     first.configure(START, quota(RATE));
     first.set_granting(START, true);
-    let mut granted = press(&mut first, START, 4_000);
+    let mut granted = overload(&mut first, START, 4_000);
     let mut second = grantor(START + 4_000, RATE);
-    granted.extend(press(&mut second, START + 4_000, 4_000));
+    granted.extend(overload(&mut second, START + 4_000, 4_000));
     assert!(total(&granted) <= RATE * 8.0 + RATE + 2_000.0, "{}", total(&granted));
 }
 
@@ -79,21 +80,22 @@
     assert_eq!(grantor.spend(START + 20, &"o".into(), 1), QuotaAnswer::NotGranting);
 }
 
-/// The store is away for all: the lease can't be renewed, nobody else can take it, and all hosts go on asking.
+/// The store is unavailable for all: the lease can't be renewed, no other host can take it, and all
+/// hosts continue to ask.
 #[test]
-fn store_away_for_all() {
+fn store_unavailable_for_all() {
     let mut grantor = grantor(START, RATE);
     let hosts: Vec<Name> = (0..20).map(|number| format!("h{number}").as_str().into()).collect();
     hosts.iter().for_each(|host| grantor.record_request(START, host));
     assert!(grantor.may_continue(START + 1_500, 20));
     assert!(grantor.may_continue(START + 1_500, 22));
     assert!(!grantor.may_continue(START + 1_500, 23), "three may have another grantor");
-    assert!(!grantor.may_continue(START + 2_001, 20), "they ask no more");
+    assert!(!grantor.may_continue(START + 2_001, 20), "the hosts stopped asking");
 }
 
-/// One that never held the lease grants nothing, whoever asks.
+/// A host that never held the lease grants nothing.
 #[test]
-fn asked_by_mistake() {
+fn never_held_the_lease() {
     let mut grantor = Grantor::default();
     grantor.configure(START, quota(RATE));
     grantor.record_request(START, &"h1".into());
@@ -101,7 +103,7 @@
 }
 
 #[test]
-fn what_did_not_run_comes_back() {
+fn refund_is_spendable() {
     let mut grantor = grantor(START, RATE);
     let now = START + 1_000;
     let mut count = 0;
@@ -114,13 +116,13 @@
     assert!(matches!(grantor.spend(now, &"o".into(), 1_000), QuotaAnswer::Refused { .. }));
 }
 
-/// A quota that is lowered binds what is left of the earlier one at once.
+/// A lowered quota limits what is left of the earlier one at once.
 #[test]
 fn lowered_quota() {
     let mut grantor = grantor(START, RATE);
     let now = START + 2_000;
     grantor.configure(now, quota(RATE / 10.0));
-    let granted = press(&mut grantor, now, 8_000);
+    let granted = overload(&mut grantor, now, 8_000);
     assert!(total(&granted) <= RATE / 10.0 * 9.0 + 1_000.0, "{}", total(&granted));
 }
 
@@ -132,9 +134,9 @@
 }
 
 proptest! {
-    /// Whatever is asked for, in each window no more is granted than the quota and one request.
+    /// Whatever is requested, no window is granted more than the quota plus one request.
     #[test]
-    fn any_load(asked in proptest::collection::vec((0_u64..200, 1_u32..4_000), 1..400)) {
+    fn window_bound_holds_for_any_load(asked in proptest::collection::vec((0_u64..200, 1_u32..4_000), 1..400)) {
         let mut grantor = grantor(START, RATE);
         let mut now = START;
         let mut granted: Vec<(Tick, u32)> = Vec::new();
--- a/crates/quota/tests/alone.rs
+++ b/crates/quota/tests/local_decisions.rs
@@ -1,4 +1,4 @@
-//! What hosts decide alone, where nobody can be asked.
+//! Decisions of hosts that can't reach the grantor.
 
 use std::collections::HashMap;
 use vanetally_ports::{Quota, QuotaUnit};
@@ -9,8 +9,8 @@
 const HOSTS: usize = 69;
 const RATE: f64 = 100_000.0;
 const BOUNDS: Bounds = Bounds { window_ms: 8_000, excess: 0.1, slack: 11_000.0 };
-/// What the operators allow beyond the quota of one window.
-const BEYOND: f64 = RATE * 9.0 * 0.1 + 11_000.0;
+/// Allowed excess over the quota of one window.
+const EXCESS: f64 = RATE * 9.0 * 0.1 + 11_000.0;
 const COST: u32 = 1_500;
 
 fn quotas() -> HashMap<Name, Quota> {
@@ -28,8 +28,9 @@
     (0..count as u64).map(host).collect()
 }
 
-/// Each host gets a request of `COST` each `every_ms`; what all of them let go without a grantor.
-fn press(hosts: &mut [QuotaClient], from: Tick, millis: u64, every_ms: u64) -> f64 {
+/// Gives each host a request of `COST` every `every_ms`, and returns what all hosts spend without a
+/// grantor.
+fn spend_locally(hosts: &mut [QuotaClient], from: Tick, millis: u64, every_ms: u64) -> f64 {
     let mut spent = 0.0;
     for ms in (0..millis).step_by(every_ms as usize) {
         for client in hosts.iter_mut() {
@@ -41,28 +42,29 @@
     spent
 }
 
-/// An organisation sends 12 times its quota while all hosts are cut off from the grantor for a whole window, and that
-/// one grants nothing: they keep to the quota and what is allowed beyond it, and go on serving.
+/// An organisation sends 12 times its quota while all hosts are cut off from the grantor for a
+/// whole window and the grantor grants nothing: the hosts stay within the quota and the allowed
+/// excess, and continue to serve.
 #[test]
 fn all_cut_off() {
     let mut hosts = hosts(HOSTS);
-    let spent = press(&mut hosts, START, 8_000, 86);
-    assert!(spent <= RATE * 9.0 + BEYOND, "{spent}");
-    assert!(spent >= RATE * 2.0, "they go on serving: {spent}");
+    let spent = spend_locally(&mut hosts, START, 8_000, 86);
+    assert!(spent <= RATE * 9.0 + EXCESS, "{spent}");
+    assert!(spent >= RATE * 2.0, "hosts must continue to serve: {spent}");
 }
 
-/// A sixth of the hosts is cut off for 5.5 s while the grantor goes on granting the whole quota to the others.
+/// A sixth of the hosts is cut off for 5.5 s while the grantor grants the full quota to the others.
 #[test]
 fn some_cut_off() {
     let mut hosts = hosts(HOSTS / 6);
-    let spent = press(&mut hosts, START, 5_500, 86);
-    assert!(spent <= BEYOND, "{spent} of {BEYOND}");
+    let spent = spend_locally(&mut hosts, START, 5_500, 86);
+    assert!(spent <= EXCESS, "{spent} of {EXCESS}");
 }
 
-/// The grantor is killed while the organisation asks for half of its quota: until there is another one, nearly all
-/// of its requests go on.
+/// The grantor is killed while the organisation uses half of its quota: nearly all of its requests
+/// are served until there is another grantor.
 #[test]
-fn calm_organisation() {
+fn organisation_below_quota() {
     let mut hosts = hosts(HOSTS);
     for client in &mut hosts {
         client.handle_answer(
@@ -72,21 +74,17 @@
             QuotaAnswer::Granted { is_below_quota: true },
         );
     }
-    // One request of each host in 2 s: 69 times 1,500 tokens, half of the rate.
+    // One request per host in 2 s: 69 times 1,500 tokens, half of the rate.
     let asked = HOSTS as f64 * f64::from(COST);
-    let spent = press(&mut hosts, START + 1_000, 2_000, 2_000);
+    let spent = spend_locally(&mut hosts, START + 1_000, 2_000, 2_000);
     assert!(spent >= asked * 0.95, "{spent} of {asked}");
 }
 
-/// Played: 69 hosts, 16 organisations, the smallest with 36,000 tokens a second; the grantor froze for 7 s, and until
-/// it had a successor 438 of 900 requests were refused as not known to be within the quota:
-///
-/// `event=grantor_silent host=front-pdx-a-2 after_ms=60`
-/// `event=quota_refused .. cost=1630 by=front-spk-c-16 cause=quota_unknown retry_after_ms=1000`
-///
-/// A host has some thousand tokens of a calm organisation's rate in the seconds between its requests.
+/// Without a grantor for some seconds, half of the requests of a small organisation below its quota
+/// were refused with `quota_unknown`. A host must accumulate enough of the organisation's rate,
+/// some thousand tokens, in the seconds between its requests.
 #[test]
-fn calm_and_small() {
+fn small_organisation_below_quota() {
     let mut hosts = hosts(HOSTS);
     for client in &mut hosts {
         let unit = QuotaUnit::Tokens { default_tokens: 200 };
@@ -99,15 +97,15 @@
             QuotaAnswer::Granted { is_below_quota: true },
         );
     }
-    let spent = press(&mut hosts, START + 3_000, 2_300, 4_000);
+    let spent = spend_locally(&mut hosts, START + 3_000, 2_300, 4_000);
     let asked = HOSTS as f64 * f64::from(COST);
     assert!(spent >= asked * 0.95, "{spent} of {asked}");
 }
 
-/// It turns out to send 12 times its quota just as the grantor is lost: with what was granted before and is granted
-/// after, a window stays within the bound.
+/// The organisation rises to 12 times its quota when the grantor is lost: a window stays within the
+/// bound, including what was granted before and is granted after.
 #[test]
-fn calm_no_more() {
+fn demand_rises_without_grantor() {
     let mut hosts = hosts(HOSTS);
     for client in &mut hosts {
         client.handle_answer(
@@ -118,16 +116,16 @@
         );
     }
     let gap_ms = 2_300;
-    let spent = press(&mut hosts, START, gap_ms, 86);
+    let spent = spend_locally(&mut hosts, START, gap_ms, 86);
     let granted = RATE + RATE * (BOUNDS.window_ms - gap_ms) as f64 / 1_000.0;
-    assert!(spent + granted <= RATE * 9.0 + BEYOND, "{spent} beside {granted}");
+    assert!(spent + granted <= RATE * 9.0 + EXCESS, "{spent} locally, {granted} granted");
 }
 
 #[test]
 fn silent_grantor() {
     let mut client = hosts(1).remove(0);
     let organisation: Name = "o".into();
-    assert_eq!(client.authority(START, &organisation), Authority::Local, "nobody grants yet");
+    assert_eq!(client.authority(START, &organisation), Authority::Local, "no grantor is known yet");
     client.set_grantor(Some("h1".into()));
     assert_eq!(client.authority(START, &organisation), Authority::Grantor("h1".into()));
     let _ = client.handle_no_answer(START, &"h1".into(), &organisation, COST);
@@ -157,22 +155,22 @@
     assert_eq!(client.cost(&"o".into(), None), None, "the quota was taken away");
 }
 
-/// The store forgets the keys of all hosts while the grantor is lost: each host knows only itself, and lives on with all
-/// the others.
+/// The store loses the keys of all hosts while the grantor is lost: each host knows only itself,
+/// but all of them run.
 #[test]
-fn others_forgotten() {
+fn host_keys_lost() {
     let mut hosts = hosts(HOSTS);
     hosts.iter_mut().for_each(|client| client.set_hosts(START, 1));
-    let spent = press(&mut hosts, START, 8_000, 86);
-    assert!(spent <= RATE * 9.0 + BEYOND, "{spent}");
+    let spent = spend_locally(&mut hosts, START, 8_000, 86);
+    assert!(spent <= RATE * 9.0 + EXCESS, "{spent}");
 }
 
-/// A host that has just started knows of no other one.
+/// A host that has just started knows no other host.
 #[test]
-fn just_started() {
+fn host_just_started() {
     let mut client = QuotaClient::new(BOUNDS, 1);
     client.set_hosts(START, 1);
     client.configure(START, &quotas());
-    let spent = press(std::slice::from_mut(&mut client), START, 8_000, 10);
-    assert!(spent <= (RATE * 8.0 * 0.3 + BEYOND) / 8.0 + f64::from(COST), "{spent}");
+    let spent = spend_locally(std::slice::from_mut(&mut client), START, 8_000, 10);
+    assert!(spent <= (RATE * 8.0 * 0.3 + EXCESS) / 8.0 + f64::from(COST), "{spent}");
 }
