--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -182,7 +182,7 @@
     assert!(has_returned_permit(&answer_permit(&mut host, &actions, GRANTED)));
 }
 
-/// An engine's pacer is asked as well.
+/// An engine's pacer is asked as well; if it has no slot, the permit is returned.
 #[test]
 fn rate_limited_engine() {
     let mut host = host();
