--- a/crates/dispatch/src/choose.rs
+++ b/crates/dispatch/src/choose.rs
@@ -167,7 +167,7 @@
     fn tokens_ahead(&self, upstream: &Upstream) -> u32 {
         let known = upstream.total(self.now).unread_tokens;
         let others = self.hosts.min(MAX_ASSUMED_PEERS) as f64 * PEER_SEND_SHARE;
-        known.max((f64::from(upstream.own.unread_tokens) * others) as u32)
+        known.max((f64::from(upstream.own_load.unread_tokens) * others) as u32)
     }
 }
 
--- a/crates/dispatch/src/ending.rs
+++ b/crates/dispatch/src/ending.rs
@@ -86,7 +86,7 @@
         }
         self.record_end(now, &request, &attempt, end);
         self.report_outcome(&request, &attempt, end, actions);
-        self.review_content_hash(now, &request, &attempt, end, actions);
+        self.update_quarantine(now, &request, &attempt, end, actions);
         match end {
             AttemptEnd::Served => return,
             // The upstream's error was passed to the caller, unless the request may be retried.
@@ -124,7 +124,7 @@
     /// Updates the quarantine state of a request's content. A broken attempt counts against its
     /// content and has its upstream probed, unless the content was answered elsewhere a short time
     /// ago.
-    fn review_content_hash(
+    fn update_quarantine(
         &mut self,
         now: Tick,
         request: &Request,
@@ -168,15 +168,15 @@
         &mut self,
         now: Tick,
         upstream: &Incarnation,
-        contents: &[ContentHash],
+        content_hashes: &[ContentHash],
         sign: Option<CrashSign>,
     ) {
         if sign.is_none() {
-            return contents.iter().for_each(|content| self.quarantine.resume(*content));
+            return content_hashes.iter().for_each(|content| self.quarantine.resume(*content));
         }
-        let withheld =
-            contents.iter().filter(|content| self.quarantine.is_suspended(now, **content));
-        for content in withheld.copied().collect::<Vec<_>>() {
+        let suspended =
+            content_hashes.iter().filter(|content| self.quarantine.is_suspended(now, **content));
+        for content in suspended.copied().collect::<Vec<_>>() {
             self.quarantine.suspend(now, content, REPORT_HOLD_MS);
         }
         if let Some(upstream) = self.upstreams.get_mut(upstream) {
@@ -198,7 +198,7 @@
         let Some(upstream) = self.upstreams.get_mut(&attempt.upstream) else {
             return;
         };
-        upstream.own.subtract(attempt.load);
+        upstream.own_load.subtract(attempt.load);
         let is_answered =
             !matches!(end, AttemptEnd::Broken | AttemptEnd::Unreachable | AttemptEnd::Withdrawn);
         upstream.cooldown.record_end(now, attempt.sent_at, is_answered);
@@ -231,7 +231,7 @@
                 }
             }
         }
-        let (good, bad) = upstream.peer_ends(now);
+        let (good, bad) = upstream.peer_outcomes(now);
         upstream.health.review(now, good, bad);
     }
 
@@ -290,9 +290,9 @@
         // A retry is charged here. An attempt that was never sent costs nothing.
         let service = &request.service;
         let is_unsent = matches!(end, AttemptEnd::Unreachable | AttemptEnd::Withdrawn);
-        let is_paid =
-            is_unsent || self.budgets.get_mut(service).is_some_and(|budget| budget.try_spend(now));
-        if !is_paid || now + MIN_REMAINING_MS >= request.deadline {
+        let is_charged = is_unsent
+            || self.retry_budgets.get_mut(service).is_some_and(|budget| budget.try_spend(now));
+        if !is_charged || now + MIN_REMAINING_MS >= request.deadline {
             return Some(self.refusal(request, cause, Some(RETRY_AFTER_MS)));
         }
         None
@@ -307,12 +307,12 @@
 
     /// Ends requests that are out of time, and reviews the health of the upstreams.
     pub(crate) fn expire(&mut self, now: Tick, actions: &mut Vec<Action>) {
-        let is_leaving = self.stop_accept_over(now);
+        let refuses_new = self.refuses_new_requests(now);
         let late = self.requests.iter().filter_map(|(id, request)| {
             let is_late = match request.stage {
                 Stage::Sent(_) => now >= request.deadline + DEADLINE_GRACE_MS,
                 // A request that has not begun by now might not end before the process does.
-                _ if is_leaving => true,
+                _ if refuses_new => true,
                 _ if request.verdict == Verdict::NotRun => {
                     now >= request.wait_limit || request.lacks_upstream_too_long(now)
                 }
@@ -327,14 +327,14 @@
             actions.push(Action::Refuse { id, refusal, context });
         }
         for upstream in self.upstreams.values_mut() {
-            let (good, bad) = upstream.peer_ends(now);
+            let (good, bad) = upstream.peer_outcomes(now);
             upstream.health.review(now, good, bad);
         }
         self.requested_models.retain(|_, at| now.since(*at) < MODEL_REQUEST_INTERVAL_MS);
     }
 
     fn timeout_refusal(&self, now: Tick, request: &Request) -> Refusal {
-        if !request.stage.is_sent() && self.stop_accept_over(now) {
+        if !request.stage.is_sent() && self.refuses_new_requests(now) {
             return self.refusal(request, RefusalCause::Stopping, Some(STOP_RETRY_AFTER_MS));
         }
         if request.stage.is_sent() {
--- a/crates/dispatch/src/machine.rs
+++ b/crates/dispatch/src/machine.rs
@@ -45,7 +45,7 @@
     pub(crate) directory: Directory,
     pub(crate) requests: HashMap<RequestId, Request>,
     pub(crate) queue: Queue,
-    pub(crate) budgets: BTreeMap<Name, RetryBudget>,
+    pub(crate) retry_budgets: BTreeMap<Name, RetryBudget>,
     pub(crate) pace: PaceModel,
     /// Average time of complete answers, per plain service.
     pub(crate) answer_times: BTreeMap<Name, AnswerTimes>,
@@ -117,7 +117,7 @@
             directory: Directory::default(),
             requests: HashMap::new(),
             queue: Queue::default(),
-            budgets: BTreeMap::new(),
+            retry_budgets: BTreeMap::new(),
             pace: PaceModel::default(),
             answer_times: BTreeMap::new(),
             hosts: 1,
@@ -136,8 +136,8 @@
             Event::Quarantined(quarantine) => {
                 self.quarantine.apply(now, quarantine);
             }
-            Event::Probed { upstream, content_hashes: contents, sign } => {
-                self.probed(now, &upstream, &contents, sign);
+            Event::Probed { upstream, content_hashes, sign } => {
+                self.probed(now, &upstream, &content_hashes, sign);
             }
             Event::UpstreamSeen { id, state } => self.upstream_seen(now, id, state),
             Event::UpstreamUnreadable { id } => {
@@ -174,7 +174,7 @@
             Event::PeerGone { host } => self.peer_gone(&host),
             Event::HostCount(hosts) => {
                 self.hosts = hosts.max(1);
-                self.budgets.values_mut().for_each(|budget| budget.set_hosts(hosts));
+                self.retry_budgets.values_mut().for_each(|budget| budget.set_hosts(hosts));
             }
             Event::Arrived { id, request, content_hash } => {
                 self.arrived(now, id, request, content_hash, &mut actions);
@@ -270,7 +270,7 @@
     pub fn digest(&mut self, now: Tick) -> Digest {
         let loads = self.upstreams.iter_mut().filter_map(|(id, upstream)| {
             let (good, bad) = upstream.health.recent(now);
-            let own = upstream.own;
+            let own = upstream.own_load;
             let limit = upstream.limit.announcement(now);
             (own.running > 0 || good + bad > 0 || limit.is_some()).then(|| LoadRow {
                 limit: limit.map(|statement| limit_row(now, statement)),
@@ -302,7 +302,7 @@
         self.keys = KeyIndex::new(&configuration);
         for service in configuration.services.keys() {
             let (options, hosts) = (self.options.retry_budget, self.hosts);
-            self.budgets.entry(service.clone()).or_insert_with(|| {
+            self.retry_budgets.entry(service.clone()).or_insert_with(|| {
                 let mut budget = RetryBudget::new(options);
                 budget.set_hosts(hosts);
                 budget
@@ -395,14 +395,14 @@
             Ok(admitted) => admitted,
             Err(refusal) => return actions.push(Action::Refuse { id, refusal, context }),
         };
-        if self.stop_accept_over(now) {
+        if self.refuses_new_requests(now) {
             return actions.push(refuse(RefusalCause::Stopping, Some(STOP_RETRY_AFTER_MS)));
         }
         let Some(target) = routes::target(&route, &head.id) else {
             return actions.push(refuse(RefusalCause::NoUpstream, Some(RETRY_AFTER_MS)));
         };
         let service = target.service.clone();
-        if let Some(budget) = self.budgets.get_mut(&service) {
+        if let Some(budget) = self.retry_budgets.get_mut(&service) {
             budget.record_request(now);
         }
         let request = Request { content_hash, ..Request::new(head, route, access, service, now) };
@@ -426,7 +426,8 @@
         route.ok_or(Refusal::not_run(RefusalCause::NoRoute, None))
     }
 
-    pub(crate) fn stop_accept_over(&self, now: Tick) -> bool {
+    /// Whether a planned stop has reached the part in which no requests are accepted.
+    pub(crate) fn refuses_new_requests(&self, now: Tick) -> bool {
         let accept_ms = (self.options.grace_ms as f64 * STOP_ACCEPT_SHARE) as u64;
         self.stopping_since.is_some_and(|since| now.since(since) > accept_ms)
     }
@@ -464,14 +465,14 @@
         }
         self.pace.observe(&attempt.upstream, model, attempt.expected, took_ms);
         if let Some(upstream) = self.upstreams.get_mut(&attempt.upstream) {
-            upstream.own.subtract(read);
+            upstream.own_load.subtract(read);
             upstream.cooldown.record_end(now, attempt.sent_at, true);
         }
     }
 
     fn release_load(&mut self, upstream: &Incarnation, load: Load) {
         if let Some(upstream) = self.upstreams.get_mut(upstream) {
-            upstream.own.subtract(load);
+            upstream.own_load.subtract(load);
         }
     }
 
--- a/crates/dispatch/src/reserving.rs
+++ b/crates/dispatch/src/reserving.rs
@@ -39,7 +39,7 @@
         let upstream = self.upstreams.get_mut(&choice.upstream)?;
         self.queue.remove(id, request);
         let load = request.load(choice.expected.unread_tokens);
-        upstream.own.add(load);
+        upstream.own_load.add(load);
         upstream.cooldown.record_send(now);
         request.reservations += 1;
         let reservation = request.reservations;
@@ -185,7 +185,7 @@
         };
         self.queue.insert(id, request);
         if let Some(upstream) = self.upstreams.get_mut(&choice.upstream) {
-            upstream.own.subtract(load);
+            upstream.own_load.subtract(load);
         }
         Some(choice)
     }
--- a/crates/dispatch/src/sending.rs
+++ b/crates/dispatch/src/sending.rs
@@ -134,14 +134,14 @@
             request.head.model.as_ref().is_none_or(|subject| upstream.holds(subject, now))
         };
         let all = self.known_upstreams(self.directory.upstreams_of(&request.service));
-        let could = all.filter(|(_, upstream)| upstream.accepts_new(now) && holds(upstream));
+        let candidates = all.filter(|(_, upstream)| upstream.accepts_new(now) && holds(upstream));
         let cooldowns =
-            could.map(|(id, upstream)| (id, upstream.cooldown.left_ms(now).unwrap_or(0)));
+            candidates.map(|(id, upstream)| (id, upstream.cooldown.left_ms(now).unwrap_or(0)));
         let cooldowns: Vec<(&Incarnation, u64)> = cooldowns.collect();
         let own = cooldowns.iter().filter(|(id, _)| request.may_try(id)).map(|(_, left)| *left);
         // A request that used up its upstreams has better chances as a new request.
-        let least = cooldowns.iter().map(|(_, left)| *left).min()?;
-        (own.min()? > MAX_COOLDOWN_WAIT_MS).then_some(least.max(STOP_RETRY_AFTER_MS))
+        let first_ms = cooldowns.iter().map(|(_, left)| *left).min()?;
+        (own.min()? > MAX_COOLDOWN_WAIT_MS).then_some(first_ms.max(STOP_RETRY_AFTER_MS))
     }
 
     /// Refuses a request that no upstream can take within its waiting time.
@@ -268,7 +268,7 @@
             deadline_ms: request.deadline.since(sent_at),
             connections,
             number: request.attempts + 1,
-            own_load: upstream.own.running as usize,
+            own_load: upstream.own_load.running as usize,
             peer_load: upstream.peer_load(now).running,
             gap_ms: request.gap_ms(),
             is_stream: request.route.kind == RequestKind::Stream,
@@ -276,7 +276,7 @@
             origin: request.access.origin.clone(),
             limit: permit_rate,
         };
-        upstream.own.add(load);
+        upstream.own_load.add(load);
         upstream.health.record_send(now);
         upstream.cooldown.record_send(now);
         if let Some(subject) = &request.head.model {
--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 struct PeerLoad {
     row: LoadRow,
-    at: Tick,
+    received_at: Tick,
 }
 
 /// Known state of one upstream.
@@ -41,7 +41,7 @@
 pub(crate) struct Upstream {
     pub state: UpstreamState,
     /// Load from this host.
-    pub own: Load,
+    pub own_load: Load,
     pub health: Health,
     /// No requests before this time, because the upstream was full.
     pub full_until: Tick,
@@ -85,7 +85,7 @@
     pub(crate) fn new(state: UpstreamState, now: Tick) -> Self {
         let mut upstream = Self {
             state,
-            own: Load::default(),
+            own_load: Load::default(),
             health: Health::default(),
             full_until: Tick(0),
             consecutive_refusals: 0,
@@ -165,7 +165,7 @@
     /// Whether attempts failed recently, here or at other hosts.
     fn has_recent_failure(&mut self, now: Tick) -> bool {
         let (_, own) = self.health.counts(now);
-        let (_, others) = self.peer_ends(now);
+        let (_, others) = self.peer_outcomes(now);
         own + others > 0 || self.health.is_suspect()
     }
 
@@ -205,8 +205,8 @@
         }
     }
 
-    pub(crate) fn set_peer(&mut self, host: &Name, row: LoadRow, at: Tick) {
-        self.peers.insert(host.clone(), PeerLoad { row, at });
+    pub(crate) fn set_peer(&mut self, host: &Name, row: LoadRow, received_at: Tick) {
+        self.peers.insert(host.clone(), PeerLoad { row, received_at });
     }
 
     pub(crate) fn forget_peer(&mut self, host: &Name) {
@@ -227,19 +227,19 @@
     }
 
     /// Returns the good and bad outcomes that other hosts reported recently.
-    pub(crate) fn peer_ends(&self, now: Tick) -> (u32, u32) {
+    pub(crate) fn peer_outcomes(&self, now: Tick) -> (u32, u32) {
         self.recent(now)
             .fold((0, 0), |(good, bad), row| (good + u32::from(row.good), bad + u32::from(row.bad)))
     }
 
     fn recent(&self, now: Tick) -> impl Iterator<Item = &LoadRow> {
-        let is_recent = move |peer: &&PeerLoad| now.since(peer.at) <= PEER_LOAD_MS;
+        let is_recent = move |peer: &&PeerLoad| now.since(peer.received_at) <= PEER_LOAD_MS;
         self.peers.values().filter(is_recent).map(|peer| &peer.row)
     }
 
     pub(crate) fn total(&self, now: Tick) -> Load {
         let mut sum = self.peer_load(now);
-        sum.add(self.own);
+        sum.add(self.own_load);
         sum
     }
 
