--- a/crates/dispatch/src/access.rs
+++ b/crates/dispatch/src/access.rs
@@ -95,8 +95,8 @@
     /// Returns the refusal if a request must not be sent now. Keys and contents are checked again
     /// at each attempt.
     pub(crate) fn send_refusal(&self, now: Tick, request: &Request) -> Option<Refusal> {
-        if let Some(rest_ms) = self.quarantine.remaining_ms(now, request.content_hash) {
-            return Some(Refusal::not_run(RefusalCause::Quarantined, Some(rest_ms)));
+        if let Some(remaining_ms) = self.quarantine.remaining_ms(now, request.content_hash) {
+            return Some(Refusal::not_run(RefusalCause::Quarantined, Some(remaining_ms)));
         }
         let key = request.access.key?;
         if !self.is_confirmed(now) {
--- a/crates/dispatch/tests/ejection.rs
+++ b/crates/dispatch/tests/ejection.rs
@@ -80,9 +80,9 @@
     }
 }
 
-/// Twelve hosts send 240 requests per second. Guards against a long history of successes that hides
-/// the failures: a hundred requests that must not be retried would be lost before the upstream is
-/// ejected.
+/// Twelve hosts send 240 requests per second, so each of three upstreams has 400 successes in five
+/// seconds. Guards against such a history hiding the failures: a hundred requests that must not be
+/// retried would be lost before the upstream is ejected.
 #[test]
 fn dead_upstream_under_load() {
     let mut fleet = Fleet::new();
--- a/crates/dispatch/tests/incarnations.rs
+++ b/crates/dispatch/tests/incarnations.rs
@@ -36,13 +36,13 @@
     let (id, actions) = host.arrive(request("a", "offer", Some("m1")));
     assert_eq!(sent_to(&actions, id), incarnation(1));
     let actions = restart(&mut host);
-    let suspicion = CrashReport {
+    let crash_report = CrashReport {
         content: id.0,
         upstream: incarnation(1),
         sign: CrashSign::Ended,
         is_common: false,
     };
-    assert_eq!(actions, [Action::Abandon { id, number: 1 }, Action::ReportCrash(suspicion)]);
+    assert_eq!(actions, [Action::Abandon { id, number: 1 }, Action::ReportCrash(crash_report)]);
     let actions = host.end_attempt(id, AttemptEnd::Broken);
     let refusal = refusal(&actions, id).expect("a final answer");
     assert_eq!(refusal.verdict, Verdict::MayHaveRun);
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -97,7 +97,7 @@
 /// No other upstream could take the request and its turn comes too late: it is refused at once with
 /// the time given by the grantor.
 #[test]
-fn refused_with_granted_time() {
+fn refused_with_retry_time() {
     let mut host = host();
     let (id, actions) = host.arrive(request("a", "check", None));
     let actions = answer_permit(&mut host, &actions, PermitAnswer::Busy { retry_ms: 4_200 });
--- a/crates/dispatch/tests/model_holders.rs
+++ b/crates/dispatch/tests/model_holders.rs
@@ -76,7 +76,11 @@
                 Step::Reported { upstream, model } => {
                     let subject = ModelRef { model: model.into(), adapter: None };
                     let presence = Presence::Present;
-                    host.handle(Event::PresenceReported { runner: name(upstream), subject, presence });
+                    host.handle(Event::PresenceReported {
+                        runner: name(upstream),
+                        subject,
+                        presence,
+                    });
                     if expected.announced.contains_key(&upstream) {
                         expected.reported.insert((upstream, model), now);
                     }
@@ -99,8 +103,9 @@
                             now += MAX_WAIT_MS;
                             let actions = host.advance(MAX_WAIT_MS);
                             prop_assert!(refusal(&actions, id).is_some());
-                            let has_no_upstream = expected.announced.is_empty();
-                            let kind = if has_no_upstream { ShortageKind::Upstream } else { ShortageKind::Model };
+                            let is_empty = expected.announced.is_empty();
+                            let kind =
+                                if is_empty { ShortageKind::Upstream } else { ShortageKind::Model };
                             prop_assert_eq!(shortage_kind(&actions), Some(kind));
                         }
                     }
--- a/crates/dispatch/tests/pacing.rs
+++ b/crates/dispatch/tests/pacing.rs
@@ -8,7 +8,7 @@
 use vanetally_ports::{RefusalCause, RequestKind, UpstreamState};
 
 /// Returns the number of the requested reservation and its engine.
-fn asked_reservation(actions: &[Action], id: RequestId) -> Option<(u32, String)> {
+fn requested_reservation(actions: &[Action], id: RequestId) -> Option<(u32, String)> {
     actions.iter().find_map(|action| match action {
         Action::Reserve { id: other, reservation, prompt } if *other == id => {
             Some((*reservation, prompt.upstream.to_string()))
@@ -31,7 +31,7 @@
     let arrived =
         Event::Arrived { id, request: request("a", "offer", Some("m1")), content_hash: 0 };
     let actions = host.dispatch.handle(host.now, arrived);
-    let (number, _) = asked_reservation(&actions, id).expect("a reservation");
+    let (number, _) = requested_reservation(&actions, id).expect("a reservation");
     assert!(sent(&actions, id).is_empty());
     (id, number)
 }
@@ -61,7 +61,7 @@
     host.announce("i-2", upstream("llm", 2, &["m1"]));
     let busy = SlotReply::Busy { retry_ms: 100 };
     let actions = host.dispatch.handle(host.now, Event::Reserved { id, reservation, slot: busy });
-    assert_eq!(asked_reservation(&actions, id), Some((reservation + 1, "i-2".into())));
+    assert_eq!(requested_reservation(&actions, id), Some((reservation + 1, "i-2".into())));
 }
 
 #[test]
@@ -70,7 +70,7 @@
     let (id, reservation) = open_reservation(&mut host);
     let busy = SlotReply::Busy { retry_ms: 100 };
     let actions = host.dispatch.handle(host.now, Event::Reserved { id, reservation, slot: busy });
-    assert_eq!(asked_reservation(&actions, id), None);
+    assert_eq!(requested_reservation(&actions, id), None);
     assert!(sent(&host.advance(80), id).is_empty());
     assert_eq!(&*sent_to(&host.advance(40), id).id, "i-1");
 }
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -61,8 +61,9 @@
         for host in &mut hosts {
             host.handle(Event::UpstreamGone { id: upstream.clone() });
         }
-        let suspicion = CrashReport { content, upstream, sign: CrashSign::Ended, is_common: false };
-        if let Some(quarantine) = evidence.add(now, suspicion) {
+        let crash_report =
+            CrashReport { content, upstream, sign: CrashSign::Ended, is_common: false };
+        if let Some(quarantine) = evidence.add(now, crash_report) {
             hosts.iter_mut().for_each(|host| drop(host.handle(Event::Quarantined(quarantine))));
         }
     }
@@ -164,9 +165,9 @@
     let (id, actions) = arrive(&mut host, 1, CONTENT);
     let upstream = sent(&actions, id).pop().expect("an attempt").upstream;
     let actions = host.handle(Event::UpstreamEnded { id: upstream.clone() });
-    let suspicion =
+    let crash_report =
         CrashReport { content: CONTENT, upstream, sign: CrashSign::Ended, is_common: false };
-    assert!(actions.contains(&Action::ReportCrash(suspicion)), "{actions:?}");
+    assert!(actions.contains(&Action::ReportCrash(crash_report)), "{actions:?}");
     let actions = host.handle(Event::AttemptEnded { id, end: AttemptEnd::Broken, answered: false });
     assert!(
         !actions.iter().any(|action| matches!(action, Action::Probe { .. })),
--- a/crates/dispatch/tests/shortage.rs
+++ b/crates/dispatch/tests/shortage.rs
@@ -120,7 +120,10 @@
         let actions = host.advance(millis);
         actions.into_iter().any(|action| {
             let base = ModelRef { model: "m1".into(), adapter: None };
-            matches!(action, Action::RequestModel { subject, is_saturated: true, .. } if subject == base)
+            matches!(
+                action,
+                Action::RequestModel { subject, is_saturated: true, .. } if subject == base
+            )
         })
     };
     for number in 0..40 {
--- a/crates/dispatch/tests/store_copies.rs
+++ b/crates/dispatch/tests/store_copies.rs
@@ -48,7 +48,7 @@
     let read = Ok(Announcement { incarnation: incarnation(born), state: state(draining) });
     let updates = roster.record(now, &id(), revision, read);
     let seen = updates.into_iter().filter_map(|update| match update {
-        RosterUpdate::Seen { incarnation: life, state, .. } => Some((life.born, state.draining)),
+        RosterUpdate::Seen { incarnation, state, .. } => Some((incarnation.born, state.draining)),
         _ => None,
     });
     seen.collect()
--- a/crates/limit/tests/grants.rs
+++ b/crates/limit/tests/grants.rs
@@ -152,14 +152,16 @@
 proptest! {
     /// No window exceeds the highest stated rate, whatever rates are stated and whenever hosts ask.
     #[test]
-    fn rate_never_exceeded(asks in prop::collection::vec((0_u64..400, 1_u32..80, 0_u32..3_000), 1..300)) {
+    fn rate_holds(asks in prop::collection::vec((0_u64..400, 1_u32..80, 0_u32..3_000), 1..300)) {
         let mut grantor = grantor();
         let mut now = FIRST_GRANT;
         let mut sent = Vec::new();
         for (pause, tenths, max_wait_ms) in asks {
             now = now + pause;
             let rate = f64::from(tenths) / 10.0;
-            if let PermitAnswer::Granted { delay_ms } = grantor.decide(now, &permit_request(rate, max_wait_ms)) {
+            if let PermitAnswer::Granted { delay_ms } =
+                grantor.decide(now, &permit_request(rate, max_wait_ms))
+            {
                 prop_assert!(delay_ms <= max_wait_ms);
                 sent.push((now + u64::from(delay_ms)).0);
             }
--- a/crates/quota/src/grantor.rs
+++ b/crates/quota/src/grantor.rs
@@ -27,12 +27,12 @@
 /// Minimum share of the known hosts that must ask a grantor whose lease can't be renewed. The
 /// others may have another grantor; what that grants them stays within a tenth of the quota.
 const MIN_ASKING_SHARE: f64 = 0.9;
-/// Longest pause in granting after which a grantor may continue without its lease. It takes a second
-/// after the end of the lease to be sure that the store is unavailable.
+/// Longest pause in granting after which a grantor may continue without its lease. It takes a
+/// second after the end of the lease to be sure that the store is unavailable.
 const MAX_GRANT_GAP_MS: u64 = 3_000;
-/// How long a host counts as asking this grantor; later it may ask another one. A grantor that has a
-/// successor and is cut off together with a third of the hosts stops before it has granted them two
-/// thirds of a second of the quota.
+/// How long a host counts as asking this grantor; later it may ask another one. A grantor that has
+/// a successor and is cut off together with a third of the hosts stops before it has granted them
+/// two thirds of a second of the quota.
 const ASKER_MS: u64 = 2_000;
 
 /// Token buckets of all organisations.
--- a/crates/quota/tests/grants.rs
+++ b/crates/quota/tests/grants.rs
@@ -136,7 +136,7 @@
 proptest! {
     /// Whatever is requested, no window is granted more than the quota plus one request.
     #[test]
-    fn window_bound_holds_for_any_load(asked in proptest::collection::vec((0_u64..200, 1_u32..4_000), 1..400)) {
+    fn any_load(asked in proptest::collection::vec((0_u64..200, 1_u32..4_000), 1..400)) {
         let mut grantor = grantor(START, RATE);
         let mut now = START;
         let mut granted: Vec<(Tick, u32)> = Vec::new();
