--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! Short calls: to the store, for reports, with orders.
+//! Short HTTP calls: store requests, report requests and orders.
 
 use crate::pool::{self, Connection, Pool};
 use bytes::{Bytes, BytesMut};
@@ -8,7 +8,7 @@
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::timeout;
 
-/// An answer, whole.
+/// A complete response.
 #[derive(Debug)]
 pub(crate) struct Reply {
     pub head: Parts,
@@ -21,74 +21,74 @@
     }
 }
 
-/// Why there is no answer.
+/// Why a call returned no response.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
-    /// The call was never sent.
+    /// The request was never sent.
     #[error("not sent: {0}")]
     NotSent(#[from] pool::Error),
-    /// The call may have been carried out.
-    #[error("no answer: {0}")]
+    /// The request was sent and may have been executed.
+    #[error("no response: {0}")]
     Unanswered(String),
-    /// It was begun when nothing was answered, and others are answered now.
-    #[error("it hung while the way was closed")]
-    Hung,
+    /// The call was cancelled before its response began.
+    #[error("cancelled before the response began")]
+    Cancelled,
 }
 
-/// Largest answer to a short call, in bytes.
-const MOST_BYTES: usize = 8 << 20;
-/// Connections for short calls to one address.
-const CONNECTIONS: usize = 64;
+/// Maximum size of a response body.
+const MAX_BODY_BYTES: usize = 8 << 20;
+/// Maximum number of open connections to one address.
+const MAX_CONNECTIONS: usize = 64;
 
-/// The rest of a large answer on a slow link takes this long at most.
-const WHOLE: Duration = Duration::from_secs(8);
+/// Maximum time to read a response body, sized for a large body on a slow link.
+const BODY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Makes one call on a connection of its own or a kept one.
+/// Makes one call on a pooled or new connection.
 ///
-/// The answer has to begin `within` that time, and each further piece of it to come within it.
+/// The response must start within `wait_limit`, and each further frame must arrive within it.
 pub(crate) async fn call(
     pool: &Pool,
     address: SocketAddr,
     request: Request<Bytes>,
-    within: Duration,
+    wait_limit: Duration,
 ) -> Result<Reply, Error> {
-    call_unless(pool, address, request, within, std::future::pending()).await
+    call_or_cancel(pool, address, request, wait_limit, std::future::pending()).await
 }
 
-/// The same, but it is given up if `hopeless` comes before the answer begins.
-pub(crate) async fn call_unless(
+/// Like [`call`], but is cancelled if `cancelled` completes before the response begins.
+pub(crate) async fn call_or_cancel(
     pool: &Pool,
     address: SocketAddr,
     mut request: Request<Bytes>,
-    within: Duration,
-    hopeless: impl Future<Output = ()>,
+    wait_limit: Duration,
+    cancelled: impl Future<Output = ()>,
 ) -> Result<Reply, Error> {
     if let Ok(host) = address.to_string().parse() {
         request.headers_mut().insert(HOST, host);
     }
-    let silent = || Error::Unanswered(format!("silent for {} ms", within.as_millis()));
+    let unanswered = || Error::Unanswered(format!("no data for {} ms", wait_limit.as_millis()));
     let head = tokio::select! {
         biased;
-        head = timeout(within, ask(pool, address, request.map(Full::new))) => head,
-        () = hopeless => return Err(Error::Hung),
+        head = timeout(wait_limit, send(pool, address, request.map(Full::new))) => head,
+        () = cancelled => return Err(Error::Cancelled),
     };
-    let (connection, response) = head.map_err(|_| silent())??;
-    let body = timeout(WHOLE, read(pool, connection, response, within)).await;
-    body.map_err(|_| Error::Unanswered("too slow".into()))?
+    let (connection, response) = head.map_err(|_| unanswered())??;
+    let body = timeout(BODY_TIMEOUT, read_body(pool, connection, response, wait_limit)).await;
+    body.map_err(|_| Error::Unanswered("response body not read in time".into()))?
 }
 
-async fn ask(
+async fn send(
     pool: &Pool,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
 ) -> Result<(Connection, Response<Incoming>), Error> {
-    let mut connection = pool.get(address, CONNECTIONS).await?;
+    let mut connection = pool.get(address, MAX_CONNECTIONS).await?;
     let response = match connection.sender.try_send_request(request).await {
         Ok(response) => response,
         Err(mut error) => match error.take_message() {
-            // It was never sent: the kept connection had just closed.
+            // The pooled connection had just closed, so the request was never sent.
             Some(request) => {
-                connection = pool.connect(address, CONNECTIONS).await?;
+                connection = pool.connect(address, MAX_CONNECTIONS).await?;
                 let sent = connection.sender.send_request(request).await;
                 sent.map_err(|e| Error::Unanswered(e.to_string()))?
             }
@@ -98,18 +98,18 @@
     Ok((connection, response))
 }
 
-async fn read(
+async fn read_body(
     pool: &Pool,
     connection: Connection,
     response: Response<Incoming>,
-    within: Duration,
+    wait_limit: Duration,
 ) -> Result<Reply, Error> {
     let (head, body) = response.into_parts();
-    let mut pieces = Limited::new(body, MOST_BYTES);
+    let mut frames = Limited::new(body, MAX_BODY_BYTES);
     let mut body = BytesMut::new();
     loop {
-        let piece = timeout(within, pieces.frame()).await;
-        match piece.map_err(|_| Error::Unanswered("it stopped in the middle".into()))? {
+        let frame = timeout(wait_limit, frames.frame()).await;
+        match frame.map_err(|_| Error::Unanswered("response body stalled".into()))? {
             None => break,
             Some(Ok(frame)) => body.extend_from_slice(&frame.into_data().unwrap_or_default()),
             Some(Err(error)) => return Err(Error::Unanswered(error.to_string())),
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,8 +1,8 @@
-//! The steady clock, as the decisions see it: it counts the time for which the machine was suspended
-//! (`CLOCK_BOOTTIME`), so that no age, lease or window outlives its bound.
+//! The monotonic clock used by the decision logic. It includes time for which the machine was
+//! suspended (`CLOCK_BOOTTIME`), so that no age, lease or window outlives its bound.
 
 pub(crate) use vanetally_clock::Clock;
 use vanetally_types::Tick;
 
-/// Ticks begin above zero, so that zero stays before anything that happened.
+/// Ticks start above zero, so that tick 0 is earlier than any event.
 pub(crate) const ORIGIN: Tick = Tick(1_000_000);
--- a/crates/gateway/src/confirmation.rs
+++ b/crates/gateway/src/confirmation.rs
@@ -1,9 +1,10 @@
-//! How certainly this host has the newest configuration, and what others are told of that.
+//! Tracks as of when this host's configuration is confirmed to be the newest, and reports that to
+//! other hosts.
 
 use crate::{
     feed::Feed,
     hub::Hub,
-    peers::{ConfigurationWord, PeerMessage},
+    peers::{ConfigurationStatus, PeerMessage},
 };
 use std::rc::Rc;
 use vanetally_dispatch as dispatch;
@@ -11,9 +12,9 @@
 use vanetally_types::{Name, Tick};
 
 impl Hub {
-    /// The store answered a question about the configuration that was sent at `asked`: what it told is in force,
-    /// unless it can't be read.
-    pub(crate) fn configuration_read(self: &Rc<Self>, feed: &Feed, asked: Tick) {
+    /// Records that a store request sent at `requested_at` returned the configuration, provided
+    /// that it is readable and therefore in force.
+    pub(crate) fn configuration_confirmed(self: &Rc<Self>, feed: &Feed, requested_at: Tick) {
         let key = self.ports.configuration.key();
         let is_in_force = {
             let mirror = feed.mirror.borrow();
@@ -21,13 +22,13 @@
             item.is_some_and(|item| self.versions.borrow().is_newest(&item.value))
         };
         if is_in_force {
-            self.freshness.borrow_mut().record_read(asked);
+            self.freshness.borrow_mut().record_read(requested_at);
             self.confirm();
         }
     }
 
-    /// Asks the source for its clock, now and then.
-    pub(crate) fn ask_clock(&self) {
+    /// Requests the source's clock if a new reading is due.
+    pub(crate) fn request_clock(&self) {
         let Source::Host(host) = self.source.borrow().clone() else {
             return;
         };
@@ -37,34 +38,43 @@
         }
     }
 
-    /// Another host asks for this one's clock.
-    pub(crate) fn tell_clock(&self, host: &Name, asked: Tick) {
-        self.send(host, &PeerMessage::Clock { asked, word: self.configuration_word() });
+    /// Replies to a clock request.
+    pub(crate) fn send_clock(&self, host: &Name, asked: Tick) {
+        self.send(host, &PeerMessage::Clock { asked, status: self.configuration_status() });
     }
 
-    /// Another host told its clock.
-    pub(crate) fn take_clock(self: &Rc<Self>, host: &Name, asked: Tick, word: ConfigurationWord) {
+    /// Handles the reply to a clock request.
+    pub(crate) fn receive_clock(
+        self: &Rc<Self>,
+        host: &Name,
+        asked: Tick,
+        status: ConfigurationStatus,
+    ) {
         if *self.source.borrow() != Source::Host(host.clone()) {
             return;
         }
-        let word = fresh_word(host, word);
-        self.freshness.borrow_mut().record_clock(asked, &word, self.version());
+        let status = freshness_report(host, status);
+        self.freshness.borrow_mut().record_clock(asked, &status, self.version());
         self.confirm();
     }
 
-    /// The source told how certainly it has the newest configuration.
-    pub(crate) fn take_configuration_word(self: &Rc<Self>, host: &Name, word: ConfigurationWord) {
-        let word = fresh_word(host, word);
-        self.freshness.borrow_mut().record_status(&word, self.version());
+    /// Handles the configuration status reported by the source.
+    pub(crate) fn receive_configuration_status(
+        self: &Rc<Self>,
+        host: &Name,
+        status: ConfigurationStatus,
+    ) {
+        let status = freshness_report(host, status);
+        self.freshness.borrow_mut().record_status(&status, self.version());
         self.confirm();
-        self.ask_clock();
+        self.request_clock();
     }
 
-    /// How certainly this host has the newest configuration.
-    pub(crate) fn configuration_word(&self) -> ConfigurationWord {
+    /// Returns this host's configuration version and when it was last confirmed as the newest.
+    pub(crate) fn configuration_status(&self) -> ConfigurationStatus {
         let now = self.clock.now();
-        ConfigurationWord {
-            life: self.life,
+        ConfigurationStatus {
+            incarnation: self.incarnation,
             stated: now,
             age_ms: self.freshness.borrow().age_ms(now),
             version: self.version(),
@@ -79,12 +89,12 @@
     }
 }
 
-fn fresh_word(host: &Name, word: ConfigurationWord) -> SourceStatus {
+fn freshness_report(host: &Name, status: ConfigurationStatus) -> SourceStatus {
     SourceStatus {
         host: host.clone(),
-        life: word.life,
-        stated: word.stated,
-        age_ms: word.age_ms,
-        version: word.version,
+        life: status.incarnation,
+        stated: status.stated,
+        age_ms: status.age_ms,
+        version: status.version,
     }
 }
--- a/crates/gateway/src/eras.rs
+++ b/crates/gateway/src/eras.rs
@@ -1,45 +1,45 @@
-//! In which era the store is, as its own answers and other hosts tell.
+//! Tracks the era of the store, as reported by its own responses and by other hosts.
 
 use std::cell::Cell;
 use tokio::sync::watch;
 use vanetally_ports::Era;
 use vanetally_types::Tick;
 
-/// The eras that this host knows of.
+/// The eras known to this host.
 pub(crate) struct Eras {
-    /// The newest one in which the store answered this host; none before its first answer.
+    /// The newest era in which the store answered this host; `None` before its first answer.
     answered: Cell<Option<Era>>,
-    /// When it first did.
+    /// When the store first answered in that era.
     since: Cell<Tick>,
-    /// The newest one whose keys are known here, from the store or another host.
+    /// The newest era whose keys are known here, from the store or another host.
     read: Cell<Option<Era>>,
-    /// The newest one of all.
+    /// The newest era known from any source.
     newest: watch::Sender<Era>,
 }
 
-/// What the era of an answer means.
+/// How the era of a store response compares with the known era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Sign {
-    /// It is the one that is known.
+pub(crate) enum EraUpdate {
+    /// Same era as before.
     Known,
-    /// It is the first that this host hears of.
+    /// The first era seen by this host.
     First,
-    /// The store came back from a copy.
-    Returned {
-        /// The era before.
+    /// The store was restored from a backup.
+    Restored {
+        /// The previous era.
         before: Era,
-        /// Whether nothing is known of the new one yet.
-        is_news: bool,
+        /// Whether no keys of the new era have been read yet.
+        is_unread: bool,
     },
-    /// The answer comes late: the store has come back from a copy since.
-    Late {
-        /// The era that is known.
+    /// The response is outdated: the store has been restored from a backup since.
+    Outdated {
+        /// The known era.
         known: Era,
     },
 }
 
-/// The host that others hear from has read the keys of a new era within this time, in milliseconds.
-const READ_MS: u64 = 600;
+/// Time for another host's source to read the keys of a new era.
+const KEYS_READ_MS: u64 = 600;
 
 impl Eras {
     pub(crate) fn new(now: Tick) -> Self {
@@ -51,30 +51,30 @@
         }
     }
 
-    /// The store answered in `era`.
-    pub(crate) fn answer(&self, now: Tick, era: Era) -> Sign {
+    /// Records that the store answered in `era`.
+    pub(crate) fn record_answer(&self, now: Tick, era: Era) -> EraUpdate {
         let known = self.answered.get();
         if let Some(known) = known.filter(|known| era <= *known) {
-            return if era == known { Sign::Known } else { Sign::Late { known } };
+            return if era == known { EraUpdate::Known } else { EraUpdate::Outdated { known } };
         }
         self.answered.set(Some(era));
         self.since.set(now);
-        self.note(era);
-        known.map_or(Sign::First, |before| Sign::Returned {
+        self.update_newest(era);
+        known.map_or(EraUpdate::First, |before| EraUpdate::Restored {
             before,
-            is_news: Some(era) > self.read.get(),
+            is_unread: Some(era) > self.read.get(),
         })
     }
 
-    /// The keys of `era` were read, here or by the host that this one hears from; tells whether the store came back from
-    /// a copy since they last were.
-    pub(crate) fn read(&self, era: Era) -> bool {
+    /// Records that the keys of `era` were read, by this host or its source. Returns whether the
+    /// store was restored from a backup since the last read.
+    pub(crate) fn record_read(&self, era: Era) -> bool {
         let before = self.read.replace(self.read.get().max(Some(era)));
-        self.note(era);
+        self.update_newest(era);
         before.is_some_and(|before| before < era)
     }
 
-    fn note(&self, era: Era) {
+    fn update_newest(&self, era: Era) {
         self.newest.send_if_modified(|newest| {
             let is_newer = era > *newest;
             *newest = era.max(*newest);
@@ -82,19 +82,20 @@
         });
     }
 
-    /// The newest era that is known of.
+    /// Returns the newest known era.
     pub(crate) fn newest(&self) -> Era {
         *self.newest.borrow()
     }
 
-    /// Changes with the newest era.
-    pub(crate) fn follow(&self) -> watch::Receiver<Era> {
+    /// Subscribes to the newest known era.
+    pub(crate) fn subscribe(&self) -> watch::Receiver<Era> {
         self.newest.subscribe()
     }
 
-    /// Whether what another host tells is of an era that is over, though it has had the time to hear of the next one.
-    pub(crate) fn is_over(&self, now: Tick, era: Era) -> bool {
+    /// Whether data of `era` from another host is outdated, although that host has had time to
+    /// learn of the next era.
+    pub(crate) fn is_outdated(&self, now: Tick, era: Era) -> bool {
         self.answered.get().is_some_and(|known| era < known)
-            && now.since(self.since.get()) >= READ_MS
+            && now.since(self.since.get()) >= KEYS_READ_MS
     }
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,13 +1,13 @@
-//! One request from a caller, from its head to its answer.
+//! Handles one request from a caller, from its head to its response.
 
 use crate::{
-    answer::Answer,
-    caller::{Caller, Interrupt, interrupted},
-    headers::{end_to_end, stated_rest},
-    hub::{Hub, Refused, Stage},
+    headers::{end_to_end, keep_alive_timeout},
+    hub::{Hub, RequestRefusal, Stage},
+    pending_request::{Interrupt, PendingRequest, next_interrupt},
     quotas::Charge,
     relay,
-    sending::{Asked, Outgoing, Sending, Started, ask_in_time},
+    response_body::ResponseBody,
+    sending::{Outgoing, SendContext, SendOutcome, StartedResponse, send_scheduled},
     telemetry,
 };
 use bytes::Bytes;
@@ -20,11 +20,11 @@
 use vanetally_quarantine::ContentHash;
 use vanetally_types::{Name, hash64};
 
-/// Answers of up to this many bytes are read whole before they go on, where they are no stream.
-const WHOLE_BYTES: usize = 256 << 10;
+/// Maximum size of a non-streamed response, which is read completely before it is sent on.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// Serves one request.
-pub(crate) async fn serve(hub: Rc<Hub>, request: Request<Incoming>) -> Response<Answer> {
+/// Serves one caller request.
+pub(crate) async fn serve(hub: Rc<Hub>, request: Request<Incoming>) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
     let head = match hub.ports.caller.read(&parts) {
         Ok(head) => head,
@@ -41,11 +41,11 @@
             return refuse(&hub, Some(&name), &Refusal::not_run(cause, None));
         }
     };
-    let charge = match admission(&hub, &head).await {
+    let charge = match admit(&hub, &head).await {
         Ok(charge) => charge,
         Err(refusal) => {
-            telemetry::arrived();
-            telemetry::refused(refusal.cause, "-");
+            telemetry::request_arrived();
+            telemetry::request_refused(refusal.cause, "-");
             log::info!(
                 "event=request_refused request={name} cause={} verdict={} version={} retry_after_ms={}",
                 refusal.cause.as_str(),
@@ -56,17 +56,17 @@
             return refuse(&hub, Some(&name), &refusal);
         }
     };
-    let (id, commands) = hub.admit(head, content(&parts, &body));
-    let caller = Caller::new(hub.clone(), id, name, commands, charge);
-    let mut response = answer(caller, Outgoing { parts, body }).await;
+    let (id, commands) = hub.admit(head, content_hash(&parts, &body));
+    let pending = PendingRequest::new(hub.clone(), id, name, commands, charge);
+    let mut response = respond(pending, Outgoing { parts, body }).await;
     if *hub.stage.borrow() > Stage::Serving {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-/// Whether the caller may send the request at all; what it takes of its organisation's quota.
-async fn admission(hub: &Rc<Hub>, head: &CallerRequest) -> Result<Option<Charge>, Refusal> {
+/// Authenticates the request and charges its cost to its organisation's quota.
+async fn admit(hub: &Rc<Hub>, head: &CallerRequest) -> Result<Option<Charge>, Refusal> {
     let identity = hub.dispatch.borrow().identify(hub.clock.now(), head)?;
     match identity {
         Some(organisation) => hub.charge(organisation, head).await,
@@ -74,8 +74,8 @@
     }
 }
 
-/// What is common to requests that say the same.
-fn content(parts: &Parts, body: &Bytes) -> ContentHash {
+/// Hash of method, path and body, identical for requests with the same content.
+fn content_hash(parts: &Parts, body: &Bytes) -> ContentHash {
     let path = parts.uri.path_and_query().map_or("", |path| path.as_str());
     let mut bytes = Vec::with_capacity(path.len() + body.len() + 8);
     bytes.extend_from_slice(parts.method.as_str().as_bytes());
@@ -85,7 +85,7 @@
 }
 
 async fn read_body(hub: &Hub, body: Incoming) -> Result<Bytes, RefusalCause> {
-    let limited = Limited::new(body, hub.limits().body_bytes);
+    let limited = Limited::new(body, hub.caller_limits().body_bytes);
     match limited.collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(RefusalCause::TooLong),
@@ -93,96 +93,105 @@
     }
 }
 
-async fn answer(mut caller: Caller, outgoing: Outgoing) -> Response<Answer> {
+async fn respond(mut pending: PendingRequest, outgoing: Outgoing) -> Response<ResponseBody> {
     let mut failure = None;
     loop {
-        let attempt = match caller.command().await {
+        let attempt = match pending.next_attempt().await {
             Ok(attempt) => attempt,
             Err(refused) => {
-                let own = refuse_caller(&mut caller, &refused);
-                // What an upstream itself answered says more than that it failed.
-                return failure.unwrap_or(own);
+                let own_response = refuse_pending(&mut pending, &refused);
+                // An error response from an upstream is more specific than the local refusal.
+                return failure.unwrap_or(own_response);
             }
         };
-        let sending = Sending {
-            hub: &caller.hub,
-            id: caller.id,
-            name: &caller.name,
+        let context = SendContext {
+            hub: &pending.hub,
+            id: pending.id,
+            name: &pending.name,
             outgoing: &outgoing,
             attempt: &attempt,
             resume_after: None,
         };
-        let asked = tokio::select! {
+        let outcome = tokio::select! {
             biased;
-            interrupt = interrupted(&mut caller.commands, &attempt) => match interrupt {
-                Interrupt::Abandoned => Asked::Ended(AttemptEnd::Broken),
-                Interrupt::Refused(refused) => return refuse_caller(&mut caller, &refused),
+            interrupt = next_interrupt(&mut pending.commands, &attempt) => match interrupt {
+                Interrupt::Abandoned => SendOutcome::Ended(AttemptEnd::Broken),
+                Interrupt::Refused(refused) => return refuse_pending(&mut pending, &refused),
             },
-            asked = ask_in_time(sending) => asked,
+            outcome = send_scheduled(context) => outcome,
         };
-        match asked {
-            Asked::Ended(end) => caller.attempt_ended(&attempt, end, false),
-            Asked::Answer(started) if attempt.is_stream => {
-                return relay::stream(caller, outgoing, attempt, *started);
+        match outcome {
+            SendOutcome::Ended(end) => pending.attempt_ended(&attempt, end, false),
+            SendOutcome::Response(started) if attempt.is_stream => {
+                return relay::stream(pending, outgoing, attempt, *started);
+            }
+            SendOutcome::Response(started) => {
+                match buffer(&mut pending, &attempt, *started).await {
+                    Buffered::Final(response) => return response,
+                    Buffered::Failure(response) => failure = Some(response),
+                    Buffered::Broken => {}
+                }
             }
-            Asked::Answer(started) => match whole(&mut caller, &attempt, *started).await {
-                Whole::Final(response) => return response,
-                Whole::Failure(response) => failure = Some(response),
-                Whole::Broken => {}
-            },
         }
     }
 }
 
-fn refuse_caller(caller: &mut Caller, refused: &Refused) -> Response<Answer> {
-    caller.refused(refused);
-    refuse(&caller.hub, Some(&caller.name), &refused.refusal)
+fn refuse_pending(
+    pending: &mut PendingRequest,
+    refused: &RequestRefusal,
+) -> Response<ResponseBody> {
+    pending.record_refusal(refused);
+    refuse(&pending.hub, Some(&pending.name), &refused.refusal)
 }
 
-fn refuse(hub: &Hub, name: Option<&Name>, refusal: &Refusal) -> Response<Answer> {
-    hub.ports.caller.refuse(name, refusal).map(|body| Answer::Whole(Some(body)))
+fn refuse(hub: &Hub, name: Option<&Name>, refusal: &Refusal) -> Response<ResponseBody> {
+    hub.ports.caller.refuse(name, refusal).map(|body| ResponseBody::Full(Some(body)))
 }
 
-/// An answer that was read whole, or not.
-enum Whole {
-    /// It goes to the caller.
-    Final(Response<Answer>),
-    /// The upstream failed: it goes to the caller if nobody does better.
-    Failure(Response<Answer>),
-    /// It broke off.
+/// Result of reading a non-streamed response completely.
+enum Buffered {
+    /// The final response for the caller.
+    Final(Response<ResponseBody>),
+    /// An upstream error response, sent to the caller unless another attempt succeeds.
+    Failure(Response<ResponseBody>),
+    /// The response was truncated.
     Broken,
 }
 
-/// Reads an answer whole before any of it goes to the caller.
-async fn whole(caller: &mut Caller, attempt: &Attempt, started: Started) -> Whole {
-    let Started { connection, response, is_success } = started;
-    let rest = stated_rest(response.headers());
+/// Reads a response completely before any of it is sent to the caller.
+async fn buffer(
+    pending: &mut PendingRequest,
+    attempt: &Attempt,
+    started: StartedResponse,
+) -> Buffered {
+    let StartedResponse { connection, response, is_success } = started;
+    let keep_alive = keep_alive_timeout(response.headers());
     let (mut head, body) = response.into_parts();
-    caller.hub.request_event(Event::FirstPiece { id: caller.id });
+    pending.hub.request_event(Event::FirstPiece { id: pending.id });
     let body = tokio::select! {
         biased;
-        interrupt = interrupted(&mut caller.commands, attempt) => match interrupt {
+        interrupt = next_interrupt(&mut pending.commands, attempt) => match interrupt {
             Interrupt::Abandoned => None,
             Interrupt::Refused(refused) => {
-                return Whole::Final(refuse_caller(caller, &refused));
+                return Buffered::Final(refuse_pending(pending, &refused));
             }
         },
-        body = Limited::new(body, WHOLE_BYTES).collect() => body.ok(),
+        body = Limited::new(body, MAX_BUFFERED_BYTES).collect() => body.ok(),
     };
     let Some(body) = body else {
-        caller.attempt_ended(attempt, AttemptEnd::Broken, false);
-        return Whole::Broken;
+        pending.attempt_ended(attempt, AttemptEnd::Broken, false);
+        return Buffered::Broken;
     };
-    caller.hub.pool.put(connection, rest);
+    pending.hub.pool.put(connection, keep_alive);
     head.headers = end_to_end(&head.headers);
-    let response = Response::from_parts(head, Answer::Whole(Some(body.to_bytes())));
+    let response = Response::from_parts(head, ResponseBody::Full(Some(body.to_bytes())));
     if !is_success && attempt.may_repeat {
-        caller.attempt_ended(attempt, AttemptEnd::Failed, false);
-        return Whole::Failure(response);
+        pending.attempt_ended(attempt, AttemptEnd::Failed, false);
+        return Buffered::Failure(response);
     }
     let end = if is_success { AttemptEnd::Served } else { AttemptEnd::Failed };
-    caller.attempt_ended(attempt, end, true);
-    telemetry::answered(caller.age_seconds());
-    caller.finish();
-    Whole::Final(response)
+    pending.attempt_ended(attempt, end, true);
+    telemetry::request_answered(pending.age_seconds());
+    pending.finish();
+    Buffered::Final(response)
 }
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -1,6 +1,6 @@
-//! What this host knows of the store's keys, from the store itself or from another host.
+//! The store keys known to this host, read from the store or received from another host.
 
-use crate::{peers::Told, store::Snapshot, telemetry, watch::Follower, wire};
+use crate::{peers::AnnouncedRevisions, store::Snapshot, telemetry, watch::FeedHandler, wire};
 use serde::{Deserialize, Serialize};
 use std::{
     cell::{Cell, RefCell},
@@ -11,141 +11,145 @@
 use vanetally_ports::{Change, Era, Item, Revision};
 use vanetally_types::{Name, Tick};
 
-/// The keys of one prefix.
+/// A local copy of all keys under one prefix.
 pub(crate) struct Feed {
     pub prefix: Name,
-    /// Whether aggregators pass its keys on.
+    /// Whether aggregators forward its keys to other hosts.
     is_shared: bool,
-    pub follower: Rc<dyn Follower>,
+    pub handler: Rc<dyn FeedHandler>,
     pub mirror: RefCell<Mirror>,
-    /// When the store last confirmed what is known.
+    /// When the store last confirmed the local copy.
     pub confirmed: Cell<Option<Tick>>,
-    /// Whether a watch of the store that tells of its changes waits.
+    /// Whether a store watch that covers the prefix is pending.
     pub is_watched: Cell<bool>,
-    /// Up to where subscribers were told changes.
-    pub told: Cell<Revision>,
-    /// All keys as they are sent to hosts that start, until one changes: many ask at the same time.
+    /// Revision up to which changes were announced to subscribers.
+    pub announced: Cell<Revision>,
+    /// Cached compressed snapshot for hosts that start, valid until a key changes; many hosts
+    /// request it at the same time.
     packed: RefCell<Option<Packed>>,
 }
 
-/// All keys of one prefix, as an aggregator passes them on.
+/// All keys of one prefix, as sent by an aggregator.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "wire::Snapshot", into = "wire::Snapshot")]
 pub(crate) struct PrefixSnapshot {
-    /// The prefix.
+    /// The key prefix.
     pub prefix: Name,
-    /// Up to where all changes are known.
+    /// Revision up to which all changes are included.
     pub at: Revision,
     /// The keys.
     pub items: Vec<Item>,
 }
 
-/// What is new to a subscriber of one prefix.
+/// The update that brings a subscriber of one prefix up to date.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum PrefixSync {
-    /// All keys: a [`PrefixSnapshot`].
+    /// All keys, as a compressed [`PrefixSnapshot`].
     Whole(Packed),
-    /// What changed since it last heard.
+    /// Changes since the subscriber's last known revision.
     Since(PrefixChanges),
 }
 
-/// Changes of one prefix, all of one era, as an aggregator passes them on.
+/// Changes to one prefix within one era, as sent by an aggregator.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "wire::Changes", into = "wire::Changes")]
 pub(crate) struct PrefixChanges {
-    /// The prefix.
+    /// The key prefix.
     pub prefix: Name,
-    /// What was told before this.
+    /// The revision up to which changes were announced before.
     pub after: Revision,
-    /// Up to where all changes are known now.
+    /// The revision up to which all changes are known now.
     pub at: Revision,
-    /// What changed in between.
+    /// The changes between the two revisions.
     pub changes: Vec<Change>,
 }
 
 impl Feed {
-    /// Knows nothing yet; `follower` hears what comes, from the store or an aggregator.
-    pub(crate) fn shared(prefix: Name, follower: Rc<dyn Follower>) -> Self {
-        Self { is_shared: true, ..Self::own(prefix, follower) }
+    /// Creates an empty feed that is read from the store or an aggregator.
+    pub(crate) fn shared(prefix: Name, handler: Rc<dyn FeedHandler>) -> Self {
+        Self { is_shared: true, ..Self::store_only(prefix, handler) }
     }
 
-    /// The same, but only the store tells: what other hosts need of it they ask for in another way.
-    pub(crate) fn own(prefix: Name, follower: Rc<dyn Follower>) -> Self {
+    /// Creates an empty feed that is read from the store only; other hosts obtain its data by
+    /// another protocol.
+    pub(crate) fn store_only(prefix: Name, handler: Rc<dyn FeedHandler>) -> Self {
         Self {
             prefix,
             is_shared: false,
-            follower,
+            handler,
             mirror: RefCell::default(),
             confirmed: Cell::new(None),
             is_watched: Cell::new(false),
-            told: Cell::default(),
+            announced: Cell::default(),
             packed: RefCell::default(),
         }
     }
 
-    /// Whether other hosts pass its keys on.
+    /// Whether aggregators forward this feed's keys.
     pub(crate) fn is_shared(&self) -> bool {
         self.is_shared
     }
 
-    /// All keys were read; tells whether the reading was news enough to be taken.
+    /// Replaces all keys; returns whether the snapshot was recent enough to be applied.
     pub(crate) fn replace(&self, snapshot: Snapshot) -> bool {
-        let is_taken = self.mirror.borrow_mut().try_replace(snapshot.at, &snapshot.items);
-        if is_taken {
+        let is_applied = self.mirror.borrow_mut().try_replace(snapshot.at, &snapshot.items);
+        if is_applied {
             self.packed.take();
-            self.follower.replaced(snapshot);
+            self.handler.replaced(snapshot);
         } else {
-            self.log_passed_over("reading", snapshot.at, snapshot.items.len());
+            self.log_stale_update("reading", snapshot.at, snapshot.items.len());
         }
-        is_taken
+        is_applied
     }
 
-    /// What a reading changes here; `None` if nothing was read before, or in another era.
+    /// Returns the difference between the local copy and `snapshot`; `None` if there is no local
+    /// copy, or one of another era.
     pub(crate) fn changes_to(&self, snapshot: &Snapshot) -> Option<Vec<Change>> {
         let mirror = self.mirror.borrow();
-        let follows = mirror.is_same_era(snapshot.at);
-        follows.then(|| mirror.changes_to(snapshot.at, &snapshot.items))
+        let is_same_era = mirror.is_same_era(snapshot.at);
+        is_same_era.then(|| mirror.changes_to(snapshot.at, &snapshot.items))
     }
 
-    /// Some keys changed.
-    pub(crate) fn change(
+    /// Applies changes to the local copy.
+    pub(crate) fn apply_changes(
         &self,
         after: Revision,
         at: Revision,
         changes: Vec<Change>,
     ) -> Result<(), Gap> {
-        let told = changes.len();
-        let news = self.mirror.borrow_mut().try_apply(after, at, changes)?;
-        if news.len() < told {
-            self.log_passed_over("changes", at, told - news.len());
+        let received = changes.len();
+        let updates = self.mirror.borrow_mut().try_apply(after, at, changes)?;
+        if updates.len() < received {
+            self.log_stale_update("changes", at, received - updates.len());
         }
-        if !news.is_empty() {
+        if !updates.is_empty() {
             self.packed.take();
         }
-        news.into_iter().for_each(|change| self.follower.changed(change));
+        updates.into_iter().for_each(|change| self.handler.changed(change));
         Ok(())
     }
 
-    /// The era of what is known.
+    /// Returns the era of the local copy.
     pub(crate) fn era(&self) -> Option<Era> {
         self.mirror.borrow().revision().map(|at| at.era)
     }
 
-    /// What was told is older than what is known here, or was told twice.
-    pub(crate) fn log_passed_over(&self, what: &'static str, at: Revision, keys: usize) {
+    /// Logs an update that is older than the local copy or was received twice.
+    pub(crate) fn log_stale_update(&self, what: &'static str, at: Revision, keys: usize) {
         let known = self.mirror.borrow().revision().unwrap_or_default();
-        telemetry::passed_over(what);
+        telemetry::stale_update(what);
         log::info!(
             "event=news_passed_over what={what} prefix={} at={at} known={known} keys={keys}",
             self.prefix,
         );
     }
 
-    pub(crate) fn has(&self, change: &Change) -> bool {
+    pub(crate) fn covers(&self, change: &Change) -> bool {
         change.key().starts_with(&*self.prefix)
     }
 
-    /// What is new to a host that knows all changes up to `have`; `None` if nothing is known here.
+    /// Returns the update for a host that knows all changes up to `have`; `None` if there is no
+    /// local copy yet.
     pub(crate) fn sync(&self, have: Option<Revision>) -> Option<PrefixSync> {
         let mirror = self.mirror.borrow();
         let at = mirror.revision()?;
@@ -162,25 +166,26 @@
         packed.clone().map(PrefixSync::Whole)
     }
 
-    /// Up to where subscribers were told changes.
-    pub(crate) fn told(&self) -> Told {
-        let told = self.told.get();
-        let at = self.mirror.borrow().revision().unwrap_or(told);
-        let last = if told.era == at.era { told } else { at };
-        Told { prefix: self.prefix.clone(), last, at }
+    /// Returns the revisions announced to subscribers.
+    pub(crate) fn announced_revisions(&self) -> AnnouncedRevisions {
+        let announced = self.announced.get();
+        let at = self.mirror.borrow().revision().unwrap_or(announced);
+        let last = if announced.era == at.era { announced } else { at };
+        AnnouncedRevisions { prefix: self.prefix.clone(), last, at }
     }
 
-    /// The source told all changes up to `told`; tells whether something of it is missing.
-    pub(crate) fn lacks(&self, told: &Told) -> bool {
+    /// Compares the local copy with the revisions announced by the source, and advances its
+    /// revision if no changes are missing; returns whether changes are missing.
+    pub(crate) fn is_missing_changes(&self, announced: &AnnouncedRevisions) -> bool {
         let mut mirror = self.mirror.borrow_mut();
-        let lacks = mirror.is_behind(told.last);
-        if !lacks {
-            mirror.advance(told.at);
+        let is_missing = mirror.is_behind(announced.last);
+        if !is_missing {
+            mirror.advance(announced.at);
         }
-        lacks
+        is_missing
     }
 
-    /// Milliseconds since the store confirmed what is known.
+    /// Milliseconds since the store last confirmed the local copy.
     pub(crate) fn age_ms(&self, now: Tick) -> Option<u64> {
         self.confirmed.get().map(|at| now.since(at))
     }
@@ -193,7 +198,7 @@
     packed.inspect_err(|error| log::error!("event=keys_not_packed error=\"{error}\"")).ok()
 }
 
-/// The keys that another host sent; `None` if they can't be read.
+/// Unpacks a snapshot sent by another host; `None` if it is unreadable.
 pub(crate) fn unpack(packed: &Packed) -> Option<PrefixSnapshot> {
     match packed.try_unpack() {
         Ok(bytes) => peer::decode(&bytes),
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only.
+//! Hop-by-hop headers and keep-alive parameters.
 
 use http::{
     HeaderMap, HeaderName,
@@ -12,7 +12,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which are not forwarded.
 const HOP_HEADERS: [HeaderName; 10] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -26,24 +26,24 @@
     EXPECT,
 ];
 
-/// The headers that do not concern one connection only.
+/// Returns the end-to-end headers: all but the hop-by-hop ones and those listed in `Connection`.
 pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let mut kept = headers.clone();
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP_HEADERS) {
+    for name in listed.iter().chain(&HOP_HEADERS) {
         kept.remove(name);
     }
     kept
 }
 
-/// How long the upstream says that it keeps the connection.
-pub(crate) fn stated_rest(headers: &HeaderMap) -> Option<Duration> {
+/// Returns the idle timeout stated in the upstream's `Keep-Alive` header.
+pub(crate) fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     seconds.trim().parse().ok().map(Duration::from_secs)
--- a/crates/gateway/src/hosts.rs
+++ b/crates/gateway/src/hosts.rs
@@ -1,47 +1,54 @@
-//! Which other hosts live, and sending to them.
+//! Tracks the other live hosts and sends messages to them.
 
 use crate::{
     hub::Hub,
+    order_lease,
     peers::{HostEntry, PeerMessage},
-    registration::write_again_time,
-    tenure,
+    registration::rewrite_time,
 };
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc};
 use vanetally_dispatch as dispatch;
-use vanetally_fanout::{Candidate, Event as FollowEvent};
+use vanetally_fanout::{Candidate, Event as SourceEvent};
 use vanetally_types::{Name, rendezvous_rank};
 
-/// Hosts that live hear that the store came back from a copy, and make their calls, within this time beside that over
-/// which they spread them, in milliseconds.
-const HEAR_MS: u64 = 2_500;
+/// Time for a live host to notice that the store was restored from a backup and to make its calls,
+/// in addition to the period over which the hosts spread them.
+const RESTORE_NOTICE_MS: u64 = 2_500;
 
 impl Hub {
-    /// The hosts that have keys now. Where the store came back from a copy those that it lacks are waited for.
+    /// Replaces the set of known hosts. After a restore of the store, hosts missing from the backup
+    /// are kept for a while.
     pub(crate) fn set_peers(
         self: &Rc<Self>,
         mut hosts: BTreeMap<Name, HostEntry>,
-        is_return: bool,
+        is_restore: bool,
     ) {
-        self.keep_lapsed(&mut hosts, is_return);
+        self.retain_lapsed(&mut hosts, is_restore);
         let old = std::mem::replace(&mut *self.peers.borrow_mut(), hosts.clone());
-        hosts.keys().filter(|host| !old.contains_key(*host)).for_each(|host| self.greet(host));
+        hosts
+            .keys()
+            .filter(|host| !old.contains_key(*host))
+            .for_each(|host| self.send_state_to_new(host));
         let gone = old.into_keys().filter(|host| !hosts.contains_key(host));
         gone.for_each(|host| self.request_event(dispatch::Event::PeerGone { host }));
-        self.count_peers();
+        self.update_peers();
     }
 
-    fn keep_lapsed(&self, hosts: &mut BTreeMap<Name, HostEntry>, is_return: bool) {
+    fn retain_lapsed(&self, hosts: &mut BTreeMap<Name, HostEntry>, is_restore: bool) {
         let now = self.clock.now();
-        let again = write_again_time(self.peers.borrow().len(), &self.settings.store);
-        let wait_ms = HEAR_MS + again.as_millis() as u64;
+        let rewrite = rewrite_time(self.peers.borrow().len(), &self.settings.store);
+        let wait_ms = RESTORE_NOTICE_MS + rewrite.as_millis() as u64;
         let mut lapsed = self.lapsed.borrow_mut();
         lapsed.retain(|host, _| !hosts.contains_key(host));
         for (host, entry) in self.peers.borrow().iter() {
             if hosts.contains_key(host) {
                 continue;
             }
-            if is_return {
-                log::log!(self.hearsay(), "event=host_lapsed host={host} wait_ms={wait_ms}");
+            if is_restore {
+                log::log!(
+                    self.relayed_log_level(),
+                    "event=host_lapsed host={host} wait_ms={wait_ms}"
+                );
                 lapsed.entry(host.clone()).or_insert(now + wait_ms);
             }
             if lapsed.contains_key(host) {
@@ -50,67 +57,68 @@
         }
     }
 
-    /// Hosts that were waited for in vain are gone.
-    pub(crate) fn review_lapsed(self: &Rc<Self>) {
+    /// Removes lapsed hosts that did not write their keys again in time.
+    pub(crate) fn expire_lapsed(self: &Rc<Self>) {
         let now = self.clock.now();
-        let over: Vec<Name> = {
+        let expired: Vec<Name> = {
             let lapsed = self.lapsed.borrow();
-            let over = lapsed.iter().filter(|(_, until)| now >= **until);
-            over.map(|(host, _)| host.clone()).collect()
+            let expired = lapsed.iter().filter(|(_, until)| now >= **until);
+            expired.map(|(host, _)| host.clone()).collect()
         };
-        over.iter().for_each(|host| self.peer_gone(host));
+        expired.iter().for_each(|host| self.peer_gone(host));
     }
 
-    /// A host wrote its key.
+    /// Handles a new or changed host key.
     pub(crate) fn peer_seen(self: &Rc<Self>, host: Name, entry: HostEntry) {
-        log::log!(self.hearsay(), "event=host_seen host={host} link={}", entry.link);
+        log::log!(self.relayed_log_level(), "event=host_seen host={host} link={}", entry.link);
         self.lapsed.borrow_mut().remove(&host);
         self.peers.borrow_mut().insert(host.clone(), entry);
-        self.greet(&host);
-        self.count_peers();
+        self.send_state_to_new(&host);
+        self.update_peers();
     }
 
-    /// Tells a host that has begun to live what it can't read in the store; where hosts are many, those that it hears
-    /// from do so.
-    fn greet(&self, host: &Name) {
-        if !self.is_fleet() && *host != self.settings.host {
-            self.tell_beliefs(host);
+    /// Sends a new host the state that it can't read from the store. Where aggregators are used,
+    /// its source does that instead.
+    fn send_state_to_new(&self, host: &Name) {
+        if !self.uses_aggregators() && *host != self.settings.host {
+            self.send_known_state(host);
         }
     }
 
-    /// Tells a host that starts what is believed of contents and upstreams.
-    pub(crate) fn tell_beliefs(&self, host: &Name) {
-        self.tell_quarantines(host);
-        self.tell_leavers(host);
+    /// Sends a starting host the known quarantines and leaving upstreams.
+    pub(crate) fn send_known_state(&self, host: &Name) {
+        self.send_quarantines(host);
+        self.send_leaving(host);
     }
 
-    /// A host's key is gone.
+    /// Handles the removal of a host key.
     pub(crate) fn peer_gone(self: &Rc<Self>, host: &Name) {
-        log::log!(self.hearsay(), "event=host_gone host={host}");
+        log::log!(self.relayed_log_level(), "event=host_gone host={host}");
         self.lapsed.borrow_mut().remove(host);
         self.peers.borrow_mut().remove(host);
         self.request_event(dispatch::Event::PeerGone { host: host.clone() });
-        self.count_peers();
+        self.update_peers();
     }
 
-    fn count_peers(self: &Rc<Self>) {
-        self.follow_event(FollowEvent::Candidates(self.candidates()));
+    fn update_peers(self: &Rc<Self>) {
+        self.source_event(SourceEvent::Candidates(self.candidates()));
         let (hosts, rank) = {
             let peers = self.peers.borrow();
             let own = &self.settings.host;
-            let key = vanetally_types::hash64(tenure::HOLDER_KEY.as_bytes());
+            let key = vanetally_types::hash64(order_lease::HOLDER_KEY.as_bytes());
             let others = peers.keys().filter(|host| *host != own);
             let mut ranked = rendezvous_rank(key, others.chain([own]));
-            // Aggregators know the demand of all: they try first, the one that reads the store for the
-            // others last of them, so that the loss of one host is not the loss of both.
-            let aggregators = self.follow.borrow().aggregators();
+            // Aggregators know the total demand, so they try first. The one that reads the store
+            // for the others comes last among them, so that losing one host does not lose both
+            // roles.
+            let aggregators = self.source_selector.borrow().aggregators();
             let candidates = self.candidates();
             let root = vanetally_fanout::root(&candidates);
             ranked.sort_by_key(|host| (!aggregators.contains(host), root == Some(*host)));
             let rank = ranked.iter().position(|host| *host == own).unwrap_or(0);
             (ranked.len(), rank)
         };
-        self.tenure.borrow_mut().set_rank(rank);
+        self.order_lease.borrow_mut().set_rank(rank);
         self.pacing.borrow_mut().set_hosts(self.capacities());
         let now = self.clock.now();
         self.quotas.borrow_mut().client.set_hosts(now, hosts);
@@ -118,7 +126,7 @@
         self.request_event(dispatch::Event::HostCount(hosts));
     }
 
-    /// The hosts that live, this one included, with their shares of a processor.
+    /// The live hosts, this one included, with their CPU shares.
     fn capacities(&self) -> Vec<(Name, u32)> {
         let peers = self.peers.borrow();
         let others = peers.iter().filter(|(host, _)| **host != self.settings.host);
@@ -126,7 +134,7 @@
         others.map(|(host, entry)| (host.clone(), entry.capacity)).chain([own]).collect()
     }
 
-    /// What this host's key says.
+    /// The value of this host's key.
     pub(crate) fn own_entry(&self) -> HostEntry {
         let settings = &self.settings;
         HostEntry {
@@ -136,20 +144,21 @@
         }
     }
 
-    /// A host that is not known yet said where it is.
-    pub(crate) fn introduced(self: &Rc<Self>, host: &Name, entry: HostEntry) {
+    /// Adds an unknown host that has sent its entry.
+    pub(crate) fn peer_introduced(self: &Rc<Self>, host: &Name, entry: HostEntry) {
         let is_new = !self.peers.borrow().contains_key(host);
         if is_new {
             self.peer_seen(host.clone(), entry);
         }
     }
 
-    /// At which level to log what all hosts hear alike: only who reads it first tells all of it.
-    pub(crate) fn hearsay(&self) -> log::Level {
+    /// Log level for events that all hosts observe: `Info` on the hosts that read the store,
+    /// `Debug` on the others.
+    pub(crate) fn relayed_log_level(&self) -> log::Level {
         if self.reads_store() { log::Level::Info } else { log::Level::Debug }
     }
 
-    /// The hosts that may be aggregators.
+    /// The hosts eligible as aggregators.
     fn candidates(&self) -> Vec<Candidate> {
         let peers = self.peers.borrow();
         let candidates = peers.iter().map(|(host, entry)| Candidate {
@@ -160,18 +169,19 @@
         candidates.collect()
     }
 
-    /// Whether the hosts are too many for each one to watch the store and tell all others.
-    pub(crate) fn is_fleet(&self) -> bool {
-        self.follow.borrow().is_fleet()
+    /// Whether there are too many hosts for each one to watch the store and message all others
+    /// directly.
+    pub(crate) fn uses_aggregators(&self) -> bool {
+        self.source_selector.borrow().is_fleet()
     }
 
-    /// Tells all other hosts.
+    /// Sends a message to all other hosts.
     pub(crate) fn broadcast(&self, message: &PeerMessage) {
         let peers = self.peers.borrow();
         self.send_all(peers.keys().filter(|host| **host != self.settings.host), message);
     }
 
-    /// Tells `hosts`; the message is encoded once.
+    /// Sends a message to `hosts`, encoding it once; returns the number of bytes sent.
     pub(crate) fn send_all<'a>(
         &self,
         hosts: impl Iterator<Item = &'a Name>,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,36 +1,38 @@
-//! The serving path as one event loop: sockets around the decisions of `vanetally-dispatch` and
-//! `vanetally-placement`, on one thread.
+//! The serving path: a single-threaded event loop that connects sockets to the decision logic of
+//! `vanetally-dispatch` and `vanetally-placement`.
 //!
-//! What a deployment speaks comes in through the ports; this crate knows none of its names.
+//! Deployment-specific protocols are implemented behind the ports; this crate contains none of
+//! their names.
 #![deny(missing_docs, unsafe_code, clippy::disallowed_methods)]
 
-mod answer;
 mod call;
-mod caller;
 mod clock;
 mod configuration;
 mod confirmation;
 mod eras;
 mod exchange;
 mod feed;
-mod front;
 mod headers;
 mod hosts;
 mod hub;
 mod limits;
+mod listener;
 mod load;
-/// Log lines on standard output that never block the caller.
+/// Log output on standard output that never blocks the caller.
 pub mod logging;
+mod order_lease;
 mod orders;
 mod pacing;
 mod peers;
+mod pending_request;
 mod pool;
 mod quarantine;
-mod questions;
+mod queries;
 mod quotas;
 mod reader;
 mod registration;
 mod relay;
+mod response_body;
 mod run;
 mod sending;
 mod settings;
@@ -39,7 +41,6 @@
 mod status;
 mod store;
 mod telemetry;
-mod tenure;
 mod upkeep;
 mod upstreams;
 mod watch;
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,9 +1,9 @@
-//! Asking when requests may go to upstreams in need, and answering as the host that grants.
+//! Requests permits for rate-limited upstreams, and grants them when this host is the grantor.
 
 use crate::{
     hub::Hub,
     peers::PeerMessage,
-    questions::{GRANTOR_ANSWER, Questions, grantor_answer},
+    queries::{GRANTOR_TIMEOUT, PendingQueries, await_grantor},
     telemetry,
 };
 use std::rc::Rc;
@@ -13,81 +13,79 @@
 use vanetally_quota::GrantorContact;
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// While the store is away hosts tell the last grantor this often that they still ask it and nobody else, in
-/// milliseconds: it goes on while nearly all of them do, and counts whom it heard within two seconds.
-const FOLLOW_MS: u64 = 900;
+/// Interval at which hosts inform the last grantor, while the store is unreachable, that they still
+/// ask it and no other host. The grantor continues while nearly all hosts do so, counting those it
+/// heard from within two seconds.
+const FOLLOWS_INTERVAL_MS: u64 = 900;
 
-/// This host's part in the limits of upstreams.
+/// This host's state for upstream rate limits, as client and as grantor.
 pub(crate) struct Limits {
     pub grantor: Grantor,
     pub contact: GrantorContact,
     shares: Shares,
-    questions: Questions<PermitAnswer>,
-    /// When the last grantor was told that this host still asks it.
-    followed: Tick,
+    queries: PendingQueries<PermitAnswer>,
+    /// When [`PeerMessage::FollowsGrantor`] was last sent.
+    last_follows_sent: Tick,
 }
 
 impl Limits {
-    /// No limit is known.
+    /// Creates the state without any known limits.
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             grantor: Grantor::default(),
             contact: GrantorContact::default(),
             shares: Shares::new(seed),
-            questions: Questions::default(),
-            followed: Tick(0),
+            queries: PendingQueries::default(),
+            last_follows_sent: Tick(0),
         }
     }
 
-    /// An upstream has gone.
+    /// Removes an upstream.
     pub(crate) fn forget(&mut self, upstream: &Incarnation) {
         self.grantor.forget(upstream);
         self.shares.forget(upstream);
     }
 
-    fn ask_alone(&mut self, now: Tick, question: &PermitRequest) -> PermitAnswer {
+    fn decide_locally(&mut self, now: Tick, request: &PermitRequest) -> PermitAnswer {
         let hosts = self.contact.max_hosts();
-        self.shares.decide(now, question, hosts)
+        self.shares.decide(now, request, hosts)
     }
 }
 
 impl Hub {
-    /// Finds out when a request may go to an upstream in need, and tells the decisions.
+    /// Obtains the send time of a request to a rate-limited upstream and passes it to the
+    /// dispatcher.
     pub(crate) async fn permit(
         self: Rc<Self>,
         id: RequestId,
         reservation: u32,
-        question: PermitRequest,
+        request: PermitRequest,
     ) {
-        let (answer, by) = self.decide_permit(&question).await;
-        telemetry::permitted(answer);
-        // The grantor's words show in what is sent and refused; a host that decides alone explains what is missing there.
+        let (answer, by) = self.decide_permit(&request).await;
+        telemetry::permit_answered(answer);
+        // The grantor's answers show in the logs of sent and refused requests. Local decisions are
+        // logged at info level because they explain requests that the grantor does not account for.
         let is_alone =
-            by == self.settings.host && !self.tenure.borrow().is_holding(self.clock.now());
+            by == self.settings.host && !self.order_lease.borrow().is_holding(self.clock.now());
         let level = if is_alone { log::Level::Info } else { log::Level::Debug };
         log::log!(
             level,
             "event=permit upstream={} per_s={} most_ms={} answer={} by={by}",
-            question.upstream,
-            question.rate,
-            question.max_wait_ms,
+            request.upstream,
+            request.rate,
+            request.max_wait_ms,
             answer.as_str()
         );
-        self.request_event(dispatch::Event::PermitAnswered {
-            id,
-            reservation,
-            request: question,
-            answer,
-        });
+        self.request_event(dispatch::Event::PermitAnswered { id, reservation, request, answer });
     }
 
-    /// Decides on a question, and tells who did.
-    async fn decide_permit(&self, question: &PermitRequest) -> (PermitAnswer, Name) {
+    /// Returns the answer to a permit request and the host that decided.
+    async fn decide_permit(&self, request: &PermitRequest) -> (PermitAnswer, Name) {
         let own = &self.settings.host;
         let host = self.limits.borrow().contact.available_grantor(self.clock.now()).cloned();
         let answer = match &host {
-            Some(host) if host == own => Some(self.permit_here(own, question)),
-            Some(host) => self.ask_permit(host, question).await,
+            Some(host) if host == own => Some(self.grant_permit(own, request)),
+            Some(host) => self.ask_permit(host, request).await,
             None => None,
         };
         let now = self.clock.now();
@@ -100,43 +98,43 @@
             (None, Some(host)) => limits.contact.mark_unanswered(now, &host),
             (None, None) => {}
         }
-        (limits.ask_alone(now, question), own.clone())
+        (limits.decide_locally(now, request), own.clone())
     }
 
-    async fn ask_permit(&self, host: &Name, question: &PermitRequest) -> Option<PermitAnswer> {
-        let (number, answer) = self.limits.borrow_mut().questions.ask();
-        let question = question.clone();
-        self.send(host, &PeerMessage::Permit { number, question });
-        let answer = grantor_answer(answer).await;
+    async fn ask_permit(&self, host: &Name, request: &PermitRequest) -> Option<PermitAnswer> {
+        let (number, answer) = self.limits.borrow_mut().queries.register();
+        let request = request.clone();
+        self.send(host, &PeerMessage::Permit { number, request });
+        let answer = await_grantor(answer).await;
         if answer.is_none() {
-            log::info!("event=grantor_silent host={host} after_ms={}", GRANTOR_ANSWER.as_millis());
+            log::info!("event=grantor_silent host={host} after_ms={}", GRANTOR_TIMEOUT.as_millis());
         }
         answer
     }
 
-    /// Decides on a question of `host`, as the one that grants.
-    fn permit_here(&self, host: &Name, question: &PermitRequest) -> PermitAnswer {
-        self.review_granting();
+    /// Answers a permit request of `host` as the grantor.
+    fn grant_permit(&self, host: &Name, request: &PermitRequest) -> PermitAnswer {
+        self.update_granting();
         let now = self.clock.now();
         self.quotas.borrow_mut().grantor.record_request(now, host);
-        self.limits.borrow_mut().grantor.decide(now, question)
+        self.limits.borrow_mut().grantor.decide(now, request)
     }
 
-    /// Another host asks.
-    pub(crate) fn permit_for(&self, host: &Name, number: u64, question: &PermitRequest) {
-        let answer = self.permit_here(host, question);
-        self.send(host, &PeerMessage::Permitted { number, question: question.clone(), answer });
+    /// Answers a permit request of another host.
+    pub(crate) fn permit_for_peer(&self, host: &Name, number: u64, request: &PermitRequest) {
+        let answer = self.grant_permit(host, request);
+        self.send(host, &PeerMessage::Permitted { number, request: request.clone(), answer });
     }
 
-    /// The grantor answered: what comes too late goes back to it.
-    pub(crate) fn permitted(&self, number: u64, question: &PermitRequest, answer: PermitAnswer) {
-        let late = self.limits.borrow_mut().questions.answered(number, answer);
+    /// Handles the grantor's answer; a permit that arrives too late is returned.
+    pub(crate) fn permitted(&self, number: u64, request: &PermitRequest, answer: PermitAnswer) {
+        let late = self.limits.borrow_mut().queries.answered(number, answer);
         if matches!(late, Some(PermitAnswer::Granted { .. })) {
-            self.return_permit(question.upstream.clone(), question.rate);
+            self.return_permit(request.upstream.clone(), request.rate);
         }
     }
 
-    /// What was granted did not go.
+    /// Returns a permit that was not used.
     pub(crate) fn return_permit(&self, upstream: Incarnation, rate: f64) {
         let holder = self.holder.borrow().clone();
         match holder {
@@ -144,29 +142,29 @@
                 self.limits.borrow_mut().grantor.return_permit(&upstream, rate);
             }
             Some(host) => self.send(&host, &PeerMessage::ReturnPermit { upstream, rate }),
-            // Nobody keeps the line that it stood in.
+            // Without a grantor there is no schedule to return the permit to.
             None => {}
         }
     }
 
-    /// While the store is away, tells the last grantor that this host asks nobody else.
-    pub(crate) fn follow_grantor(&self) {
+    /// While the store is unreachable, informs the last grantor that this host asks no other host.
+    pub(crate) fn send_follows(&self) {
         let now = self.clock.now();
-        let is_due = now.since(self.limits.borrow().followed) >= FOLLOW_MS;
+        let is_due = now.since(self.limits.borrow().last_follows_sent) >= FOLLOWS_INTERVAL_MS;
         if !is_due || self.store.state() != StoreState::Away {
             return;
         }
-        self.limits.borrow_mut().followed = now;
+        self.limits.borrow_mut().last_follows_sent = now;
         let holder = self.holder.borrow().clone();
         match holder {
-            Some(host) if host == self.settings.host => self.followed_by(&host),
-            Some(host) => self.send(&host, &PeerMessage::Follows),
+            Some(host) if host == self.settings.host => self.record_client(&host),
+            Some(host) => self.send(&host, &PeerMessage::FollowsGrantor),
             None => {}
         }
     }
 
-    /// A host asks this one and nobody else.
-    pub(crate) fn followed_by(&self, host: &Name) {
+    /// Records that `host` asks this grantor and no other.
+    pub(crate) fn record_client(&self, host: &Name) {
         let now = self.clock.now();
         self.quotas.borrow_mut().grantor.record_request(now, host);
     }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Connections of callers.
+//! Accepts connections from callers.
 
 use crate::{
     exchange,
@@ -13,12 +13,12 @@
 };
 use vanetally_link::socket;
 
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Least room for the head of a request, in bytes.
-const LEAST_HEAD: usize = 65_536;
+/// Pause after a failed `accept`.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Minimum size of the buffer for a request head.
+const MIN_HEAD_BUFFER_BYTES: usize = 65_536;
 
-/// Accepts callers for as long as the process lives.
+/// Accepts connections until the process ends.
 pub(crate) async fn accept(hub: Rc<Hub>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -27,7 +27,7 @@
             }
             Err(error) => {
                 log::warn!("event=accept_failed error=\"{error}\"");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
@@ -38,16 +38,18 @@
         return;
     }
     let mut stage = hub.stage.subscribe();
-    let head = hub.limits().header_bytes.max(LEAST_HEAD);
+    let head_buffer = hub.caller_limits().header_bytes.max(MIN_HEAD_BUFFER_BYTES);
     let service = service_fn(|request| {
         let hub = hub.clone();
         async move { Ok::<_, Infallible>(exchange::serve(hub, request).await) }
     });
-    let connection =
-        http1::Builder::new().max_buf_size(head).serve_connection(TokioIo::new(stream), service);
+    let connection = http1::Builder::new()
+        .max_buf_size(head_buffer)
+        .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     tokio::select! {
-        // A caller that leaves ends the connection with an error: nobody is left to tell.
+        // A caller that disconnects ends the connection with an error, which nobody is left to
+        // receive.
         _ = connection.as_mut() => return,
         _ = stage.wait_for(|stage| *stage == Stage::Closing) => {}
     }
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -1,91 +1,94 @@
-//! What hosts tell each other: loads, demand, and what lies in the store.
+//! Messages between hosts: load, demand and store data.
 
 use crate::{
     hub::Hub,
-    peers::{HostEntry, PeerMessage, Total},
+    peers::{HostEntry, LoadTotal, PeerMessage},
 };
 use std::{collections::BTreeSet, rc::Rc};
 use vanetally_dispatch::{self as dispatch, Digest};
-use vanetally_fanout::{Event as FollowEvent, Source, status_interval_ms};
+use vanetally_fanout::{Event as SourceEvent, Source, status_interval_ms};
 use vanetally_placement::{self as placement, DemandSample};
 use vanetally_ports::{Era, ModelRef, Revision};
 use vanetally_quarantine::{CrashReport, CrashSign};
 use vanetally_types::Name;
 
-/// Hosts tell each other their load this often, where they are few, in milliseconds.
-const DIGEST_MS: u64 = 50;
+/// Interval of load messages in deployments without aggregators.
+const DIGEST_INTERVAL_MS: u64 = 50;
 
 impl Hub {
-    /// Another host told something.
-    pub(crate) fn peer_message(self: &Rc<Self>, from: &Name, message: PeerMessage) {
+    /// Handles a message from another host.
+    pub(crate) fn handle_peer_message(self: &Rc<Self>, from: &Name, message: PeerMessage) {
         match message {
             PeerMessage::Digest { version, digest } => self.peer_digest(from, version, digest),
             PeerMessage::Report { number, version, digest } => {
                 self.peer_report(from, number, version, digest);
             }
             PeerMessage::Total(total) => self.peer_total(from, total),
-            PeerMessage::Word(word) => self.take_word(from, &word),
+            PeerMessage::Status(status) => self.receive_status(from, &status),
             PeerMessage::Subscribe { entry, have, era, is_aggregator } => {
-                let have = in_era(have, Era(era));
+                let have = revisions_in_era(have, Era(era));
                 self.subscribed(from, entry, &have, is_aggregator);
             }
-            PeerMessage::Listening => {
+            PeerMessage::KeepSubscription => {
                 self.totals.borrow_mut().add_listener(self.clock.now(), from.clone());
-                self.review_subscribers();
+                self.update_subscribers();
             }
             PeerMessage::Unsubscribe => {
                 self.totals.borrow_mut().unsubscribe(from);
                 self.peer_left(from.clone());
             }
             PeerMessage::Sync { store, age_ms, path, prefixes } => {
-                self.store.told(store);
-                self.follow_event(FollowEvent::Path { from: from.clone(), path });
-                self.take_sync(from, age_ms, prefixes);
+                self.store.state_reported(store);
+                self.source_event(SourceEvent::Path { from: from.clone(), path });
+                self.receive_sync(from, age_ms, prefixes);
             }
-            PeerMessage::Changes { store, changes } => self.take_changes(from, store, changes),
-            PeerMessage::Reserve { number, prompt } => self.reserve_for(from, number, &prompt),
+            PeerMessage::Changes { store, changes } => self.receive_changes(from, store, changes),
+            PeerMessage::Reserve { number, prompt } => self.reserve_for_peer(from, number, &prompt),
             PeerMessage::Reserved { number, slot } => self.reserved(number, slot),
-            PeerMessage::Ended { upstream, is_good } => self.told_end(from, &upstream, is_good),
-            PeerMessage::Want { service, model, adapter, is_crowded } => {
+            PeerMessage::Ended { upstream, is_good } => self.record_end(from, &upstream, is_good),
+            PeerMessage::RequestModel { service, model, adapter, is_saturated } => {
                 let subject = ModelRef { model, adapter };
                 self.placement_event(placement::Event::Requested {
                     service,
                     subject,
-                    is_saturated: is_crowded,
+                    is_saturated,
                 });
             }
             PeerMessage::Placed { ref runner, ref model, ref adapter, is_present } => {
-                self.pass_on_placed(from, &message);
+                self.relay_placed(from, &message);
                 let subject = ModelRef { model: model.clone(), adapter: adapter.clone() };
                 self.placed(runner.clone(), subject, is_present);
             }
-            PeerMessage::AskClock { asked } => self.tell_clock(from, asked),
-            PeerMessage::Clock { asked, word } => self.take_clock(from, asked, word),
+            PeerMessage::AskClock { asked } => self.send_clock(from, asked),
+            PeerMessage::Clock { asked, status } => self.receive_clock(from, asked, status),
             PeerMessage::Spend { number, organisation, cost } => {
-                self.spend_for(from, number, &organisation, cost);
+                self.spend_for_peer(from, number, &organisation, cost);
             }
             PeerMessage::Spent { number, answer } => self.spent(number, answer),
             PeerMessage::GiveBack { organisation, cost } => {
                 self.quotas.borrow_mut().grantor.refund(&organisation, cost);
             }
-            PeerMessage::Permit { number, question } => self.permit_for(from, number, &question),
-            PeerMessage::Permitted { number, question, answer } => {
-                self.permitted(number, &question, answer);
+            PeerMessage::Permit { number, request } => self.permit_for_peer(from, number, &request),
+            PeerMessage::Permitted { number, request, answer } => {
+                self.permitted(number, &request, answer);
             }
             PeerMessage::ReturnPermit { upstream, rate } => {
                 self.limits.borrow_mut().grantor.return_permit(&upstream, rate);
             }
-            PeerMessage::Follows => self.followed_by(from),
-            PeerMessage::Accuse { content, upstream } => {
+            PeerMessage::FollowsGrantor => self.record_client(from),
+            PeerMessage::LegacyCrashReport { content_hash, upstream } => {
                 let sign = CrashSign::Ended;
-                self.weigh(from, CrashReport { content, upstream, sign, is_common: false });
+                self.add_crash_report(
+                    from,
+                    CrashReport { content: content_hash, upstream, sign, is_common: false },
+                );
             }
-            PeerMessage::Suspect(suspicion) => self.weigh(from, suspicion),
-            PeerMessage::Clear(content) => self.clear(content),
-            PeerMessage::Quarantined(quarantines) => self.quarantined(from, quarantines),
-            PeerMessage::Leaving(upstreams) => self.leaving(Some(from), upstreams),
-            PeerMessage::AskConfiguration { have } => self.tell_configuration(from, have),
-            PeerMessage::Configuration(patch) => self.take_configuration(from, &patch),
+            PeerMessage::CrashReport(report) => self.add_crash_report(from, report),
+            PeerMessage::Clear(content_hash) => self.clear(content_hash),
+            PeerMessage::Quarantined(quarantines) => self.apply_quarantines(from, quarantines),
+            PeerMessage::Leaving(upstreams) => self.upstreams_leaving(Some(from), upstreams),
+            PeerMessage::AskConfiguration { have } => self.send_configuration(from, have),
+            PeerMessage::Configuration(patch) => self.apply_patch(from, &patch),
         }
     }
 
@@ -93,31 +96,32 @@
         *self.source.borrow() == Source::Store
     }
 
-    /// Whether this host gathers loads for others.
+    /// Whether this host aggregates the load reports of other hosts.
     pub(crate) fn is_aggregator(&self) -> bool {
-        self.follow.borrow_mut().is_aggregator()
+        self.source_selector.borrow_mut().is_aggregator()
     }
 
-    /// The loads of an earlier aggregator are of no use beside those of a new one.
-    pub(crate) fn review_loads(self: &Rc<Self>) {
-        let gatherer = match &*self.source.borrow() {
+    /// Discards all loads when the aggregator changes: those of the previous aggregator can't be
+    /// combined with those of the new one.
+    pub(crate) fn update_load_aggregator(self: &Rc<Self>) {
+        let aggregator = match &*self.source.borrow() {
             Source::Host(host) if !self.is_aggregator() => Some(host.clone()),
             _ => None,
         };
-        if *self.gatherer.borrow() == gatherer {
+        if *self.load_aggregator.borrow() == aggregator {
             return;
         }
-        *self.gatherer.borrow_mut() = gatherer;
+        *self.load_aggregator.borrow_mut() = aggregator;
         let hosts: Vec<Name> = self.peers.borrow().keys().cloned().collect();
         for host in hosts {
             self.request_event(dispatch::Event::PeerGone { host });
         }
     }
 
-    /// Another aggregator told its sum.
+    /// Handles the load sum of another aggregator.
     fn peer_digest(self: &Rc<Self>, host: &Name, version: u64, digest: Digest) {
-        self.compare_version(host, version);
-        self.placement_event(placement::Event::Demand(samples(&digest)));
+        self.check_version(host, version);
+        self.placement_event(placement::Event::Demand(demand_samples(&digest)));
         let now = self.clock.now();
         self.totals.borrow_mut().record_sum(now, host.clone(), digest.loads.clone());
         if !self.is_aggregator() {
@@ -126,19 +130,19 @@
         self.request_event(dispatch::Event::PeerDigest { host: host.clone(), digest });
     }
 
-    /// A subscriber told its load.
+    /// Handles the load report of a subscriber.
     fn peer_report(self: &Rc<Self>, host: &Name, number: u64, version: u64, digest: Digest) {
-        self.compare_version(host, version);
+        self.check_version(host, version);
         let now = self.clock.now();
         self.totals.borrow_mut().record_report(now, host.clone(), number, digest.clone());
-        self.review_subscribers();
+        self.update_subscribers();
         self.request_event(dispatch::Event::PeerDigest { host: host.clone(), digest });
     }
 
-    /// An aggregator told the load of all.
-    fn peer_total(self: &Rc<Self>, from: &Name, total: Total) {
-        let Total { word, reported, loads } = total;
-        if self.gatherer.borrow().as_ref() == Some(from) {
+    /// Handles the total load sent by an aggregator.
+    fn peer_total(self: &Rc<Self>, from: &Name, total: LoadTotal) {
+        let LoadTotal { status, reported, loads } = total;
+        if self.load_aggregator.borrow().as_ref() == Some(from) {
             let own = reported.iter().find(|(host, _)| *host == self.settings.host);
             if let Some((_, number)) = own {
                 let loads = self.totals.borrow_mut().without_own(*number, loads);
@@ -146,10 +150,10 @@
                 self.request_event(dispatch::Event::PeerDigest { host: from.clone(), digest });
             }
         }
-        self.take_word(from, &word);
+        self.receive_status(from, &status);
     }
 
-    /// A host wants to hear from this one: the first word shows that it will.
+    /// Handles a subscription. The status sent first shows that the subscription was accepted.
     fn subscribed(
         self: &Rc<Self>,
         from: &Name,
@@ -157,9 +161,9 @@
         have: &[(Name, Revision)],
         is_aggregator: bool,
     ) {
-        self.introduced(from, entry);
-        self.send(from, &PeerMessage::Word(self.word()));
-        self.tell_beliefs(from);
+        self.peer_introduced(from, entry);
+        self.send(from, &PeerMessage::Status(self.host_status()));
+        self.send_known_state(from);
         if self.is_leaving() {
             return;
         }
@@ -169,74 +173,75 @@
         } else {
             self.totals.borrow_mut().subscribe(now, from.clone());
         }
-        self.review_subscribers();
+        self.update_subscribers();
         if let Some(message) = self.sync(have) {
             self.send(from, &message);
         }
     }
 
-    /// Tells the choice of a source who hears from this host, if that has changed.
-    fn review_subscribers(self: &Rc<Self>) {
+    /// Informs the source selection of the current subscribers, if they changed.
+    fn update_subscribers(self: &Rc<Self>) {
         let hosts = {
             let totals = self.totals.borrow();
             let count = totals.subscribers().count() + totals.listeners().count();
-            let follow = self.follow.borrow();
-            let is_same = count == follow.subscribers().len()
+            let selector = self.source_selector.borrow();
+            let is_unchanged = count == selector.subscribers().len()
                 && totals
                     .subscribers()
                     .chain(totals.listeners())
-                    .all(|host| follow.subscribers().contains(host));
-            if is_same {
+                    .all(|host| selector.subscribers().contains(host));
+            if is_unchanged {
                 return;
             }
             totals.subscribers().chain(totals.listeners()).cloned().collect()
         };
-        self.follow_event(FollowEvent::Subscribers(hosts));
-        self.review_loads();
+        self.source_event(SourceEvent::Subscribers(hosts));
+        self.update_load_aggregator();
     }
 
     fn peer_left(self: &Rc<Self>, host: Name) {
-        self.review_subscribers();
+        self.update_subscribers();
         self.request_event(dispatch::Event::PeerGone { host });
     }
 
-    /// Milliseconds between two tellings of this host's load.
-    pub(crate) fn digest_ms(&self) -> u64 {
-        if !self.is_fleet() {
-            return DIGEST_MS;
+    /// Interval of this host's load messages, in milliseconds.
+    pub(crate) fn digest_interval_ms(&self) -> u64 {
+        if !self.uses_aggregators() {
+            return DIGEST_INTERVAL_MS;
         }
         let peers = self.peers.borrow();
-        let near = peers.values().filter(|entry| entry.domain == self.settings.domain).count();
-        let gatherer = self.gatherer.borrow();
-        let gatherer = gatherer.as_ref().and_then(|host| peers.get(host));
-        let capacity = gatherer.map_or(self.settings.capacity, |entry| entry.capacity);
-        status_interval_ms(near, capacity)
+        let same_domain =
+            peers.values().filter(|entry| entry.domain == self.settings.domain).count();
+        let aggregator = self.load_aggregator.borrow();
+        let aggregator = aggregator.as_ref().and_then(|host| peers.get(host));
+        let capacity = aggregator.map_or(self.settings.capacity, |entry| entry.capacity);
+        status_interval_ms(same_domain, capacity)
     }
 
-    /// Tells other hosts this one's load.
-    pub(crate) fn tell_load(self: &Rc<Self>) {
+    /// Sends this host's load to the hosts that need it.
+    pub(crate) fn send_load(self: &Rc<Self>) {
         let now = self.clock.now();
         let digest = self.dispatch.borrow_mut().digest(now);
         let source = self.source.borrow().clone();
-        self.review_loads();
+        self.update_load_aggregator();
         match source {
             Source::Host(host) if self.is_aggregator() => {
-                self.send(&host, &PeerMessage::Listening);
-                self.tell_sums(digest);
+                self.send(&host, &PeerMessage::KeepSubscription);
+                self.send_sums(digest);
             }
             Source::Host(host) => {
                 let number = self.totals.borrow_mut().number_report(now, &digest);
                 let version = self.version();
                 self.send(&host, &PeerMessage::Report { number, version, digest });
             }
-            Source::Store | Source::Searching => self.tell_sums(digest),
+            Source::Store | Source::Searching => self.send_sums(digest),
         }
         let silent = self.totals.borrow_mut().forget_silent(now);
         silent.into_iter().for_each(|host| self.peer_left(host));
-        self.review_subscribers();
+        self.update_subscribers();
     }
 
-    fn tell_sums(self: &Rc<Self>, mut own: Digest) {
+    fn send_sums(self: &Rc<Self>, mut own: Digest) {
         let (sum, reported, loads) = {
             let mut totals = self.totals.borrow_mut();
             totals.add_demand(std::mem::take(&mut own.demand));
@@ -244,7 +249,7 @@
             let (reported, loads) = totals.total(&sum);
             (sum, reported, loads)
         };
-        self.placement_event(placement::Event::Demand(samples(&sum)));
+        self.placement_event(placement::Event::Demand(demand_samples(&sum)));
         let version = self.version();
         let now = self.clock.now();
         let mut listeners: Vec<Name> = self.totals.borrow().listeners().cloned().collect();
@@ -252,27 +257,29 @@
             let subscribers: Vec<Name> = self.totals.borrow().subscribers().cloned().collect();
             if self.sum_spacing.borrow().is_due(now) {
                 let reported = reported.into_iter().map(|one| (one.host, one.number)).collect();
-                let total = PeerMessage::Total(Total { word: self.word(), reported, loads });
+                let total =
+                    PeerMessage::Total(LoadTotal { status: self.host_status(), reported, loads });
                 let bytes = self.send_all(subscribers.iter(), &total);
                 self.sum_spacing.borrow_mut().record_sent(now, bytes);
             } else {
-                // They hear that their source lives and how old its keys are, without the loads.
+                // The status shows that the source is alive and how old its keys are, without the
+                // loads.
                 listeners.extend(subscribers);
             }
         }
         if !listeners.is_empty() {
-            self.send_all(listeners.iter(), &PeerMessage::Word(self.word()));
+            self.send_all(listeners.iter(), &PeerMessage::Status(self.host_status()));
         }
         let is_new = *self.last_digest.borrow() != sum;
         if is_new || !sum.loads.is_empty() {
             let message = PeerMessage::Digest { version, digest: sum.clone() };
-            self.send_all(self.sum_readers().iter(), &message);
+            self.send_all(self.sum_receivers().iter(), &message);
             *self.last_digest.borrow_mut() = sum;
         }
     }
 
-    /// Tells all subscribers what `message` gives; it is made only if there are any.
-    pub(crate) fn tell_subscribers(&self, message: impl FnOnce() -> Option<PeerMessage>) {
+    /// Sends the result of `message` to all subscribers; it is only called if there are any.
+    pub(crate) fn send_to_subscribers(&self, message: impl FnOnce() -> Option<PeerMessage>) {
         let subscribers: Vec<Name> = {
             let totals = self.totals.borrow();
             totals.subscribers().chain(totals.listeners()).cloned().collect()
@@ -285,9 +292,11 @@
         }
     }
 
-    /// The hosts that need this one's sum: the other aggregators, and who gives the orders.
-    pub(crate) fn sum_readers(&self) -> BTreeSet<Name> {
-        let mut hosts: BTreeSet<Name> = self.follow.borrow().aggregators().into_iter().collect();
+    /// The hosts that need this host's load sum: the other aggregators and the holder of the order
+    /// lease.
+    pub(crate) fn sum_receivers(&self) -> BTreeSet<Name> {
+        let mut hosts: BTreeSet<Name> =
+            self.source_selector.borrow().aggregators().into_iter().collect();
         hosts.extend(self.totals.borrow().peer_aggregators().cloned());
         hosts.extend(self.holder.borrow().clone());
         hosts.remove(&self.settings.host);
@@ -295,8 +304,8 @@
     }
 }
 
-/// What a digest tells of the demand.
-fn samples(digest: &Digest) -> Vec<DemandSample> {
+/// Converts the demand rows of a digest.
+fn demand_samples(digest: &Digest) -> Vec<DemandSample> {
     let samples = digest.demand.iter().map(|row| DemandSample {
         service: row.service.clone(),
         subject: ModelRef { model: row.model.clone(), adapter: row.adapter.clone() },
@@ -306,7 +315,7 @@
     samples.collect()
 }
 
-/// Up to where a host knows each prefix.
-fn in_era(have: Vec<(Name, u64)>, era: Era) -> Vec<(Name, Revision)> {
+/// Converts revision numbers per prefix to revisions of `era`.
+fn revisions_in_era(have: Vec<(Name, u64)>, era: Era) -> Vec<(Name, Revision)> {
     have.into_iter().map(|(prefix, number)| (prefix, Revision::new(era, number))).collect()
 }
--- a/crates/gateway/src/tenure.rs
+++ b/crates/gateway/src/order_lease.rs
@@ -1,4 +1,4 @@
-//! The calls to the store that this host's tenure asks for.
+//! Performs the store calls requested by the order lease's state machine.
 
 use crate::hub::Hub;
 use std::rc::Rc;
@@ -8,23 +8,23 @@
 };
 use vanetally_types::Name;
 
-/// The key of the one host that gives orders.
+/// Key that names the holder of the order lease, the one host that sends orders.
 pub(crate) const HOLDER_KEY: &str = "vanetally/orders";
 
-/// Makes the call of `action` and tells the tenure how it went.
-pub(crate) async fn carry_out(hub: Rc<Hub>, action: OrderLeaseAction) {
+/// Performs the call of `action` and passes its outcome to the state machine.
+pub(crate) async fn perform(hub: Rc<Hub>, action: OrderLeaseAction) {
     let event = match action {
         OrderLeaseAction::Grant { ttl_ms } => grant(&hub, ttl_ms).await,
-        OrderLeaseAction::WriteKey { lease } => take(&hub, lease).await,
+        OrderLeaseAction::WriteKey { lease } => write_key(&hub, lease).await,
         OrderLeaseAction::Renew { lease } => renew(&hub, lease).await,
         OrderLeaseAction::End { lease } => {
             log::info!("event=order_lease_ended lease={}", lease.id);
-            // If it can't be ended it runs out.
+            // If the call fails, the lease expires by itself.
             let _ = hub.store.end(lease).await;
             return;
         }
     };
-    hub.tenure_event(event);
+    hub.order_lease_event(event);
 }
 
 async fn grant(hub: &Hub, ttl_ms: u64) -> OrderLeaseEvent {
@@ -35,7 +35,7 @@
     }
 }
 
-async fn take(hub: &Hub, lease: LeaseId) -> OrderLeaseEvent {
+async fn write_key(hub: &Hub, lease: LeaseId) -> OrderLeaseEvent {
     let key: Name = HOLDER_KEY.into();
     let value = hub.settings.host.as_bytes().to_vec().into();
     let transaction = Transaction {
@@ -44,14 +44,15 @@
         remove: Vec::new(),
     };
     match hub.store.transact(&transaction).await {
-        Ok(StoreAnswer::Done(revision)) => taken(hub, lease, revision).await,
-        // Without an answer the key may yet be written: it goes with its lease, which is ended.
+        Ok(StoreAnswer::Done(revision)) => check_written(hub, lease, revision).await,
+        // Without a response the key may still be written. It is removed with its lease, which is
+        // ended.
         _ => OrderLeaseEvent::KeyNotWritten,
     }
 }
 
-/// The key was written, though perhaps under a lease of an era that is over.
-async fn taken(hub: &Hub, lease: LeaseId, revision: Revision) -> OrderLeaseEvent {
+/// Checks the written key, which may belong to a lease of an earlier era.
+async fn check_written(hub: &Hub, lease: LeaseId, revision: Revision) -> OrderLeaseEvent {
     let token = FencingToken::try_from(revision);
     match token {
         Ok(token) if revision.era == lease.era => {
@@ -70,7 +71,7 @@
         remove: vec![key],
         ..Transaction::default()
     };
-    // What can't be removed goes with its lease.
+    // If the removal fails, the key is removed with its lease.
     let _ = hub.store.transact(&transaction).await;
     OrderLeaseEvent::KeyNotWritten
 }
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -1,10 +1,11 @@
-//! The holder's part: tenure, placement, orders and reports.
+//! Holder side of order control: the order lease, placement, orders and runner reports.
 
 use crate::{
     call,
     hub::Hub,
+    order_lease,
     peers::{PeerMessage, holder_name},
-    telemetry, tenure,
+    telemetry,
 };
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use vanetally_dispatch::{self as dispatch, Presence};
@@ -12,32 +13,36 @@
 use vanetally_ports::{Era, FormatError, Item, ModelRef, Order, OrderOutcome};
 use vanetally_types::{Incarnation, Name};
 
-/// For a runner to answer a report.
-const REPORT: Duration = Duration::from_millis(800);
-/// For a runner to answer an order.
-const ORDER: Duration = Duration::from_millis(1_200);
+/// Timeout of a report request to a runner.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout of an order to a runner.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 impl Hub {
-    pub(crate) fn want(self: &Rc<Self>, service: Name, subject: ModelRef, is_crowded: bool) {
-        let is_holder = self.tenure.borrow().is_holding(self.clock.now());
+    pub(crate) fn request_model(
+        self: &Rc<Self>,
+        service: Name,
+        subject: ModelRef,
+        is_saturated: bool,
+    ) {
+        let is_holder = self.order_lease.borrow().is_holding(self.clock.now());
         let holder = self.holder.borrow().clone();
         log::info!(
-            "event=model_wanted service={service} subject={subject} crowded={is_crowded} holder={}",
+            "event=model_wanted service={service} subject={subject} crowded={is_saturated} holder={}",
             holder.as_deref().unwrap_or("-")
         );
         if is_holder {
-            self.placement_event(placement::Event::Requested {
-                service,
-                subject,
-                is_saturated: is_crowded,
-            });
+            self.placement_event(placement::Event::Requested { service, subject, is_saturated });
         } else if let Some(holder) = holder {
             let ModelRef { model, adapter } = subject;
-            self.send(&holder, &PeerMessage::Want { service, model, adapter, is_crowded });
+            self.send(
+                &holder,
+                &PeerMessage::RequestModel { service, model, adapter, is_saturated },
+            );
         }
     }
 
-    /// The store tells who holds the orders' key.
+    /// Handles a change of the order key's holder in the store.
     pub(crate) fn holder_seen(self: &Rc<Self>, holder: Option<Name>) {
         if *self.holder.borrow() != holder {
             log::info!("event=order_holder_seen holder={}", holder.as_deref().unwrap_or("-"));
@@ -45,34 +50,34 @@
         *self.holder.borrow_mut() = holder.clone();
         self.quotas.borrow_mut().client.set_grantor(holder.clone());
         self.limits.borrow_mut().contact.set_grantor(holder.clone());
-        self.tenure_event(OrderLeaseEvent::HolderSeen(holder));
+        self.order_lease_event(OrderLeaseEvent::HolderSeen(holder));
     }
 
-    /// The store came back from a copy, in which `key` names the holder.
-    pub(crate) fn orders_returned(self: &Rc<Self>, era: Era, key: Option<&Item>) {
+    /// Handles a restore of the store from a backup, in which `key` names the holder.
+    pub(crate) fn order_key_restored(self: &Rc<Self>, era: Era, key: Option<&Item>) {
         let own = key.filter(|key| holder_name(key).as_ref() == Some(&self.settings.host));
         let own = own.map(|key| key.revision);
-        let was_holder = self.tenure.borrow().is_holding(self.clock.now());
-        self.tenure_event(OrderLeaseEvent::StoreRestored { era, own_key: own });
-        if was_holder {
-            let is_kept = self.tenure.borrow().is_holding(self.clock.now());
+        let was_holding = self.order_lease.borrow().is_holding(self.clock.now());
+        self.order_lease_event(OrderLeaseEvent::StoreRestored { era, own_key: own });
+        if was_holding {
+            let is_kept = self.order_lease.borrow().is_holding(self.clock.now());
             log::warn!("event=order_key_returned era={era} kept={is_kept}");
         }
     }
 
-    /// Tells the tenure what happened, and makes the calls that it asks for.
-    pub(crate) fn tenure_event(self: &Rc<Self>, event: OrderLeaseEvent) {
+    /// Passes an event to the order lease and starts the store calls it requests.
+    pub(crate) fn order_lease_event(self: &Rc<Self>, event: OrderLeaseEvent) {
         let now = self.clock.now();
-        let actions = self.tenure.borrow_mut().handle(now, event);
+        let actions = self.order_lease.borrow_mut().handle(now, event);
         for action in actions {
-            tokio::task::spawn_local(tenure::carry_out(self.clone(), action));
+            tokio::task::spawn_local(order_lease::perform(self.clone(), action));
         }
     }
 
-    /// Tells the placement what happened, and does what it says.
+    /// Passes an event to the planner and performs the resulting actions.
     pub(crate) fn placement_event(self: &Rc<Self>, event: placement::Event) {
         let now = self.clock.now();
-        let token = self.tenure.borrow().token(now);
+        let token = self.order_lease.borrow().token(now);
         let mut actions = {
             let mut placement = self.placement.borrow_mut();
             let mut actions = placement.handle(now, placement::Event::Token(token));
@@ -80,17 +85,17 @@
             actions
         };
         for action in actions.drain(..) {
-            self.place(action);
+            self.perform_placement(action);
         }
     }
 
-    fn place(self: &Rc<Self>, action: placement::Action) {
+    fn perform_placement(self: &Rc<Self>, action: placement::Action) {
         match action {
             placement::Action::Order { order, address, known } => {
-                tokio::task::spawn_local(give_order(self.clone(), order, address, known));
+                tokio::task::spawn_local(send_order(self.clone(), order, address, known));
             }
             placement::Action::RequestReport { runner, address } => {
-                tokio::task::spawn_local(ask_report(self.clone(), runner, address));
+                tokio::task::spawn_local(request_report(self.clone(), runner, address));
             }
             placement::Action::Announce { runner, subject, is_present, delay_ms } => {
                 let hub = self.clone();
@@ -101,7 +106,7 @@
                     hub.announce(runner, subject, is_present);
                 });
             }
-            placement::Action::Resign => self.tenure_event(OrderLeaseEvent::Fenced),
+            placement::Action::Resign => self.order_lease_event(OrderLeaseEvent::Fenced),
         }
     }
 
@@ -112,17 +117,17 @@
             adapter: subject.adapter.clone(),
             is_present,
         };
-        if self.is_fleet() {
-            self.send_all(self.sum_readers().iter(), &message);
-            self.pass_on_placed(&self.settings.host, &message);
+        if self.uses_aggregators() {
+            self.send_all(self.sum_receivers().iter(), &message);
+            self.relay_placed(&self.settings.host, &message);
         } else {
             self.broadcast(&message);
         }
         self.placed(runner, subject, is_present);
     }
 
-    /// An aggregator tells the hosts that report to it what the holder of orders told.
-    pub(crate) fn pass_on_placed(&self, from: &Name, message: &PeerMessage) {
+    /// Forwards the holder's announcement to the subscribers, as an aggregator.
+    pub(crate) fn relay_placed(&self, from: &Name, message: &PeerMessage) {
         let hosts: Vec<Name> = self.totals.borrow().subscribers().cloned().collect();
         if !hosts.is_empty() {
             self.send_all(hosts.iter().filter(|host| *host != from), message);
@@ -143,9 +148,9 @@
     }
 }
 
-async fn give_order(hub: Rc<Hub>, order: Order, address: SocketAddr, known: KnownState) {
-    if hub.rests(&order.runner, ORDER).await {
-        // Its token and what it rests on may be out of date by now.
+async fn send_order(hub: Rc<Hub>, order: Order, address: SocketAddr, known: KnownState) {
+    if hub.await_cooldown(&order.runner, ORDER_TIMEOUT).await {
+        // The order's fencing token and the report it is based on may be outdated by now.
         let outcome = OrderOutcome::NotSent;
         return hub.placement_event(placement::Event::OrderAnswered { order, outcome });
     }
@@ -163,13 +168,13 @@
         known.report_age_ms
     );
     let request = hub.ports.engine.order_request(&order);
-    let outcome = match call::call(&hub.control, address, request, ORDER).await {
+    let outcome = match call::call(&hub.control_pool, address, request, ORDER_TIMEOUT).await {
         Ok(reply) => {
-            hub.note_reply(&order.runner, &reply.head);
+            hub.handle_reply_head(&order.runner, &reply.head);
             hub.ports.engine.classify_order(reply.status())
         }
         Err(call::Error::NotSent(_)) => OrderOutcome::NotSent,
-        Err(call::Error::Unanswered(_) | call::Error::Hung) => OrderOutcome::Unknown,
+        Err(call::Error::Unanswered(_) | call::Error::Cancelled) => OrderOutcome::Unknown,
     };
     log::info!(
         "event=order_answered runner={} count={} token={} outcome={}",
@@ -178,24 +183,24 @@
         order.token,
         outcome.as_str()
     );
-    telemetry::ordered(outcome);
+    telemetry::order_finished(outcome);
     hub.placement_event(placement::Event::OrderAnswered { order, outcome });
 }
 
-async fn ask_report(hub: Rc<Hub>, runner: Incarnation, address: SocketAddr) {
-    if hub.rests(&runner, REPORT).await {
-        let asked = hub.clock.now();
+async fn request_report(hub: Rc<Hub>, runner: Incarnation, address: SocketAddr) {
+    if hub.await_cooldown(&runner, REPORT_TIMEOUT).await {
+        let requested_at = hub.clock.now();
         return hub.placement_event(placement::Event::Reported {
             runner,
-            requested_at: asked,
+            requested_at,
             report: None,
         });
     }
-    let asked = hub.clock.now();
+    let requested_at = hub.clock.now();
     let request = hub.ports.engine.report_request(&runner);
-    let reply = call::call(&hub.control, address, request, REPORT).await;
+    let reply = call::call(&hub.control_pool, address, request, REPORT_TIMEOUT).await;
     if let Ok(reply) = &reply {
-        hub.note_reply(&runner, &reply.head);
+        hub.handle_reply_head(&runner, &reply.head);
     }
     let report = match reply {
         Ok(reply) if reply.status().is_success() => {
@@ -213,9 +218,5 @@
             log::info!("event=report_of_another runner={runner} born={born}");
         }
     }
-    hub.placement_event(placement::Event::Reported {
-        runner,
-        requested_at: asked,
-        report: report.ok(),
-    });
+    hub.placement_event(placement::Event::Reported { runner, requested_at, report: report.ok() });
 }
--- a/crates/gateway/src/pacing.rs
+++ b/crates/gateway/src/pacing.rs
@@ -1,4 +1,4 @@
-//! Asking pacers for the moments of prompts, and answering as one.
+//! Requests send times for prompts from pacers, and assigns them when this host is the pacer.
 
 use crate::{hub::Hub, peers::PeerMessage};
 use std::{collections::HashMap, rc::Rc};
@@ -6,115 +6,118 @@
 use vanetally_pacing::{BreakerTransition, Pacer, Pacers, Prompt, SlotReply};
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// For a pacer to answer, in milliseconds: after that this host decides alone.
-const ANSWER_MS: u64 = 40;
+/// Timeout of a pacer's answer, after which this host decides alone.
+const ANSWER_TIMEOUT_MS: u64 = 40;
 
-/// A question that another host has not answered.
-struct Question {
+/// A reservation request that another host has not answered yet.
+struct PendingReservation {
     id: RequestId,
     reservation: u32,
     prompt: Prompt,
     host: Name,
-    asked: Tick,
+    requested_at: Tick,
 }
 
-/// This host's part in pacing.
+/// This host's pacing state, as client and as pacer.
 pub(crate) struct Pacing {
     pacer: Pacer,
     pacers: Pacers,
-    questions: HashMap<u64, Question>,
+    pending: HashMap<u64, PendingReservation>,
     next_number: u64,
 }
 
 impl Pacing {
-    /// Only this host is known.
-    pub(crate) fn new(me: Name) -> Self {
+    /// Creates the state with this host as the only pacer.
+    pub(crate) fn new(own: Name) -> Self {
         Self {
             pacer: Pacer::default(),
-            pacers: Pacers::new(me),
-            questions: HashMap::new(),
+            pacers: Pacers::new(own),
+            pending: HashMap::new(),
             next_number: 0,
         }
     }
 
-    /// The hosts that live, with their capacities.
+    /// Sets the live hosts with their capacities.
     pub(crate) fn set_hosts(&mut self, hosts: Vec<(Name, u32)>) {
         self.pacers.set_hosts(hosts);
     }
 
-    /// An engine let go of a model.
+    /// Records that an engine unloaded a model.
     pub(crate) fn drop_model(&mut self, upstream: &Incarnation, model: &Name) {
         self.pacer.drop_model(upstream, model);
     }
 
-    /// An engine has gone.
+    /// Removes an engine.
     pub(crate) fn forget(&mut self, upstream: &Incarnation) {
         self.pacer.forget(upstream);
     }
 
-    /// Notes a question, and numbers it.
-    fn ask(&mut self, question: Question) -> u64 {
+    /// Stores a pending reservation and returns its number.
+    fn add_pending(&mut self, request: PendingReservation) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
-        self.questions.insert(number, question);
+        self.pending.insert(number, request);
         number
     }
 
-    /// Takes out the questions that were not answered in time.
-    fn take_unanswered(&mut self, now: Tick) -> Vec<Question> {
-        let late = self.questions.extract_if(|_, question| now.since(question.asked) > ANSWER_MS);
-        late.map(|(_, question)| question).collect()
+    /// Removes and returns the reservations that were not answered in time.
+    fn take_unanswered(&mut self, now: Tick) -> Vec<PendingReservation> {
+        let unanswered = self
+            .pending
+            .extract_if(|_, request| now.since(request.requested_at) > ANSWER_TIMEOUT_MS);
+        unanswered.map(|(_, request)| request).collect()
     }
 }
 
 impl Hub {
-    /// Asks the pacer of the prompt's engine for its moment.
+    /// Requests a send time from the pacer of the prompt's engine.
     pub(crate) fn reserve(self: &Rc<Self>, id: RequestId, reservation: u32, prompt: Prompt) {
         let now = self.clock.now();
         let host = self.pacing.borrow_mut().pacers.pacer_of(now, &prompt.upstream.id).clone();
         if host == self.settings.host {
-            return self.reserve_here(id, reservation, &prompt);
+            return self.reserve_locally(id, reservation, &prompt);
         }
-        let question = Question { id, reservation, prompt: prompt.clone(), host, asked: now };
-        let host = question.host.clone();
-        let number = self.pacing.borrow_mut().ask(question);
+        let request =
+            PendingReservation { id, reservation, prompt: prompt.clone(), host, requested_at: now };
+        let host = request.host.clone();
+        let number = self.pacing.borrow_mut().add_pending(request);
         self.send(&host, &PeerMessage::Reserve { number, prompt });
     }
 
-    fn reserve_here(self: &Rc<Self>, id: RequestId, reservation: u32, prompt: &Prompt) {
+    fn reserve_locally(self: &Rc<Self>, id: RequestId, reservation: u32, prompt: &Prompt) {
         let slot = self.pacing.borrow_mut().pacer.reserve(self.clock.now(), prompt);
         self.request_event(dispatch::Event::Reserved { id, reservation, slot });
     }
 
-    /// Another host asks for a moment.
-    pub(crate) fn reserve_for(&self, host: &Name, number: u64, prompt: &Prompt) {
+    /// Assigns a send time for another host.
+    pub(crate) fn reserve_for_peer(&self, host: &Name, number: u64, prompt: &Prompt) {
         let slot = self.pacing.borrow_mut().pacer.reserve(self.clock.now(), prompt);
         self.send(host, &PeerMessage::Reserved { number, slot });
     }
 
-    /// A pacer answered.
+    /// Handles the answer of a pacer.
     pub(crate) fn reserved(self: &Rc<Self>, number: u64, slot: SlotReply) {
-        let question = self.pacing.borrow_mut().questions.remove(&number);
-        if let Some(Question { id, reservation, .. }) = question {
+        let request = self.pacing.borrow_mut().pending.remove(&number);
+        if let Some(PendingReservation { id, reservation, .. }) = request {
             self.request_event(dispatch::Event::Reserved { id, reservation, slot });
         }
     }
 
-    /// Tells the pacer of an engine how a request ended there.
-    pub(crate) fn tell_pacer(&self, upstream: Incarnation, is_good: bool) {
+    /// Reports the end of a request to the pacer of its engine.
+    pub(crate) fn report_end(&self, upstream: Incarnation, is_good: bool) {
         let now = self.clock.now();
         let host = self.pacing.borrow_mut().pacers.pacer_of(now, &upstream.id).clone();
         if host == self.settings.host {
-            return self.told_end(&host, &upstream, is_good);
+            return self.record_end(&host, &upstream, is_good);
         }
         self.send(&host, &PeerMessage::Ended { upstream, is_good });
     }
 
-    /// A host told how a request ended at an engine that this one paces.
-    pub(crate) fn told_end(&self, from: &Name, upstream: &Incarnation, is_good: bool) {
-        let turn =
+    /// Records how a request ended at an engine paced by this host.
+    pub(crate) fn record_end(&self, from: &Name, upstream: &Incarnation, is_good: bool) {
+        let transition =
             self.pacing.borrow_mut().pacer.record_outcome(self.clock.now(), upstream, is_good);
-        match turn {
+        match transition {
             None => {}
             Some(BreakerTransition::Opened { pause_ms }) => {
                 log::info!(
@@ -127,19 +130,19 @@
         }
     }
 
-    /// Decides alone what pacers did not answer.
-    pub(crate) fn check_pacers(self: &Rc<Self>) {
+    /// Decides locally on the reservations that pacers did not answer.
+    pub(crate) fn decide_unanswered(self: &Rc<Self>) {
         let now = self.clock.now();
         let unanswered = self.pacing.borrow_mut().take_unanswered(now);
-        for question in unanswered {
+        for request in unanswered {
             log::info!(
                 "event=pacer_silent host={} upstream={} after_ms={}",
-                question.host,
-                question.prompt.upstream,
-                now.since(question.asked)
+                request.host,
+                request.prompt.upstream,
+                now.since(request.requested_at)
             );
-            self.pacing.borrow_mut().pacers.mark_silent(now, &question.host);
-            self.reserve_here(question.id, question.reservation, &question.prompt);
+            self.pacing.borrow_mut().pacers.mark_silent(now, &request.host);
+            self.reserve_locally(request.id, request.reservation, &request.prompt);
         }
     }
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,11 +1,11 @@
-//! Other hosts: their keys in the store, and what hosts tell each other over links.
+//! Host keys in the store, and the messages exchanged between hosts.
 
 use crate::{
     feed::{PrefixChanges, PrefixSync},
     hub::Hub,
+    order_lease::HOLDER_KEY,
     quarantine::is_quarantine,
-    tenure::HOLDER_KEY,
-    watch::Follower,
+    watch::FeedHandler,
     wire,
 };
 use serde::{Deserialize, Serialize};
@@ -20,117 +20,123 @@
 use vanetally_quota::QuotaAnswer;
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// The beginning of all keys of the product.
-pub(crate) const PREFIX: &str = "vanetally/";
-/// The beginning of the hosts' keys.
-pub(crate) const HOSTS: &str = "vanetally/hosts/";
+/// Prefix of all keys of the product.
+pub(crate) const PRODUCT_PREFIX: &str = "vanetally/";
+/// Prefix of the host keys.
+pub(crate) const HOST_PREFIX: &str = "vanetally/hosts/";
 
-/// What a host's key says.
+/// The value of a host key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct HostEntry {
-    /// Where its links listen.
+    /// The address on which the host accepts links.
     pub link: SocketAddr,
-    /// Its failure domain.
+    /// The host's failure domain.
     #[serde(default, alias = "zone")]
     pub domain: Name,
-    /// Its share of a processor, in percent.
+    /// The host's CPU share, in percent.
     #[serde(default)]
     pub capacity: u32,
 }
 
-/// What hosts tell each other.
+/// A message between hosts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
-    /// From one aggregator to others: the load of the sender and its subscribers, and the version
-    /// of its configuration.
+    /// From one aggregator to the others: the load sum of the sender and its subscribers, and its
+    /// configuration version.
     Digest {
-        /// The version, 0 if none.
+        /// The configuration version, 0 if none.
         version: u64,
-        /// The load.
+        /// The load and demand.
         digest: Digest,
     },
-    /// To an aggregator: the sender's load, and the version of its configuration.
+    /// To an aggregator: the sender's load and configuration version.
     Report {
-        /// The number of this report.
+        /// The sequence number of this report.
         number: u64,
-        /// The version, 0 if none.
+        /// The configuration version, 0 if none.
         version: u64,
-        /// The load.
+        /// The load and demand.
         digest: Digest,
     },
-    /// From an aggregator to its subscribers.
-    Total(Total),
-    /// The sender passes on what lies in the store; how it stands.
-    Word(Word),
-    /// The sender wants to hear what is new to it, and changes from then on.
+    /// From an aggregator to its subscribers: the total load.
+    Total(LoadTotal),
+    /// From a host that forwards store data: its status.
+    #[serde(rename = "Word")]
+    Status(HostStatus),
+    /// Subscribes the sender: the receiver replies with a [`Self::Sync`] and sends changes from
+    /// then on.
     Subscribe {
-        /// The sender's key, which the receiver may not have heard of.
+        /// The sender's entry, which the receiver may not have seen yet.
         entry: HostEntry,
-        /// Up to where the sender knows all changes, by prefix.
+        /// The revision up to which the sender knows all changes, by prefix.
         have: Vec<(Name, u64)>,
-        /// The era of all these; hosts of earlier builds tell none.
+        /// The era of these revisions; omitted by hosts of earlier builds.
         #[serde(default, skip_serializing_if = "wire::is_none")]
         era: u64,
         /// Whether the sender is an aggregator itself.
         is_aggregator: bool,
     },
-    /// The sender, an aggregator, still hears from the receiver.
-    Listening,
-    /// The sender needs no more.
+    /// From a subscribed aggregator: keeps its subscription alive.
+    #[serde(rename = "Listening")]
+    KeepSubscription,
+    /// Ends the sender's subscription.
     Unsubscribe,
-    /// What is new to a subscriber.
+    /// Brings a subscriber up to date.
     Sync {
-        /// The sender's contact with the store.
+        /// The state of the sender's contact with the store.
         store: StoreState,
-        /// Milliseconds since the store confirmed it.
+        /// Milliseconds since the store confirmed the data.
         age_ms: Option<u64>,
-        /// By way of whom the sender hears from the store; hosts of earlier builds say nothing of it.
+        /// The hosts through which the sender receives store data; omitted by hosts of earlier
+        /// builds.
         #[serde(default)]
         path: Path,
-        /// What is new, by prefix.
+        /// The update of each prefix.
         prefixes: Vec<PrefixSync>,
     },
-    /// From an aggregator: what changed.
+    /// From an aggregator: changes to the store's keys.
     Changes {
-        /// Its contact with the store.
+        /// The state of its contact with the store.
         store: StoreState,
         /// The changes.
         changes: PrefixChanges,
     },
-    /// To the pacer of an engine: when may this prompt be sent?
+    /// To the pacer of an engine: requests a send time for a prompt.
     Reserve {
-        /// The number of this question.
+        /// The number of this request.
         number: u64,
         /// The prompt.
         prompt: Prompt,
     },
-    /// From the pacer of an engine.
+    /// From the pacer of an engine: the answer to [`Self::Reserve`].
     Reserved {
-        /// The number of the question.
+        /// The number of the request.
         number: u64,
-        /// When.
+        /// The assigned slot.
         slot: SlotReply,
     },
     /// To the pacer of an engine: how a request ended there.
     Ended {
         /// The engine's incarnation.
         upstream: Incarnation,
-        /// Whether it answered.
+        /// Whether the engine answered.
         is_good: bool,
     },
-    /// To the holder of orders: something is missing.
-    Want {
+    /// To the holder of the order lease: a model is in demand.
+    #[serde(rename = "Want")]
+    RequestModel {
         /// The service.
         service: Name,
         /// The model.
         model: Name,
         /// An adapter of it.
         adapter: Option<Name>,
-        /// Whether it is held, and one more copy is wanted.
+        /// Whether the model is loaded but saturated, so that another copy is needed.
         #[serde(default)]
-        is_crowded: bool,
+        #[serde(rename = "is_crowded")]
+        is_saturated: bool,
     },
-    /// From the holder of orders: what a runner holds.
+    /// From the holder of the order lease: what a runner holds.
     Placed {
         /// The runner.
         runner: Incarnation,
@@ -138,173 +144,186 @@
         model: Name,
         /// An adapter of it.
         adapter: Option<Name>,
-        /// Whether it is there.
+        /// Whether the model is loaded.
         is_present: bool,
     },
-    /// The sender asks for the receiver's clock.
+    /// Requests the receiver's clock.
     AskClock {
-        /// When it was asked, by the sender's clock.
+        /// When the request was sent, by the sender's clock.
         asked: Tick,
     },
-    /// The sender's clock, and how it stands.
+    /// The sender's clock and configuration status, in reply to [`Self::AskClock`].
     Clock {
-        /// When it was asked for, by the receiver's clock.
+        /// When the request was sent, by the receiver's clock.
         asked: Tick,
-        /// How the sender stands.
-        word: ConfigurationWord,
+        /// The sender's configuration status.
+        #[serde(rename = "word")]
+        status: ConfigurationStatus,
     },
-    /// To the grantor of quotas: may this be spent?
+    /// To the grantor: requests to spend quota.
     Spend {
-        /// The number of this question.
+        /// The number of this request.
         number: u64,
         /// The organisation.
         organisation: Name,
-        /// What the request counts as.
+        /// The cost of the request.
         cost: u32,
     },
-    /// From the grantor of quotas.
+    /// From the grantor: the answer to [`Self::Spend`].
     Spent {
-        /// The number of the question.
+        /// The number of the request.
         number: u64,
-        /// What it says.
+        /// The answer.
         answer: QuotaAnswer,
     },
-    /// To the grantor of quotas: what was granted did not run.
+    /// To the grantor: returns quota of a request that did not run.
     GiveBack {
         /// The organisation.
         organisation: Name,
-        /// What the request counted as.
+        /// The cost of the request.
         cost: u32,
     },
-    /// To the grantor: when may this request go to an upstream in need?
+    /// To the grantor: requests a permit for a rate-limited upstream.
     Permit {
-        /// The number of this question.
+        /// The number of this request.
         number: u64,
-        /// The question.
-        question: PermitRequest,
+        /// The permit request.
+        #[serde(rename = "question")]
+        request: PermitRequest,
     },
-    /// From the grantor.
+    /// From the grantor: the answer to [`Self::Permit`].
     Permitted {
-        /// The number of the question.
+        /// The number of the request.
         number: u64,
-        /// The question: what comes too late is given back.
-        question: PermitRequest,
-        /// What it says.
+        /// The permit request, so that a permit that arrives too late can be returned.
+        #[serde(rename = "question")]
+        request: PermitRequest,
+        /// The answer.
         answer: PermitAnswer,
     },
-    /// To the grantor: what was granted did not go.
+    /// To the grantor: returns a permit that was not used.
     ReturnPermit {
         /// The upstream's incarnation.
         upstream: Incarnation,
-        /// The rate by which it was granted, in requests a second.
+        /// The rate at which it was granted, in requests per second.
         rate: f64,
     },
-    /// To the last grantor, while the store is away: the sender asks it and nobody else.
-    Follows,
-    /// To those that keep the evidence of a content, from hosts of earlier builds: an upstream ended under it.
-    Accuse {
-        /// The content.
-        content: ContentHash,
+    /// To the last grantor, while the store is unreachable: the sender asks it and no other host.
+    #[serde(rename = "Follows")]
+    FollowsGrantor,
+    /// To the hosts that keep the crash evidence of a content hash, from earlier builds: an
+    /// upstream ended while it ran such a request.
+    #[serde(rename = "Accuse")]
+    LegacyCrashReport {
+        /// The content hash.
+        #[serde(rename = "content")]
+        content_hash: ContentHash,
         /// The upstream's incarnation.
         upstream: Incarnation,
     },
-    /// To those that keep the evidence of a content: an upstream showed a sign of its end under it.
-    Suspect(CrashReport),
-    /// To those that keep the evidence of a content: a request of it was answered whole.
+    /// To the hosts that keep the crash evidence of a content hash: an upstream showed a crash sign
+    /// while it ran such a request.
+    #[serde(rename = "Suspect")]
+    CrashReport(CrashReport),
+    /// To the hosts that keep the crash evidence of a content hash: such a request was answered
+    /// completely.
     #[serde(rename = "Acquit")]
     Clear(ContentHash),
-    /// Contents that must not be sent, or may be sent again.
+    /// Content hashes that are quarantined or released.
     #[serde(rename = "Sentenced")]
     Quarantined(Vec<Quarantine>),
-    /// Upstreams that have said that they leave.
+    /// Upstreams that have announced that they are leaving.
     Leaving(Vec<Incarnation>),
-    /// The sender asks for the configuration.
+    /// Requests the configuration.
     AskConfiguration {
-        /// The version that it has.
+        /// The version that the sender has.
         have: Option<u64>,
     },
-    /// The configuration as it lay in the store.
+    /// The stored configuration, as a patch.
     Configuration(Patch),
 }
 
-/// How a host stands that passes on what lies in the store.
+/// The status of a host that forwards store data.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Word {
-    /// The version of the configuration, 0 if none.
+pub(crate) struct HostStatus {
+    /// The configuration version, 0 if none.
     pub version: u64,
-    /// Milliseconds since the store confirmed what the host passes on.
+    /// Milliseconds since the store confirmed the forwarded data.
     pub age_ms: Option<u64>,
-    /// The same for the configuration; hosts of earlier versions say nothing of it.
+    /// The host's configuration status; omitted by hosts of earlier versions.
     #[serde(default)]
-    pub configuration: ConfigurationWord,
-    /// The host's contact with the store.
+    pub configuration: ConfigurationStatus,
+    /// The state of the host's contact with the store.
     pub store: StoreState,
-    /// What was told before this.
-    pub told: Vec<Told>,
-    /// Whether it is about to stop.
+    /// The revisions announced before this message, by prefix.
+    #[serde(rename = "told")]
+    pub announced: Vec<AnnouncedRevisions>,
+    /// Whether the host is stopping.
     pub is_leaving: bool,
-    /// By way of whom the host hears from the store; hosts of earlier builds say nothing of it.
+    /// The hosts through which the host receives store data; omitted by hosts of earlier builds.
     #[serde(default)]
     pub path: Path,
 }
 
-/// How certainly a host has the newest configuration.
+/// A host's configuration version and when it was last confirmed as the newest.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct ConfigurationWord {
-    /// The life of the host's process.
+pub(crate) struct ConfigurationStatus {
+    /// The incarnation of the host's process.
     #[serde(rename = "l")]
-    pub life: HostIncarnation,
-    /// When this was written, by the host's clock.
+    pub incarnation: HostIncarnation,
+    /// When this status was made, by the host's clock.
     #[serde(rename = "t")]
     pub stated: Tick,
-    /// Milliseconds since its configuration was certainly the newest; none if that is not known.
+    /// Milliseconds since its configuration was confirmed to be the newest; `None` if unknown.
     #[serde(rename = "a")]
     pub age_ms: Option<u64>,
-    /// The version.
+    /// The configuration version.
     #[serde(rename = "v")]
     pub version: u64,
 }
 
-/// Up to where the changes of a prefix were told, all of one era: what is missing of them was lost.
+/// The revisions up to which changes of a prefix were announced, all of one era. A receiver that
+/// lacks one of these changes has lost a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "wire::Told", into = "wire::Told")]
-pub(crate) struct Told {
+pub(crate) struct AnnouncedRevisions {
     /// The prefix.
     pub prefix: Name,
-    /// The last that was told.
+    /// The last announced revision.
     pub last: Revision,
-    /// There was no other up to here.
+    /// The revision up to which no further changes exist.
     pub at: Revision,
 }
 
-/// What an aggregator tells its subscribers, now and then.
+/// The total load, sent periodically by an aggregator to its subscribers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Total {
-    /// How it stands.
-    pub word: Word,
-    /// The reports that the loads include.
+pub(crate) struct LoadTotal {
+    /// The aggregator's status.
+    #[serde(rename = "word")]
+    pub status: HostStatus,
+    /// The report numbers included in the loads, by host.
     pub reported: Vec<(Name, u64)>,
     /// The load of all hosts.
     pub loads: Vec<LoadRow>,
 }
 
-/// Follows the product's own keys.
-pub(crate) struct PeerFollower {
+/// Handles changes of the product's own keys.
+pub(crate) struct PeerFeedHandler {
     pub hub: Rc<Hub>,
 }
 
-impl Follower for PeerFollower {
+impl FeedHandler for PeerFeedHandler {
     fn replaced(&self, snapshot: crate::store::Snapshot) {
         let era = snapshot.at.era;
-        let is_return = self.hub.keys_read(era);
-        let hosts = snapshot.items.iter().filter_map(entry).collect();
-        self.hub.set_peers(hosts, is_return);
+        let is_restore = self.hub.record_keys_read(era);
+        let hosts = snapshot.items.iter().filter_map(parse_entry).collect();
+        self.hub.set_peers(hosts, is_restore);
         let quarantines = snapshot.items.iter().filter(|item| is_quarantine(&item.key));
-        quarantines.for_each(|item| self.hub.kept_quarantine(item));
+        quarantines.for_each(|item| self.hub.apply_stored(item));
         let holder = snapshot.items.iter().find(|item| &*item.key == HOLDER_KEY);
-        if is_return {
-            self.hub.orders_returned(era, holder);
-            self.hub.keep_again();
+        if is_restore {
+            self.hub.order_key_restored(era, holder);
+            self.hub.restore_missing();
         }
         self.hub.holder_seen(holder.and_then(holder_name));
     }
@@ -314,15 +333,15 @@
             Change::Put(item) if &*item.key == HOLDER_KEY => {
                 self.hub.holder_seen(holder_name(&item));
             }
-            Change::Put(item) if is_quarantine(&item.key) => self.hub.kept_quarantine(&item),
+            Change::Put(item) if is_quarantine(&item.key) => self.hub.apply_stored(&item),
             Change::Put(item) => {
-                if let Some((host, entry)) = entry(&item) {
+                if let Some((host, entry)) = parse_entry(&item) {
                     self.hub.peer_seen(host, entry);
                 }
             }
             Change::Deleted { key, .. } if &*key == HOLDER_KEY => self.hub.holder_seen(None),
             Change::Deleted { key, .. } => {
-                if let Some(host) = key.strip_prefix(HOSTS) {
+                if let Some(host) = key.strip_prefix(HOST_PREFIX) {
                     self.hub.peer_gone(&host.into());
                 }
             }
@@ -330,13 +349,13 @@
     }
 
     fn lost(&self) {
-        self.hub.tenure_event(OrderLeaseEvent::StoreLost);
+        self.hub.order_lease_event(OrderLeaseEvent::StoreLost);
     }
 }
 
-/// The host and its entry, if `item` is a host's key.
-pub(crate) fn entry(item: &Item) -> Option<(Name, HostEntry)> {
-    let host = item.key.strip_prefix(HOSTS)?;
+/// Parses a host key; `None` if `item` is none or is unreadable.
+pub(crate) fn parse_entry(item: &Item) -> Option<(Name, HostEntry)> {
+    let host = item.key.strip_prefix(HOST_PREFIX)?;
     match serde_json::from_slice(&item.value) {
         Ok(entry) => Some((host.into(), entry)),
         Err(error) => {
--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/pending_request.rs
@@ -1,7 +1,7 @@
-//! A request that has no whole answer yet, as its caller's side sees it.
+//! An admitted request, from the side of its caller's connection.
 
 use crate::{
-    hub::{Command, Hub, Refused},
+    hub::{Command, Hub, RequestRefusal},
     quotas::Charge,
     telemetry,
 };
@@ -11,16 +11,16 @@
 use vanetally_ports::{Refusal, RefusalCause};
 use vanetally_types::{Name, Tick};
 
-/// What ends an attempt from this side.
+/// Why an attempt ends before its response does.
 pub(crate) enum Interrupt {
-    /// Its upstream has ended: it counts as broken off.
+    /// The upstream has ended; the attempt counts as broken.
     Abandoned,
-    /// The request has its final answer.
-    Refused(Refused),
+    /// The request is refused.
+    Refused(RequestRefusal),
 }
 
-/// Waits for what ends `attempt`.
-pub(crate) async fn interrupted(
+/// Waits for a command that ends `attempt`.
+pub(crate) async fn next_interrupt(
     commands: &mut mpsc::UnboundedReceiver<Command>,
     attempt: &Attempt,
 ) -> Interrupt {
@@ -30,35 +30,36 @@
             Some(Command::Abandon { number }) if number == attempt.number => {
                 return Interrupt::Abandoned;
             }
-            // An earlier attempt had ended by itself when it was to be given up.
+            // Refers to an earlier attempt that had already ended.
             Some(Command::Abandon { .. }) => {}
-            Some(Command::Send(_)) | None => return Interrupt::Refused(lost()),
+            Some(Command::Send(_)) | None => return Interrupt::Refused(channel_closed()),
         }
     }
 }
 
-/// For a request whose commands make no sense any more.
-fn lost() -> Refused {
+/// The refusal for a request whose command channel closed or sent an unexpected command.
+fn channel_closed() -> RequestRefusal {
     Refusal::may_have_run(RefusalCause::UpstreamFailed).into()
 }
 
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// A request that has no whole answer yet. Dropped before its end, it tells that its caller left.
-pub(crate) struct Caller {
+/// An admitted request whose response is not complete. Dropping it before
+/// [`PendingRequest::finish`] reports that the caller disconnected.
+pub(crate) struct PendingRequest {
     pub hub: Rc<Hub>,
     pub id: RequestId,
-    /// The caller's name for the request.
+    /// The request id given by the caller.
     pub name: Name,
     arrived: Tick,
     pub commands: mpsc::UnboundedReceiver<Command>,
-    /// What it took of its organisation's quota.
+    /// The quota charged to the request's organisation.
     charge: Option<Charge>,
-    is_over: bool,
+    is_finished: bool,
 }
 
-impl Caller {
-    /// The request `id` has just been admitted.
+impl PendingRequest {
+    /// Wraps the newly admitted request `id`.
     pub(crate) fn new(
         hub: Rc<Hub>,
         id: RequestId,
@@ -67,7 +68,7 @@
         charge: Option<Charge>,
     ) -> Self {
         let arrived = hub.clock.now();
-        Self { hub, id, name, arrived, commands, charge, is_over: false }
+        Self { hub, id, name, arrived, commands, charge, is_finished: false }
     }
 
     /// Milliseconds since the request arrived.
@@ -75,18 +76,18 @@
         self.hub.clock.now().since(self.arrived)
     }
 
-    /// The same in seconds, for metrics.
+    /// Seconds since the request arrived, for metrics.
     pub(crate) fn age_seconds(&self) -> f64 {
         self.age_ms() as f64 / MILLIS_PER_SECOND
     }
 
-    /// The request has its final answer.
+    /// Marks the response as complete.
     pub(crate) fn finish(&mut self) {
-        self.is_over = true;
+        self.is_finished = true;
         self.hub.forget(self.id);
     }
 
-    /// An attempt ended; the decisions answer with a command unless it was served.
+    /// Reports the end of an attempt. The dispatcher responds with a command unless it was served.
     pub(crate) fn attempt_ended(&self, attempt: &Attempt, end: AttemptEnd, answered: bool) {
         telemetry::attempt_ended(end);
         if let Some(charge) = &self.charge {
@@ -106,8 +107,8 @@
         self.hub.request_event(Event::AttemptEnded { id: self.id, end, answered });
     }
 
-    /// The next sending, or the final answer.
-    pub(crate) async fn command(&mut self) -> Result<Attempt, Refused> {
+    /// Returns the next attempt, or the refusal that ends the request.
+    pub(crate) async fn next_attempt(&mut self) -> Result<Attempt, RequestRefusal> {
         loop {
             match self.commands.recv().await {
                 Some(Command::Send(attempt)) => {
@@ -117,19 +118,19 @@
                     return Ok(attempt);
                 }
                 Some(Command::Refuse(refused)) => return Err(refused),
-                // The attempt had ended by itself.
+                // The attempt had already ended.
                 Some(Command::Abandon { .. }) => {}
-                // The sender lives until the request is forgotten, which only its end does.
-                None => return Err(lost()),
+                // The hub keeps the sender until the request is forgotten, which only its end does.
+                None => return Err(channel_closed()),
             }
         }
     }
 
-    /// Notes the final answer of the product's own.
-    pub(crate) fn refused(&mut self, refused: &Refused) {
-        let Refused { refusal, context } = refused;
+    /// Logs and counts a refusal generated by this host, and finishes the request.
+    pub(crate) fn record_refusal(&mut self, refused: &RequestRefusal) {
+        let RequestRefusal { refusal, context } = refused;
         let lack = context.shortage.map_or("-", |shortage| shortage.kind.as_str());
-        telemetry::refused(refusal.cause, lack);
+        telemetry::request_refused(refusal.cause, lack);
         log::info!(
             "event=request_refused request={} route={} subject={} lack={lack} holders={} sendings={} \
              cause={} verdict={} retry_after_ms={} after_ms={}",
@@ -147,9 +148,9 @@
     }
 }
 
-impl Drop for Caller {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
-        if self.is_over {
+        if self.is_finished {
             return;
         }
         telemetry::caller_left();
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams, kept between requests.
+//! Pool of persistent HTTP connections.
 
 use crate::clock::Clock;
 use bytes::Bytes;
@@ -16,14 +16,14 @@
 use vanetally_link::socket;
 use vanetally_types::Tick;
 
-/// A connection that carries no request now.
+/// A connection without a request in progress.
 pub(crate) struct Connection {
     pub sender: SendRequest<Full<Bytes>>,
-    /// Whether it carried a request before.
+    /// Whether it has carried a request before.
     pub is_used: bool,
     address: SocketAddr,
-    /// Counts the connection as open while it lives.
-    _open: Open,
+    /// Counts the connection as open until dropped.
+    _open: OpenGuard,
 }
 
 struct Idle {
@@ -32,151 +32,158 @@
 }
 
 #[derive(Default)]
-struct Shelf {
+struct AddressPool {
     idle: VecDeque<Idle>,
     open: usize,
 }
 
-type Shelves = Rc<RefCell<HashMap<SocketAddr, Shelf>>>;
+type AddressPools = Rc<RefCell<HashMap<SocketAddr, AddressPool>>>;
 
-/// All kept connections, by address.
+/// The pooled connections of all addresses.
 #[derive(Clone)]
 pub(crate) struct Pool {
-    shelves: Shelves,
+    addresses: AddressPools,
     clock: Clock,
 }
 
-/// One open connection at an address.
-struct Open {
-    shelves: Shelves,
+/// Guard that counts one open connection to an address.
+struct OpenGuard {
+    addresses: AddressPools,
     address: SocketAddr,
 }
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
-        // While the shelves are being changed, connections are moved, never dropped.
-        if let Ok(mut shelves) = self.shelves.try_borrow_mut()
-            && let Some(shelf) = shelves.get_mut(&self.address)
+        // While the map is borrowed mutably, connections are only moved, never dropped.
+        if let Ok(mut addresses) = self.addresses.try_borrow_mut()
+            && let Some(pool) = addresses.get_mut(&self.address)
         {
-            shelf.open = shelf.open.saturating_sub(1);
+            pool.open = pool.open.saturating_sub(1);
         }
     }
 }
 
-/// Why there is no connection.
+/// Why no connection is available.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
-    /// This host's share of the upstream's connections is in use.
-    #[error("all connections in use")]
+    /// The limit of open connections to the address is reached.
+    #[error("connection limit reached")]
     Exhausted,
-    /// None came about.
+    /// The TCP connection failed.
     #[error("connect: {0}")]
     Connect(#[from] io::Error),
-    /// None came about.
+    /// The HTTP handshake failed.
     #[error("handshake: {0}")]
     Handshake(#[from] hyper::Error),
 }
 
-/// A connection at rest is used again within this time, unless the upstream states less.
-const REST: Duration = Duration::from_millis(2_500);
-/// Kept back from the rest that an upstream states.
-const REST_MARGIN: Duration = Duration::from_millis(700);
+/// Maximum idle time of a pooled connection, unless the upstream states less.
+const MAX_IDLE: Duration = Duration::from_millis(2_500);
+/// Safety margin subtracted from the idle timeout stated by an upstream.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
 impl Pool {
-    /// No connections.
+    /// Creates an empty pool.
     pub(crate) fn new(clock: Clock) -> Self {
-        Self { shelves: Shelves::default(), clock }
+        Self { addresses: AddressPools::default(), clock }
     }
 
-    /// A connection to `address`: a kept one, or a new one if fewer than `most` are open.
-    pub(crate) async fn get(&self, address: SocketAddr, most: usize) -> Result<Connection, Error> {
-        if let Some(kept) = self.kept(address) {
-            return Ok(kept);
+    /// Returns a pooled connection to `address`, or opens one if fewer than `max_open` are open.
+    pub(crate) async fn get(
+        &self,
+        address: SocketAddr,
+        max_open: usize,
+    ) -> Result<Connection, Error> {
+        if let Some(idle) = self.take_idle(address) {
+            return Ok(idle);
         }
-        self.connect(address, most).await
+        self.connect(address, max_open).await
     }
 
-    /// A new connection to `address`, if fewer than `most` are open.
+    /// Opens a connection to `address` if fewer than `max_open` are open.
     pub(crate) async fn connect(
         &self,
         address: SocketAddr,
-        most: usize,
+        max_open: usize,
     ) -> Result<Connection, Error> {
         let open = {
-            let mut shelves = self.shelves.borrow_mut();
-            let shelf = shelves.entry(address).or_default();
-            if shelf.open >= most {
+            let mut addresses = self.addresses.borrow_mut();
+            let pool = addresses.entry(address).or_default();
+            if pool.open >= max_open {
                 return Err(Error::Exhausted);
             }
-            shelf.open += 1;
-            Open { shelves: self.shelves.clone(), address }
+            pool.open += 1;
+            OpenGuard { addresses: self.addresses.clone(), address }
         };
         let stream = socket::connect(address).await?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         tokio::task::spawn_local(async move {
-            // How a connection ends is told to whoever waits for an answer on it.
+            // A connection error is also returned to the request waiting on it.
             let _ = connection.await;
         });
         Ok(Connection { sender, is_used: false, address, _open: open })
     }
 
-    fn kept(&self, address: SocketAddr) -> Option<Connection> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let now = self.clock.now();
-        let mut stale = Vec::new();
+        let mut expired = Vec::new();
         let mut found = None;
         {
-            let mut shelves = self.shelves.borrow_mut();
-            let shelf = shelves.get_mut(&address)?;
-            while let Some(idle) = shelf.idle.pop_back() {
+            let mut addresses = self.addresses.borrow_mut();
+            let pool = addresses.get_mut(&address)?;
+            while let Some(idle) = pool.idle.pop_back() {
                 if idle.until > now && idle.connection.sender.is_ready() {
                     found = Some(idle.connection);
                     break;
                 }
-                stale.push(idle);
+                expired.push(idle);
             }
         }
-        drop(stale);
+        drop(expired);
         found
     }
 
-    /// Keeps a connection whose answer is whole. `rest` is what the upstream states.
-    pub(crate) fn put(&self, mut connection: Connection, rest: Option<Duration>) {
-        let rest = rest.map_or(REST, |rest| rest.saturating_sub(REST_MARGIN)).min(REST);
-        if connection.sender.is_closed() || rest.is_zero() {
+    /// Returns a connection to the pool after a complete response. `keep_alive` is the idle timeout
+    /// stated by the upstream.
+    pub(crate) fn put(&self, mut connection: Connection, keep_alive: Option<Duration>) {
+        let keep_alive = keep_alive
+            .map_or(MAX_IDLE, |keep_alive| keep_alive.saturating_sub(KEEP_ALIVE_MARGIN))
+            .min(MAX_IDLE);
+        if connection.sender.is_closed() || keep_alive.is_zero() {
             return;
         }
         connection.is_used = true;
-        let idle = Idle { until: self.clock.now() + rest.as_millis() as u64, connection };
-        let mut shelves = self.shelves.borrow_mut();
-        if let Some(shelf) = shelves.get_mut(&idle.connection.address) {
-            shelf.idle.push_back(idle);
+        let idle = Idle { until: self.clock.now() + keep_alive.as_millis() as u64, connection };
+        let mut addresses = self.addresses.borrow_mut();
+        if let Some(pool) = addresses.get_mut(&idle.connection.address) {
+            pool.idle.push_back(idle);
         }
     }
 
-    /// Closes what has rested too long or was closed by its peer.
+    /// Closes idle connections that expired or were closed by the peer.
     pub(crate) fn sweep(&self) {
         let now = self.clock.now();
-        let mut stale = Vec::new();
+        let mut expired = Vec::new();
         {
-            let mut shelves = self.shelves.borrow_mut();
-            for shelf in shelves.values_mut() {
-                let idle = std::mem::take(&mut shelf.idle);
-                let (keep, old): (VecDeque<_>, VecDeque<_>) = idle
+            let mut addresses = self.addresses.borrow_mut();
+            for pool in addresses.values_mut() {
+                let idle = std::mem::take(&mut pool.idle);
+                let (keep, closed): (VecDeque<_>, VecDeque<_>) = idle
                     .into_iter()
                     .partition(|i| i.until > now && !i.connection.sender.is_closed());
-                shelf.idle = keep;
-                stale.push(old);
+                pool.idle = keep;
+                expired.push(closed);
             }
         }
-        drop(stale);
-        self.shelves.borrow_mut().retain(|_, shelf| shelf.open > 0);
+        drop(expired);
+        self.addresses.borrow_mut().retain(|_, pool| pool.open > 0);
     }
 
-    /// Closes the kept connections to `address`: it handed out bytes that belong to no request.
-    pub(crate) fn distrust(&self, address: SocketAddr) {
+    /// Closes the idle connections to `address`, which returned bytes that belong to no request.
+    pub(crate) fn drop_idle(&self, address: SocketAddr) {
         let idle = {
-            let mut shelves = self.shelves.borrow_mut();
-            shelves.get_mut(&address).map(|shelf| std::mem::take(&mut shelf.idle))
+            let mut addresses = self.addresses.borrow_mut();
+            addresses.get_mut(&address).map(|pool| std::mem::take(&mut pool.idle))
         };
         drop(idle);
     }
--- /dev/null
+++ b/crates/gateway/src/queries.rs
@@ -0,0 +1,49 @@
+//! Requests to another host that wait for an answer.
+
+use std::{collections::HashMap, time::Duration};
+use tokio::{sync::oneshot, time::timeout};
+
+/// Requests that have not been answered yet, by number.
+pub(crate) struct PendingQueries<A> {
+    pending: HashMap<u64, oneshot::Sender<A>>,
+    next: u64,
+}
+
+impl<A> Default for PendingQueries<A> {
+    fn default() -> Self {
+        Self { pending: HashMap::new(), next: 0 }
+    }
+}
+
+impl<A> PendingQueries<A> {
+    /// Registers a request; returns its number and the channel of its answer.
+    pub(crate) fn register(&mut self) -> (u64, oneshot::Receiver<A>) {
+        let number = self.next;
+        self.next += 1;
+        let (sender, answer) = oneshot::channel();
+        self.pending.insert(number, sender);
+        (number, answer)
+    }
+
+    /// Delivers the answer to request `number`; returns it if nothing waits for it any more.
+    pub(crate) fn answered(&mut self, number: u64, answer: A) -> Option<A> {
+        match self.pending.remove(&number) {
+            Some(sender) => sender.send(answer).err(),
+            None => Some(answer),
+        }
+    }
+
+    /// Drops the request `number`, whose answer is no longer needed.
+    pub(crate) fn forget(&mut self, number: u64) {
+        self.pending.remove(&number);
+    }
+}
+
+/// Timeout of the grantor's answer, after which this host decides alone. Small hosts can be
+/// throttled for up to 100 ms at a time, but grantors run on large ones.
+pub(crate) const GRANTOR_TIMEOUT: Duration = Duration::from_millis(60);
+
+/// Waits for the grantor's answer; `None` on timeout.
+pub(crate) async fn await_grantor<A>(answer: oneshot::Receiver<A>) -> Option<A> {
+    timeout(GRANTOR_TIMEOUT, answer).await.ok().and_then(Result::ok)
+}
--- a/crates/gateway/src/quotas.rs
+++ b/crates/gateway/src/quotas.rs
@@ -1,9 +1,10 @@
-//! Asking the grantor whether a request is within its organisation's quota, and answering as one.
+//! Charges requests to the quotas of organisations by asking the grantor, and decides when this
+//! host is the grantor.
 
 use crate::{
     hub::Hub,
     peers::PeerMessage,
-    questions::{GRANTOR_ANSWER, Questions, grantor_answer},
+    queries::{GRANTOR_TIMEOUT, PendingQueries, await_grantor},
 };
 use std::{cell::Cell, collections::HashMap, rc::Rc};
 use vanetally_dispatch::AttemptEnd;
@@ -12,28 +13,28 @@
 use vanetally_quota::{Authority, Bounds, Decision, Grantor, QuotaAnswer, QuotaClient};
 use vanetally_types::{Name, Tick};
 
-/// When to come back where it is not known whether a request is within its quota, in milliseconds: a new grantor is
-/// there within two or three seconds.
+/// Retry hint when the quota can't be checked: a new grantor takes over within two to three
+/// seconds.
 const UNKNOWN_RETRY_MS: u64 = 1_000;
 
-/// This host's part in the quotas.
+/// This host's quota state, as client and as grantor.
 pub(crate) struct Quotas {
     pub grantor: Grantor,
     pub client: QuotaClient,
-    questions: Questions<QuotaAnswer>,
+    queries: PendingQueries<QuotaAnswer>,
 }
 
 impl Quotas {
-    /// No quota is known.
+    /// Creates the state without any quotas.
     pub(crate) fn new(bounds: Bounds, seed: u64) -> Self {
         Self {
             grantor: Grantor::default(),
             client: QuotaClient::new(bounds, seed),
-            questions: Questions::default(),
+            queries: PendingQueries::default(),
         }
     }
 
-    /// Takes in the quotas of a configuration.
+    /// Applies the quotas of a configuration.
     pub(crate) fn configure(&mut self, now: Tick, configuration: &Configuration) {
         let organisations = configuration.organisations.iter().flatten();
         let quotas: HashMap<Name, Quota> =
@@ -43,42 +44,43 @@
     }
 }
 
-/// What a request took of its organisation's quota; given back unless it may have run.
+/// Quota charged for a request; returned on drop unless the request may have run.
 pub(crate) struct Charge {
     hub: Rc<Hub>,
     organisation: Name,
     cost: u32,
-    /// Whether the request is at an upstream.
-    is_out: Cell<bool>,
-    /// Whether an attempt may have run.
-    has_run: Cell<bool>,
+    /// Whether an attempt is in progress.
+    is_in_flight: Cell<bool>,
+    /// Whether an earlier attempt may have run.
+    may_have_run: Cell<bool>,
 }
 
 impl Charge {
-    /// The request goes to an upstream.
+    /// Records that the request is being sent to an upstream.
     pub(crate) fn sent(&self) {
-        self.is_out.set(true);
+        self.is_in_flight.set(true);
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt.
     pub(crate) fn attempt_ended(&self, end: AttemptEnd) {
-        self.is_out.set(false);
+        self.is_in_flight.set(false);
         let may_have_run =
             matches!(end, AttemptEnd::Served | AttemptEnd::Failed | AttemptEnd::Broken);
-        self.has_run.set(self.has_run.get() || may_have_run);
+        self.may_have_run.set(self.may_have_run.get() || may_have_run);
     }
 }
 
 impl Drop for Charge {
     fn drop(&mut self) {
-        if !self.is_out.get() && !self.has_run.get() {
+        if !self.is_in_flight.get() && !self.may_have_run.get() {
             self.hub.give_back(&self.organisation, self.cost);
         }
     }
 }
 
 impl Hub {
-    /// Takes what `head`, a request of `organisation`, counts as; or tells why it can't be sent.
+    /// Charges the cost of `head` to its organisation's quota, or returns the refusal. `None` if no
+    /// quota applies.
     pub(crate) async fn charge(
         self: &Rc<Self>,
         organisation: Name,
@@ -96,8 +98,8 @@
                     head.id
                 );
                 let hub = self.clone();
-                let (is_out, has_run) = (Cell::new(false), Cell::new(false));
-                return Ok(Some(Charge { hub, organisation, cost, is_out, has_run }));
+                let (is_in_flight, may_have_run) = (Cell::new(false), Cell::new(false));
+                return Ok(Some(Charge { hub, organisation, cost, is_in_flight, may_have_run }));
             }
             Decision::Refused { retry_ms } => {
                 Refusal::not_run(RefusalCause::OverQuota, Some(retry_ms))
@@ -115,12 +117,12 @@
         Err(refusal)
     }
 
-    /// Decides on a request, and tells who did.
+    /// Returns the decision on a request and the host that made it.
     async fn decide(self: &Rc<Self>, organisation: &Name, cost: u32) -> (Decision, Name) {
         let own = &self.settings.host;
         let now = self.clock.now();
-        let ask = self.quotas.borrow().client.authority(now, organisation);
-        let host = match ask {
+        let authority = self.quotas.borrow().client.authority(now, organisation);
+        let host = match authority {
             Authority::Unlimited => return (Decision::Granted, own.clone()),
             Authority::Local => {
                 let decision =
@@ -150,36 +152,36 @@
         organisation: &Name,
         cost: u32,
     ) -> Option<QuotaAnswer> {
-        let (number, answer) = self.quotas.borrow_mut().questions.ask();
+        let (number, answer) = self.quotas.borrow_mut().queries.register();
         let organisation = organisation.clone();
         self.send(host, &PeerMessage::Spend { number, organisation, cost });
-        let answer = grantor_answer(answer).await;
-        self.quotas.borrow_mut().questions.forget(number);
+        let answer = await_grantor(answer).await;
+        self.quotas.borrow_mut().queries.forget(number);
         if answer.is_none() {
-            log::info!("event=grantor_silent host={host} after_ms={}", GRANTOR_ANSWER.as_millis());
+            log::info!("event=grantor_silent host={host} after_ms={}", GRANTOR_TIMEOUT.as_millis());
         }
         answer
     }
 
-    /// Takes `cost` from the quota, as the grantor.
+    /// Spends `cost` of the quota, as the grantor.
     fn spend(&self, host: &Name, organisation: &Name, cost: u32) -> QuotaAnswer {
-        self.review_granting();
+        self.update_granting();
         let now = self.clock.now();
         let grantor = &mut self.quotas.borrow_mut().grantor;
         grantor.record_request(now, host);
         grantor.spend(now, organisation, cost)
     }
 
-    /// Another host asks.
-    pub(crate) fn spend_for(&self, host: &Name, number: u64, organisation: &Name, cost: u32) {
+    /// Answers a spend request of another host.
+    pub(crate) fn spend_for_peer(&self, host: &Name, number: u64, organisation: &Name, cost: u32) {
         let answer = self.spend(host, organisation, cost);
         self.send(host, &PeerMessage::Spent { number, answer });
     }
 
-    /// The grantor answered.
+    /// Handles the grantor's answer.
     pub(crate) fn spent(&self, number: u64, answer: QuotaAnswer) {
-        // One that comes late is of no use: the host has decided alone.
-        let _ = self.quotas.borrow_mut().questions.answered(number, answer);
+        // A late answer is dropped: this host has already decided alone.
+        let _ = self.quotas.borrow_mut().queries.answered(number, answer);
     }
 
     fn give_back(&self, organisation: &Name, cost: u32) {
@@ -192,21 +194,22 @@
                 let organisation = organisation.clone();
                 self.send(&host, &PeerMessage::GiveBack { organisation, cost });
             }
-            // Nobody keeps the count that it was taken from.
+            // Without a grantor there is no balance to return it to.
             None => {}
         }
     }
 
-    /// Notes whether this host grants: by its lease, or while the store is away and nobody else can have it.
-    pub(crate) fn review_granting(&self) {
+    /// Updates whether this host is a grantor: while it holds the order lease, or was the last
+    /// holder and the store is unreachable, so that no other host can take the lease.
+    pub(crate) fn update_granting(&self) {
         let now = self.clock.now();
-        let is_holder = self.tenure.borrow().is_holding(now);
+        let is_holder = self.order_lease.borrow().is_holding(now);
         let is_last = *self.holder.borrow() == Some(self.settings.host.clone());
         let is_away = is_last && self.store.state() == StoreState::Away;
         let hosts = self.peers.borrow().len();
         let grantor = &mut self.quotas.borrow_mut().grantor;
-        let goes_on = !is_holder && is_away && grantor.may_continue(now, hosts);
-        grantor.set_granting(now, is_holder || goes_on);
-        self.limits.borrow_mut().grantor.set_granting(now, is_holder || goes_on);
+        let continues = !is_holder && is_away && grantor.may_continue(now, hosts);
+        grantor.set_granting(now, is_holder || continues);
+        self.limits.borrow_mut().grantor.set_granting(now, is_holder || continues);
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,11 +1,11 @@
-//! Streams: pieces go on as they come; a broken one goes on elsewhere where that is allowed.
+//! Relays streamed responses, resuming a broken stream at another upstream where that is allowed.
 
 use crate::{
-    answer::{Answer, Cut, Piece},
-    caller::{Caller, Interrupt, interrupted},
-    headers::{end_to_end, stated_rest},
+    headers::{end_to_end, keep_alive_timeout},
+    pending_request::{Interrupt, PendingRequest, next_interrupt},
     pool::Connection,
-    sending::{Asked, Outgoing, Sending, Started, ask_in_time},
+    response_body::{FrameResult, ResponseBody, Truncated},
+    sending::{Outgoing, SendContext, SendOutcome, StartedResponse, send_scheduled},
     telemetry,
 };
 use bytes::{Bytes, BytesMut};
@@ -19,109 +19,119 @@
 use vanetally_types::{Name, Tick};
 
 const MILLIS_PER_SECOND: f64 = 1_000.0;
-/// Pieces that may wait for a slow caller.
-const WAITING_PIECES: usize = 4;
+/// Maximum number of frames queued for a slow caller.
+const MAX_QUEUED_FRAMES: usize = 4;
 
-/// Begins to pass a stream on.
+/// Starts relaying a stream.
 pub(crate) fn stream(
-    caller: Caller,
+    pending: PendingRequest,
     outgoing: Outgoing,
     attempt: Attempt,
-    started: Started,
-) -> Response<Answer> {
-    let Started { connection, response, is_success } = started;
-    let rest = stated_rest(response.headers());
+    started: StartedResponse,
+) -> Response<ResponseBody> {
+    let StartedResponse { connection, response, is_success } = started;
+    let keep_alive = keep_alive_timeout(response.headers());
     let (mut head, body) = response.into_parts();
     head.headers = end_to_end(&head.headers);
-    let events = (attempt.may_repeat && is_success).then(Events::default);
+    let events = (attempt.may_repeat && is_success).then(EventSplitter::default);
     if events.is_some() {
-        // What goes on elsewhere need not be as long as the first upstream said.
+        // A stream resumed elsewhere need not have the length that the first upstream stated.
         head.headers.remove(CONTENT_LENGTH);
     }
-    let (sender, pieces) = mpsc::channel(WAITING_PIECES);
-    let relay =
-        Relay { caller, outgoing, attempt, sender, events, is_success, pauses: Pauses::default() };
-    tokio::task::spawn_local(relay.run(Source { connection, body, rest }));
-    Response::from_parts(head, Answer::Relayed(pieces))
+    let (sender, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
+    let relay = Relay {
+        pending,
+        outgoing,
+        attempt,
+        sender,
+        events,
+        is_success,
+        timing: FrameTiming::default(),
+    };
+    tokio::task::spawn_local(relay.run(UpstreamBody { connection, body, keep_alive }));
+    Response::from_parts(head, ResponseBody::Stream(frames))
 }
 
-/// An upstream's answer that is being read.
-struct Source {
+/// An upstream response that is being read.
+struct UpstreamBody {
     connection: Connection,
     body: Incoming,
-    rest: Option<Duration>,
+    keep_alive: Option<Duration>,
 }
 
 struct Relay {
-    caller: Caller,
+    pending: PendingRequest,
     outgoing: Outgoing,
     attempt: Attempt,
-    sender: mpsc::Sender<Piece>,
-    /// Whole events only go on where the stream may be taken up elsewhere.
-    events: Option<Events>,
+    sender: mpsc::Sender<FrameResult>,
+    /// Present if the stream may be resumed elsewhere, in which case only complete events are
+    /// forwarded.
+    events: Option<EventSplitter>,
     is_success: bool,
-    pauses: Pauses,
+    timing: FrameTiming,
 }
 
-/// How the reading of one upstream's answer ended.
-enum Read {
-    /// It is whole.
-    Whole,
-    /// It broke off.
+/// How reading an upstream response ended.
+enum ReadEnd {
+    /// The response is complete.
+    Complete,
+    /// The response was truncated.
     Broken,
-    /// Nobody is left to read it, or its time is over.
-    Over,
+    /// The caller has disconnected, or the request was refused.
+    Cancelled,
 }
 
 impl Relay {
-    async fn run(mut self, first: Source) {
+    async fn run(mut self, first: UpstreamBody) {
         let mut source = first;
         loop {
             match self.read(&mut source.body).await {
-                Read::Whole => {
+                ReadEnd::Complete => {
                     let end = if self.is_success { AttemptEnd::Served } else { AttemptEnd::Failed };
-                    self.caller.attempt_ended(&self.attempt, end, true);
-                    self.note_pauses();
-                    self.caller.hub.pool.put(source.connection, source.rest);
-                    telemetry::answered(self.caller.age_seconds());
-                    self.caller.finish();
+                    self.pending.attempt_ended(&self.attempt, end, true);
+                    self.record_pauses();
+                    self.pending.hub.pool.put(source.connection, source.keep_alive);
+                    telemetry::request_answered(self.pending.age_seconds());
+                    self.pending.finish();
                     return;
                 }
-                Read::Over => return,
-                Read::Broken => {
-                    self.caller.attempt_ended(&self.attempt, AttemptEnd::Broken, true);
+                ReadEnd::Cancelled => return,
+                ReadEnd::Broken => {
+                    self.pending.attempt_ended(&self.attempt, AttemptEnd::Broken, true);
                     drop(source);
                     match self.resume().await {
                         Some(next) => source = next,
-                        None => return self.cut().await,
+                        None => return self.abort().await,
                     }
                 }
             }
         }
     }
 
-    /// Passes pieces on until the answer ends one way or another.
-    async fn read(&mut self, body: &mut Incoming) -> Read {
+    /// Forwards frames until the response ends.
+    async fn read(&mut self, body: &mut Incoming) -> ReadEnd {
         loop {
             let frame = tokio::select! {
                 biased;
-                () = self.sender.closed() => return Read::Over,
-                interrupt = interrupted(&mut self.caller.commands, &self.attempt) => match interrupt {
-                    Interrupt::Abandoned => return Read::Broken,
+                () = self.sender.closed() => return ReadEnd::Cancelled,
+                interrupt = next_interrupt(&mut self.pending.commands, &self.attempt) => match interrupt {
+                    Interrupt::Abandoned => return ReadEnd::Broken,
                     Interrupt::Refused(refused) => {
-                        self.caller.refused(&refused);
-                        self.cut().await;
-                        return Read::Over;
+                        self.pending.record_refusal(&refused);
+                        self.abort().await;
+                        return ReadEnd::Cancelled;
                     }
                 },
                 frame = body.frame() => frame,
             };
             match frame {
-                None => return if self.is_at_boundary() { Read::Whole } else { Read::Broken },
-                Some(Err(_)) => return Read::Broken,
+                None => {
+                    return if self.is_at_boundary() { ReadEnd::Complete } else { ReadEnd::Broken };
+                }
+                Some(Err(_)) => return ReadEnd::Broken,
                 Some(Ok(frame)) => {
-                    if !self.pass(frame).await {
-                        return Read::Over;
+                    if !self.forward(frame).await {
+                        return ReadEnd::Cancelled;
                     }
                 }
             }
@@ -132,19 +142,19 @@
         self.events.as_ref().is_none_or(|events| events.partial.is_empty())
     }
 
-    /// Passes one piece on; tells whether the caller is still there.
-    async fn pass(&mut self, frame: Frame<Bytes>) -> bool {
-        if self.pauses.note_piece(self.caller.hub.clock.now()) {
-            self.caller.hub.request_event(Event::FirstPiece { id: self.caller.id });
-            telemetry::first_piece(self.caller.age_seconds());
+    /// Forwards one frame; returns whether the caller is still connected.
+    async fn forward(&mut self, frame: Frame<Bytes>) -> bool {
+        if self.timing.record_frame(self.pending.hub.clock.now()) {
+            self.pending.hub.request_event(Event::FirstPiece { id: self.pending.id });
+            telemetry::first_piece(self.pending.age_seconds());
         }
         let frame = match (&mut self.events, frame.into_data()) {
             (Some(events), Ok(data)) => {
-                let whole = events.take_whole(&data);
-                if whole.is_empty() {
+                let complete = events.take_complete(&data);
+                if complete.is_empty() {
                     return true;
                 }
-                Frame::data(whole)
+                Frame::data(complete)
             }
             (_, Ok(data)) => Frame::data(data),
             (_, Err(other)) => other,
@@ -152,13 +162,13 @@
         self.sender.send(Ok(frame)).await.is_ok()
     }
 
-    /// Takes the stream up elsewhere, if the decisions say so.
-    async fn resume(&mut self) -> Option<Source> {
+    /// Resumes the stream at another upstream, if the dispatcher provides an attempt.
+    async fn resume(&mut self) -> Option<UpstreamBody> {
         loop {
-            let attempt = match self.caller.command().await {
+            let attempt = match self.pending.next_attempt().await {
                 Ok(attempt) => attempt,
                 Err(refused) => {
-                    self.caller.refused(&refused);
+                    self.pending.record_refusal(&refused);
                     return None;
                 }
             };
@@ -167,83 +177,88 @@
             let after = events.last_id.clone();
             log::info!(
                 "event=stream_resumed request={} upstream={} after_event={}",
-                self.caller.name,
+                self.pending.name,
                 attempt.upstream,
                 after.as_deref().unwrap_or("-")
             );
-            let sending = Sending {
-                hub: &self.caller.hub,
-                id: self.caller.id,
-                name: &self.caller.name,
+            let context = SendContext {
+                hub: &self.pending.hub,
+                id: self.pending.id,
+                name: &self.pending.name,
                 outgoing: &self.outgoing,
                 attempt: &attempt,
                 resume_after: after.as_ref(),
             };
-            let asked = tokio::select! {
+            let outcome = tokio::select! {
                 biased;
                 () = self.sender.closed() => return None,
-                interrupt = interrupted(&mut self.caller.commands, &attempt) => match interrupt {
-                    Interrupt::Abandoned => Asked::Ended(AttemptEnd::Broken),
+                interrupt = next_interrupt(&mut self.pending.commands, &attempt) => match interrupt {
+                    Interrupt::Abandoned => SendOutcome::Ended(AttemptEnd::Broken),
                     Interrupt::Refused(refused) => {
-                        self.caller.refused(&refused);
+                        self.pending.record_refusal(&refused);
                         return None;
                     }
                 },
-                asked = ask_in_time(sending) => asked,
+                outcome = send_scheduled(context) => outcome,
             };
             self.attempt = attempt;
-            match asked {
-                Asked::Answer(started) if started.is_success => {
-                    let Started { connection, response, .. } = *started;
-                    let rest = stated_rest(response.headers());
-                    return Some(Source { connection, body: response.into_body(), rest });
+            match outcome {
+                SendOutcome::Response(started) if started.is_success => {
+                    let StartedResponse { connection, response, .. } = *started;
+                    let keep_alive = keep_alive_timeout(response.headers());
+                    return Some(UpstreamBody {
+                        connection,
+                        body: response.into_body(),
+                        keep_alive,
+                    });
                 }
-                Asked::Answer(_) => {
-                    self.caller.attempt_ended(&self.attempt, AttemptEnd::Broken, true);
+                SendOutcome::Response(_) => {
+                    self.pending.attempt_ended(&self.attempt, AttemptEnd::Broken, true);
                 }
-                Asked::Ended(end) => self.caller.attempt_ended(&self.attempt, end, true),
+                SendOutcome::Ended(end) => self.pending.attempt_ended(&self.attempt, end, true),
             }
         }
     }
 
-    /// Tells how evenly the stream came: one with too long a pause is late, whole as it is.
-    fn note_pauses(&self) {
-        let longest_ms = self.pauses.longest_ms;
+    /// Logs and counts the pauses of a complete stream, at info level if one exceeded the allowed
+    /// gap.
+    fn record_pauses(&self) {
+        let longest_ms = self.timing.longest_ms;
         telemetry::longest_pause(longest_ms as f64 / MILLIS_PER_SECOND);
         let is_late = longest_ms > self.attempt.gap_ms;
         let level = if is_late { log::Level::Info } else { log::Level::Debug };
         log::log!(
             level,
             "event=stream_ended request={} upstream={} number={} pieces={} longest_pause_ms={} allowed_ms={}",
-            self.caller.name,
+            self.pending.name,
             self.attempt.upstream,
             self.attempt.number,
-            self.pauses.pieces,
+            self.timing.frames,
             longest_ms,
             self.attempt.gap_ms
         );
     }
 
-    /// Ends the answer so that it can't be taken for whole.
-    async fn cut(&mut self) {
-        // A caller that has left needs no end.
-        let _ = self.sender.send(Err(Cut)).await;
+    /// Aborts the response, so that the caller cannot take it for complete.
+    async fn abort(&mut self) {
+        // A caller that has disconnected needs no abort.
+        let _ = self.sender.send(Err(Truncated)).await;
     }
 }
 
-/// The pieces of a stream and the pauses between them.
+/// Frame count of a stream and the pauses between frames.
 #[derive(Default)]
-struct Pauses {
-    pieces: u32,
+struct FrameTiming {
+    frames: u32,
     last: Option<Tick>,
     longest_ms: u64,
 }
 
-impl Pauses {
-    /// A piece came; tells whether it is the first one.
-    fn note_piece(&mut self, now: Tick) -> bool {
+impl FrameTiming {
+    /// Records a frame; returns whether it is the first.
+    fn record_frame(&mut self, now: Tick) -> bool {
         let last = self.last.replace(now);
-        self.pieces += 1;
+        self.frames += 1;
         if let Some(last) = last {
             self.longest_ms = self.longest_ms.max(now.since(last));
         }
@@ -251,9 +266,9 @@
     }
 }
 
-/// Splits a stream into events, and knows the last one that went on.
+/// Splits a stream into events and tracks the id of the last one forwarded.
 #[derive(Default)]
-struct Events {
+struct EventSplitter {
     partial: BytesMut,
     last_id: Option<Name>,
 }
@@ -261,20 +276,20 @@
 const EVENT_END: &[u8] = b"\n\n";
 const ID_FIELD: &str = "id:";
 
-impl Events {
-    /// Adds bytes; gives back all events that are whole.
-    fn take_whole(&mut self, data: &[u8]) -> Bytes {
+impl EventSplitter {
+    /// Appends bytes and returns all events that are complete.
+    fn take_complete(&mut self, data: &[u8]) -> Bytes {
         self.partial.extend_from_slice(data);
         let end = self.partial.windows(EVENT_END.len()).rposition(|window| window == EVENT_END);
         let Some(end) = end else {
             return Bytes::new();
         };
-        let whole = self.partial.split_to(end + EVENT_END.len()).freeze();
-        let text = String::from_utf8_lossy(&whole);
+        let complete = self.partial.split_to(end + EVENT_END.len()).freeze();
+        let text = String::from_utf8_lossy(&complete);
         let mut ids = text.lines().rev().filter_map(|line| line.strip_prefix(ID_FIELD));
         if let Some(id) = ids.next() {
             self.last_id = Some(id.trim().into());
         }
-        whole
+        complete
     }
 }
--- /dev/null
+++ b/crates/gateway/src/response_body.rs
@@ -0,0 +1,58 @@
+//! Response bodies sent to callers.
+
+use bytes::Bytes;
+use http_body::{Body, Frame, SizeHint};
+use std::{
+    pin::Pin,
+    task::{Context, Poll},
+};
+use tokio::sync::mpsc;
+
+/// The response was truncated. The connection is closed so that the caller cannot take it for
+/// complete.
+#[derive(Debug, thiserror::Error)]
+#[error("response truncated")]
+pub(crate) struct Truncated;
+
+/// One frame of a response body.
+pub(crate) type FrameResult = Result<Frame<Bytes>, Truncated>;
+
+/// The body of a response to a caller.
+pub(crate) enum ResponseBody {
+    /// The complete body.
+    Full(Option<Bytes>),
+    /// Frames relayed from an upstream as they arrive.
+    Stream(mpsc::Receiver<FrameResult>),
+}
+
+impl Body for ResponseBody {
+    type Data = Bytes;
+    type Error = Truncated;
+
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
+        match self.get_mut() {
+            Self::Full(bytes) => {
+                let rest = bytes.take().filter(|bytes| !bytes.is_empty());
+                Poll::Ready(rest.map(|bytes| Ok(Frame::data(bytes))))
+            }
+            Self::Stream(frames) => frames.poll_recv(context),
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        match self {
+            Self::Full(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            Self::Stream(_) => false,
+        }
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match self {
+            Self::Full(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
+            Self::Stream(_) => SizeHint::default(),
+        }
+    }
+}
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,17 +1,17 @@
-//! The life of the process: start, reload, planned stop.
+//! Process lifecycle: start, reload, planned stop.
 
 use crate::{
     feed::Feed,
-    front,
-    hub::{Hub, Parts, Stage},
-    peers::{self, PeerFollower, PeerMessage},
+    hub::{Hub, HubParts, Stage},
+    listener,
+    peers::{self, PeerFeedHandler, PeerMessage},
     reader, registration,
     settings::Settings,
     status::{self, Status},
     store::Snapshot,
     telemetry,
-    upstreams::UpstreamFollower,
-    watch::Follower,
+    upstreams::UpstreamFeedHandler,
+    watch::FeedHandler,
 };
 use anyhow::Context;
 use socket2::{Domain, Protocol, Socket, Type};
@@ -32,25 +32,26 @@
 use vanetally_ports::{Change, Ports};
 use vanetally_types::{HostId, Name};
 
-/// Time passes for the decisions this often.
-const TICK: Duration = Duration::from_millis(20);
-/// Housekeeping, in milliseconds.
-const UPKEEP_MS: u64 = 1_000;
-/// Between two log lines on the calls to the store, in milliseconds.
-const LOG_CALLS_MS: u64 = 5_000;
-/// Largest message between hosts, in bytes.
-const MOST_MESSAGE: usize = 4 << 20;
-/// Connections that may wait to be accepted.
+/// Interval of the periodic checks.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval of the housekeeping.
+const UPKEEP_INTERVAL_MS: u64 = 1_000;
+/// Interval of the log line that counts store calls.
+const CALL_LOG_INTERVAL_MS: u64 = 5_000;
+/// Maximum size of a message between hosts.
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: i32 = 1_024;
-/// Share of a planned stop after which connections at rest are closed.
-const CLOSE_SHARE: f64 = 0.55;
-/// Share of a planned stop after which the process ends, whatever still runs.
-const END_SHARE: f64 = 0.95;
+/// Fraction of the grace period after which idle connections are closed.
+const CLOSE_FRACTION: f64 = 0.55;
+/// Fraction of the grace period after which the process exits, even if requests are still open.
+const EXIT_FRACTION: f64 = 0.95;
 
-/// Runs until a planned stop. `build` tells this program from others, `reload` reads the settings anew.
+/// Runs until a planned stop. `build` identifies the program's build, `reload` reads the settings
+/// again.
 ///
 /// # Errors
-/// If a socket can't be opened or the runtime can't be made.
+/// If a socket can't be opened or the runtime can't be created.
 pub fn run(
     build: &'static str,
     settings: Settings,
@@ -68,9 +69,9 @@
     ports: Ports,
 ) -> anyhow::Result<()> {
     let metrics = telemetry::try_install()?;
-    let (messages, inbox) = mpsc::unbounded_channel();
-    let links = links(&settings, messages)?;
-    let front = listen(settings.listen).context("callers")?;
+    let (sender, inbox) = mpsc::unbounded_channel();
+    let links = start_links(&settings, sender)?;
+    let callers = listen(settings.listen).context("callers")?;
     let status_addresses = [settings.ready, settings.metrics];
     log::info!(
         "event=start host={} domain={} listen={} build={build}",
@@ -78,19 +79,19 @@
         settings.domain,
         settings.listen
     );
-    telemetry::built(build);
-    let hub = Hub::new(Parts { settings: settings.clone(), ports, links });
+    telemetry::build_info(build);
+    let hub = Hub::new(HubParts { settings: settings.clone(), ports, links });
     let status = Rc::new(Status { hub: hub.clone(), metrics });
     for address in status_addresses.into_iter().flatten() {
         let listener = listen(address).context("readiness and metrics")?;
         spawn_local(status::serve(status.clone(), listener));
     }
-    follow_store(&hub);
+    start_feeds(&hub);
     spawn_local(registration::register(hub.clone()));
-    spawn_local(hear(hub.clone(), inbox));
-    spawn_local(front::accept(hub.clone(), front));
-    spawn_local(keep_time(hub.clone(), status.clone()));
-    spawn_local(hang_ups(settings, reload));
+    spawn_local(receive_messages(hub.clone(), inbox));
+    spawn_local(listener::accept(hub.clone(), callers));
+    spawn_local(run_timers(hub.clone(), status.clone()));
+    spawn_local(reload_on_hangup(settings, reload));
     planned_stop(&hub).await
 }
 
@@ -103,66 +104,66 @@
     Ok(TcpListener::from_std(socket.into())?)
 }
 
-fn links(
+fn start_links(
     settings: &Settings,
-    messages: mpsc::UnboundedSender<(Name, PeerMessage)>,
+    sender: mpsc::UnboundedSender<(Name, PeerMessage)>,
 ) -> anyhow::Result<Links> {
     let address = SocketAddr::new(settings.ip, settings.link_port);
     let listener =
         std::net::TcpListener::bind(address).with_context(|| format!("bind {address}"))?;
     let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let me = HostId::new(settings.host.clone(), incarnation.as_millis() as u64);
-    let options = peer::Options { me, key: settings.link_key.clone(), most: MOST_MESSAGE };
+    let options = peer::Options { me, key: settings.link_key.clone(), most: MAX_MESSAGE_BYTES };
     Links::try_start(listener, options, move |event| match event {
         peer::Event::Message { from, bytes } => {
             let Some(message) = peer::decode(&bytes) else {
-                // As during a change to a version that speaks otherwise.
+                // Expected during an upgrade between versions with different messages.
                 return log::warn!(
                     "event=message_unreadable from={} bytes={}",
                     from.name,
                     bytes.len()
                 );
             };
-            // The loop that reads ends with the process.
-            let _ = messages.send((from.name, message));
+            // The receiving loop ends with the process.
+            let _ = sender.send((from.name, message));
         }
         peer::Event::Broken { to } => log::info!("event=link_broken to={to}"),
     })
 }
 
-fn follow_store(hub: &Rc<Hub>) {
-    let upstreams = Rc::new(UpstreamFollower::new(hub.clone()));
-    let peers = Rc::new(PeerFollower { hub: hub.clone() });
-    let configuration = Rc::new(ConfigurationFollower { hub: hub.clone() });
-    // The configuration may be large: it is read last.
+fn start_feeds(hub: &Rc<Hub>) {
+    let upstreams = Rc::new(UpstreamFeedHandler::new(hub.clone()));
+    let peers = Rc::new(PeerFeedHandler { hub: hub.clone() });
+    let configuration = Rc::new(ConfigurationFeedHandler { hub: hub.clone() });
+    // The configuration may be large, so it is read last.
     let feeds = [
         Feed::shared(hub.ports.upstreams.prefix().into(), upstreams),
-        Feed::shared(peers::PREFIX.into(), peers),
-        Feed::own(hub.ports.configuration.key().into(), configuration),
+        Feed::shared(peers::PRODUCT_PREFIX.into(), peers),
+        Feed::store_only(hub.ports.configuration.key().into(), configuration),
     ];
     hub.feeds.borrow_mut().extend(feeds.map(Rc::new));
     spawn_local(reader::run(hub.clone()));
 }
 
-/// Follows the one key of the configuration.
-struct ConfigurationFollower {
+/// Handles changes of the configuration key.
+struct ConfigurationFeedHandler {
     hub: Rc<Hub>,
 }
 
-impl Follower for ConfigurationFollower {
+impl FeedHandler for ConfigurationFeedHandler {
     fn replaced(&self, snapshot: Snapshot) {
         let key = self.hub.ports.configuration.key();
         if let Some(item) = snapshot.items.iter().find(|item| &*item.key == key) {
-            self.hub.configuration_seen(&item.value, "store");
+            self.hub.apply_configuration(&item.value, "store");
         }
     }
 
     fn changed(&self, change: Change) {
         match change {
             Change::Put(item) if &*item.key == self.hub.ports.configuration.key() => {
-                self.hub.configuration_seen(&item.value, "store");
+                self.hub.apply_configuration(&item.value, "store");
             }
-            // A configuration that is gone is no newer one.
+            // The removal of the configuration does not replace the one in force.
             Change::Put(_) | Change::Deleted { .. } => {}
         }
     }
@@ -170,42 +171,42 @@
     fn lost(&self) {}
 }
 
-/// Takes in what other hosts tell.
-async fn hear(hub: Rc<Hub>, mut inbox: mpsc::UnboundedReceiver<(Name, PeerMessage)>) {
+/// Handles the messages of other hosts.
+async fn receive_messages(hub: Rc<Hub>, mut inbox: mpsc::UnboundedReceiver<(Name, PeerMessage)>) {
     while let Some((from, message)) = inbox.recv().await {
-        hub.peer_message(&from, message);
+        hub.handle_peer_message(&from, message);
     }
 }
 
-/// Lets time pass for the decisions.
-async fn keep_time(hub: Rc<Hub>, status: Rc<Status>) {
-    let mut tick = interval(TICK);
+/// Runs the periodic tasks.
+async fn run_timers(hub: Rc<Hub>, status: Rc<Status>) {
+    let mut tick = interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let started = hub.clock.now();
     let (mut digest_at, mut upkeep_at) = (started, started);
-    let mut calls_at = started + LOG_CALLS_MS;
+    let mut calls_at = started + CALL_LOG_INTERVAL_MS;
     loop {
         tick.tick().await;
         hub.tick();
         let now = hub.clock.now();
         if now >= digest_at {
-            digest_at = now + hub.digest_ms();
-            hub.tell_load();
+            digest_at = now + hub.digest_interval_ms();
+            hub.send_load();
         }
         if now >= upkeep_at {
-            upkeep_at = now + UPKEEP_MS;
+            upkeep_at = now + UPKEEP_INTERVAL_MS;
             hub.upkeep();
             status.metrics.run_upkeep();
         }
         if now >= calls_at {
-            calls_at = now + LOG_CALLS_MS;
+            calls_at = now + CALL_LOG_INTERVAL_MS;
             hub.store.log_calls();
         }
     }
 }
 
-/// Reads the settings anew on a hang-up signal. What needs new sockets waits for a restart.
-async fn hang_ups(settings: Settings, reload: impl Fn() -> anyhow::Result<Settings>) {
+/// Reads the settings again on SIGHUP. Changes take effect after a restart.
+async fn reload_on_hangup(settings: Settings, reload: impl Fn() -> anyhow::Result<Settings>) {
     let Ok(mut signals) = signal(SignalKind::hangup()) else {
         return log::error!("event=signal_unavailable signal=hangup");
     };
@@ -218,15 +219,15 @@
     }
 }
 
-/// Takes this host's key out of the store.
+/// Ends the lease of this host's key, which removes the key from the store.
 async fn end_host_lease(hub: Rc<Hub>) {
     if let Some(lease) = hub.host_lease.get() {
-        // If it can't be ended it runs out.
+        // If the call fails, the lease expires by itself.
         let _ = hub.store.end(lease).await;
     }
 }
 
-/// Waits for a termination signal, then stops as planned.
+/// Waits for a termination signal, then performs the planned stop.
 async fn planned_stop(hub: &Rc<Hub>) -> anyhow::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -234,22 +235,22 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    let begun = hub.clock.now();
-    let after = |share: f64| begun + (hub.settings.bounds.grace_ms as f64 * share) as u64;
+    let started = hub.clock.now();
+    let after = |fraction: f64| started + (hub.settings.bounds.grace_ms as f64 * fraction) as u64;
     log::info!("event=stop_begun open_requests={}", hub.open_requests());
     hub.stage.send_replace(Stage::Leaving);
     hub.request_event(vanetally_dispatch::Event::Stopping);
-    hub.tenure_event(OrderLeaseEvent::Stop);
-    while hub.clock.now() < after(CLOSE_SHARE) {
-        sleep(TICK).await;
+    hub.order_lease_event(OrderLeaseEvent::Stop);
+    while hub.clock.now() < after(CLOSE_FRACTION) {
+        sleep(TICK_INTERVAL).await;
     }
     hub.stage.send_replace(Stage::Closing);
     spawn_local(end_host_lease(hub.clone()));
-    while hub.open_requests() > 0 && hub.clock.now() < after(END_SHARE) {
-        sleep(TICK).await;
+    while hub.open_requests() > 0 && hub.clock.now() < after(EXIT_FRACTION) {
+        sleep(TICK_INTERVAL).await;
     }
     log::info!("event=stop_ended open_requests={}", hub.open_requests());
-    // Answers that were just finished leave their sockets, and lines the log.
-    sleep(TICK * 2).await;
+    // Let responses that were just finished reach their sockets, and queued lines the log.
+    sleep(TICK_INTERVAL * 2).await;
     Ok(())
 }
--- a/crates/gateway/src/sending.rs
+++ b/crates/gateway/src/sending.rs
@@ -1,7 +1,7 @@
-//! One sending of a request to an upstream, up to the head of its answer.
+//! Sends a request to an upstream once, up to the head of the response.
 
 use crate::{
-    headers::{end_to_end, stated_rest},
+    headers::{end_to_end, keep_alive_timeout},
     hub::Hub,
     pool::{self, Connection},
 };
@@ -14,128 +14,130 @@
 use vanetally_ports::{AnswerKind, AttemptHead};
 use vanetally_types::{Name, Tick};
 
-/// The rest of an answer that turns a request away is read up to this many bytes.
-const TURNED_AWAY_BYTES: usize = 256 << 10;
-/// The same, for so long: a connection that needs longer is not worth keeping.
-const TURNED_AWAY: Duration = Duration::from_millis(200);
+/// Maximum size of the body of a rejecting response that is read to reuse the connection.
+const MAX_DRAINED_BYTES: usize = 256 << 10;
+/// Maximum time to read such a body; a connection that needs longer is not worth keeping.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What an attempt brought.
-pub(crate) enum Asked {
-    /// The head of an answer that goes to the caller.
-    Answer(Box<Started>),
-    /// Nothing for the caller.
+/// Outcome of sending an attempt.
+pub(crate) enum SendOutcome {
+    /// A response for the caller, up to its head.
+    Response(Box<StartedResponse>),
+    /// The attempt ended without a response for the caller.
     Ended(AttemptEnd),
 }
 
-/// An answer that has begun.
-pub(crate) struct Started {
+/// A response whose head has been received.
+pub(crate) struct StartedResponse {
     pub connection: Connection,
     pub response: Response<Incoming>,
     pub is_success: bool,
 }
 
-/// What is sent upstream, again and again if need be.
+/// The request as sent upstream, kept for retries.
 pub(crate) struct Outgoing {
     pub parts: RequestParts,
     pub body: Bytes,
 }
 
-/// Which request goes where: what one sending needs to know.
+/// The request, its attempt and the context needed to send it.
 #[derive(Clone, Copy)]
-pub(crate) struct Sending<'a> {
+pub(crate) struct SendContext<'a> {
     pub hub: &'a Rc<Hub>,
     pub id: RequestId,
     pub name: &'a Name,
     pub outgoing: &'a Outgoing,
     pub attempt: &'a Attempt,
-    /// The last event of a stream that goes on, if it does.
+    /// Id of the last event received, if a stream is resumed.
     pub resume_after: Option<&'a Name>,
 }
 
-/// Sends the request at the moment that was found for it.
-pub(crate) async fn ask_in_time(sending: Sending<'_>) -> Asked {
-    let chosen = sending.hub.clock.now();
-    let delay_ms = u64::from(sending.attempt.delay_ms);
+/// Sends the request at its assigned send time.
+pub(crate) async fn send_scheduled(context: SendContext<'_>) -> SendOutcome {
+    let started = context.hub.clock.now();
+    let delay_ms = u64::from(context.attempt.delay_ms);
     let delay = Duration::from_millis(delay_ms);
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
     }
-    ask(sending, chosen + delay_ms).await
+    send_and_classify(context, started + delay_ms).await
 }
 
-/// Sends the request once, and reads the head of the answer. The attempt's deadline counts from
-/// `planned`.
-async fn ask(sending: Sending<'_>, planned: Tick) -> Asked {
-    let Sending { hub, name, attempt, .. } = sending;
+/// Sends the request and reads the head of the response. The attempt's deadline counts from
+/// `scheduled`.
+async fn send_and_classify(context: SendContext<'_>, scheduled: Tick) -> SendOutcome {
+    let SendContext { hub, name, attempt, .. } = context;
     let sent = hub.clock.now();
-    let (connection, response) = match send(sending, planned).await {
+    let (connection, response) = match send(context, scheduled).await {
         Ok(sent) => sent,
-        Err(end) => return Asked::Ended(end),
+        Err(end) => return SendOutcome::Ended(end),
     };
     let (head, body) = response.into_parts();
     let kind = hub.ports.engine.classify_answer(&head, name, &attempt.upstream);
-    hub.note_answer(&attempt.upstream, sent, kind, &head);
+    hub.handle_response_head(&attempt.upstream, sent, kind, &head);
     let response = Response::from_parts(head, body);
     match kind {
-        AnswerKind::Success | AnswerKind::Failure => Asked::Answer(Box::new(Started {
-            connection,
-            response,
-            is_success: kind == AnswerKind::Success,
-        })),
+        AnswerKind::Success | AnswerKind::Failure => {
+            SendOutcome::Response(Box::new(StartedResponse {
+                connection,
+                response,
+                is_success: kind == AnswerKind::Success,
+            }))
+        }
         AnswerKind::Full => {
             drain(hub, connection, response).await;
-            Asked::Ended(AttemptEnd::Full)
+            SendOutcome::Ended(AttemptEnd::Full)
         }
         AnswerKind::Absent => {
             drain(hub, connection, response).await;
-            Asked::Ended(AttemptEnd::Absent)
+            SendOutcome::Ended(AttemptEnd::Absent)
         }
         AnswerKind::Replaced => {
-            hub.pool.distrust(attempt.address);
-            Asked::Ended(AttemptEnd::Replaced)
+            hub.pool.drop_idle(attempt.address);
+            SendOutcome::Ended(AttemptEnd::Replaced)
         }
         AnswerKind::Foreign | AnswerKind::Unsigned => {
-            hub.pool.distrust(attempt.address);
+            hub.pool.drop_idle(attempt.address);
             log::warn!(
                 "event=answer_rejected request={name} upstream={} status={} kind={kind:?}",
                 attempt.upstream,
                 response.status().as_u16()
             );
-            Asked::Ended(AttemptEnd::Broken)
+            SendOutcome::Ended(AttemptEnd::Broken)
         }
     }
 }
 
-/// Reads the rest of a short answer, so that its connection can be kept.
+/// Reads the rest of a short response, so that its connection can be reused.
 async fn drain(hub: &Hub, connection: Connection, response: Response<Incoming>) {
-    let rest = stated_rest(response.headers());
-    let body = Limited::new(response.into_body(), TURNED_AWAY_BYTES).collect();
-    if let Ok(Ok(_)) = tokio::time::timeout(TURNED_AWAY, body).await {
-        hub.pool.put(connection, rest);
+    let keep_alive = keep_alive_timeout(response.headers());
+    let body = Limited::new(response.into_body(), MAX_DRAINED_BYTES).collect();
+    if let Ok(Ok(_)) = tokio::time::timeout(DRAIN_TIMEOUT, body).await {
+        hub.pool.put(connection, keep_alive);
     }
 }
 
 async fn send(
-    sending: Sending<'_>,
-    planned: Tick,
+    context: SendContext<'_>,
+    scheduled: Tick,
 ) -> Result<(Connection, Response<Incoming>), AttemptEnd> {
-    let Sending { hub, attempt, .. } = sending;
-    let (address, most) = (attempt.address, attempt.connections);
-    let mut connection = match hub.pool.get(address, most).await {
+    let SendContext { hub, attempt, .. } = context;
+    let (address, max_open) = (attempt.address, attempt.connections);
+    let mut connection = match hub.pool.get(address, max_open).await {
         Ok(connection) => connection,
         Err(error) => return Err(unreachable_end(attempt, &error)),
     };
     loop {
-        if !hub.dispatch.borrow().may_send(hub.clock.now(), sending.id) {
+        if !hub.dispatch.borrow().may_send(hub.clock.now(), context.id) {
             return Err(AttemptEnd::Withdrawn);
         }
-        let request = upstream_request(sending, planned);
+        let request = upstream_request(context, scheduled);
         match connection.sender.try_send_request(request).await {
             Ok(response) => return Ok((connection, response)),
             Err(mut error) => match error.take_message() {
-                // A kept connection had just closed: the request was never sent.
+                // The pooled connection had just closed, so the request was never sent.
                 Some(_) if connection.is_used => {
-                    connection = match hub.pool.connect(address, most).await {
+                    connection = match hub.pool.connect(address, max_open).await {
                         Ok(connection) => connection,
                         Err(error) => return Err(unreachable_end(attempt, &error)),
                     };
@@ -160,10 +162,10 @@
     AttemptEnd::Unreachable
 }
 
-fn upstream_request(sending: Sending<'_>, planned: Tick) -> Request<Full<Bytes>> {
-    let Sending { hub, outgoing, attempt, .. } = sending;
-    // Making a connection took some of the time.
-    let spent_ms = hub.clock.now().since(planned);
+fn upstream_request(context: SendContext<'_>, scheduled: Tick) -> Request<Full<Bytes>> {
+    let SendContext { hub, outgoing, attempt, .. } = context;
+    // Connecting has used part of the deadline.
+    let spent_ms = hub.clock.now().since(scheduled);
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.parts.method.clone();
     if let Some(path) = outgoing.parts.uri.path_and_query() {
@@ -177,7 +179,7 @@
     let head = AttemptHead {
         instance: attempt.upstream.clone(),
         deadline_ms: attempt.deadline_ms.saturating_sub(spent_ms),
-        resume_after: sending.resume_after.cloned(),
+        resume_after: context.resume_after.cloned(),
         origin: attempt.origin.clone(),
     };
     hub.ports.engine.prepare(request.headers_mut(), &head);
