--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,74 +1,75 @@
-//! The settings of one process.
+//! Settings of the gateway process.
 
 use std::net::{IpAddr, SocketAddr};
 use vanetally_types::Name;
 
-/// What a process needs to know before it can reach the store.
+/// The settings that a process needs before it can reach the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The host's name, unique in the deployment.
     pub host: Name,
     /// The host's failure domain.
     pub domain: Name,
-    /// The host's share of a processor, in percent.
+    /// The host's CPU share, in percent.
     pub capacity: u32,
-    /// Bytes a second that the host's own link carries, if that is stated.
+    /// Bytes per second that the host's network link carries, if stated.
     pub link_bytes_per_s: Option<u64>,
-    /// Where callers connect.
+    /// Address on which callers are accepted.
     pub listen: SocketAddr,
-    /// Where the balancer asks for readiness.
+    /// Address of the readiness endpoint for the load balancer.
     pub ready: Option<SocketAddr>,
-    /// Where metrics and the dumped state are served.
+    /// Address of the endpoint for metrics and the state dump.
     pub metrics: Option<SocketAddr>,
-    /// Path of the metrics.
+    /// URL path of the metrics.
     pub metrics_path: String,
     /// Address of this host for other hosts.
     pub ip: IpAddr,
     /// Port of the links between hosts.
     pub link_port: u16,
-    /// The key that all hosts share.
+    /// The key shared by all hosts, which authenticates links.
     pub link_key: Name,
-    /// Whether all hosts of the deployment start now, for the first time.
+    /// Whether this is the first start of the whole deployment.
     pub is_first_start: bool,
-    /// The store.
+    /// Settings of the store.
     pub store: StoreSettings,
-    /// Figures that the deployment promises or demands.
+    /// Limits and time windows set by the deployment.
     pub bounds: Bounds,
 }
 
-/// Where the store is, and what it grants.
+/// Address and limits of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreSettings {
-    /// Its address.
+    /// The store's address.
     pub address: SocketAddr,
-    /// The shortest lease, in milliseconds.
+    /// Minimum TTL of a lease.
     pub min_ttl_ms: u64,
-    /// Writing calls a second that it takes from all hosts together, above zero.
+    /// Write calls per second that the store accepts from all hosts together; must be positive.
     pub writes_per_s: f64,
 }
 
-/// Figures that the deployment promises or demands.
+/// Limits and time windows set by the deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// Milliseconds that a planned stop may take.
+    /// Maximum duration of a planned stop.
     pub grace_ms: u64,
-    /// Repeated sendings for each request.
+    /// Permitted retries per request.
     pub retry_ratio: f64,
-    /// Window of the retry budget, in milliseconds.
+    /// Window of the retry budget.
     pub retry_window_ms: u64,
-    /// Repeated sendings beyond the ratio in one window, over all hosts.
+    /// Permitted retries beyond the ratio in one window, over all hosts.
     pub retry_slack: f64,
-    /// Within this time orders of two holders must not take turns, in milliseconds.
+    /// Time within which orders of two holders must not interleave.
     pub order_lease_ms: u64,
-    /// Window of the weight store's rate, in milliseconds.
+    /// Window of the weight store's load limit.
     pub load_window_ms: u64,
-    /// Milliseconds after trouble of the store or of the way to it within which a host has to know
-    /// again what lies there.
+    /// Time after an outage of the store or of the network path to it within which a host must have
+    /// up-to-date store data again.
     pub contact_ms: u64,
-    /// Milliseconds after a key was taken away within which no host may use it any more; none if hosts serve on
-    /// with the last configuration that they know.
+    /// Time after the revocation of a key within which all hosts must reject it; `None` if hosts
+    /// keep serving with the last configuration they know.
     pub revoke_ms: Option<u64>,
-    /// What the quotas of organisations leave for hosts that can't be asked.
+    /// Permitted excess over the quotas of organisations, for grants made while the grantor is
+    /// unreachable.
     pub quota: vanetally_quota::Bounds,
 }
 
--- a/crates/gateway/src/sources.rs
+++ b/crates/gateway/src/sources.rs
@@ -1,60 +1,61 @@
-//! From whom this host hears what lies in the store, and what it passes on.
+//! Where this host reads store data from, and what it forwards to its subscribers.
 
 use crate::{
     feed::{Feed, PrefixChanges, PrefixSnapshot, PrefixSync, unpack},
     hub::Hub,
-    peers::{self, PeerMessage, Told, Word},
+    order_lease::HOLDER_KEY,
+    peers::{self, AnnouncedRevisions, HostStatus, PeerMessage},
     store::Snapshot,
-    tenure::HOLDER_KEY,
 };
 use std::{collections::BTreeSet, rc::Rc};
 use vanetally_fanout::{Action, Event, Reason, Source, StoreState};
 use vanetally_ports::{Change, Era, Freshness, Revision};
 use vanetally_types::{Name, Tick};
 
-/// This long between two ticks means that the process did not run, in milliseconds. A host with an eighth of a
-/// processor is held back for up to a tenth of a second at a time.
-const STALL_MS: u64 = 250;
-/// A process that did not run for this long, in milliseconds, asks the store anew: the answers that it waits for may
-/// have been lost with their connections, and its time-outs have not counted a suspension.
-const DOUBT_MS: u64 = 1_000;
+/// Gap between two ticks from which on the process counts as stalled. A host with an eighth of a
+/// CPU is throttled for up to 100 ms at a time.
+const STALL_THRESHOLD_MS: u64 = 250;
+/// Stall after which pending store calls are restarted: their responses may have been lost with
+/// their connections, and their timeouts don't include a suspension.
+const RESTART_CALLS_MS: u64 = 1_000;
 
 impl Hub {
-    /// Tells the choice of a source what happened, and does what it says.
-    pub(crate) fn follow_event(self: &Rc<Self>, event: Event) {
-        self.follow_at(self.clock.now(), event);
+    /// Passes an event to the source selection and performs the resulting actions.
+    pub(crate) fn source_event(self: &Rc<Self>, event: Event) {
+        self.handle_source_event(self.clock.now(), event);
     }
 
-    /// Time passed. A stall may strike anywhere in a turn of the loop: what is measured here and what the
-    /// decision goes by are the same moment, so that none is taken for the silence of others.
-    pub(crate) fn follow_tick(self: &Rc<Self>) {
+    /// Runs the source selection's tick. The process can stall at any point of the loop, so the gap
+    /// is measured with the same timestamp that the selection receives; a local stall is then not
+    /// taken for silence of other hosts.
+    pub(crate) fn tick_source(self: &Rc<Self>) {
         let now = self.clock.now();
-        let gap_ms = now.since(self.followed.replace(now));
-        if gap_ms > STALL_MS {
+        let gap_ms = now.since(self.last_source_tick.replace(now));
+        if gap_ms > STALL_THRESHOLD_MS {
             log::warn!("event=host_stalled gap_ms={gap_ms}");
-            self.follow_at(now, Event::Stalled);
+            self.handle_source_event(now, Event::Stalled);
         }
-        if gap_ms > DOUBT_MS {
-            self.store.begin_anew();
+        if gap_ms > RESTART_CALLS_MS {
+            self.store.restart_calls();
         }
-        self.follow_at(now, Event::Tick);
+        self.handle_source_event(now, Event::Tick);
     }
 
-    fn follow_at(self: &Rc<Self>, now: Tick, event: Event) {
-        let actions = self.follow.borrow_mut().handle(now, event);
+    fn handle_source_event(self: &Rc<Self>, now: Tick, event: Event) {
+        let actions = self.source_selector.borrow_mut().handle(now, event);
         for action in actions {
             match action {
                 Action::Subscribe(to) => self.subscribe(&to),
                 Action::Unsubscribe(to) => self.send(&to, &PeerMessage::Unsubscribe),
                 Action::ListHosts => {
-                    tokio::task::spawn_local(survey(self.clone()));
+                    tokio::task::spawn_local(list_hosts(self.clone()));
                 }
                 Action::Probe => {
                     tokio::task::spawn_local(probe(self.clone()));
                 }
                 Action::Announce => {
                     log::info!("event=source_announced");
-                    self.broadcast(&PeerMessage::Word(self.word()));
+                    self.broadcast(&PeerMessage::Status(self.host_status()));
                 }
                 Action::Switch { to, reason } => self.switch(to, reason),
             }
@@ -66,7 +67,7 @@
         let known = |feed: &Rc<Feed>| Some((feed.prefix.clone(), feed.mirror.borrow().revision()?));
         let known: Vec<(Name, Revision)> = feeds.iter().filter_map(known).collect();
         let era = known.iter().map(|(_, at)| at.era).max().unwrap_or_default();
-        // What is known of an earlier era is needed whole.
+        // Data of an earlier era has to be sent in full.
         let have = known.into_iter().filter(|(_, at)| at.era == era);
         let subscribe = PeerMessage::Subscribe {
             entry: self.own_entry(),
@@ -87,23 +88,23 @@
         let reason = reason.as_str();
         log::info!("event=source_changed source={name} reason={reason} age_ms={age_ms}");
         self.source.send_replace(source);
-        self.ask_clock();
-        self.review_loads();
+        self.request_clock();
+        self.update_load_aggregator();
     }
 
-    /// A host that reads the store asks it now and then whether it answers.
+    /// Probes the store if this host reads it and a probe is due.
     pub(crate) fn probe_store(self: &Rc<Self>) {
         if !self.reads_store() {
             return;
         }
-        self.follow_event(Event::StoreConfirmed(self.age_ms()));
-        if self.store.should_probe(self.is_fleet()) {
+        self.source_event(Event::StoreConfirmed(self.age_ms()));
+        if self.store.should_probe(self.uses_aggregators()) {
             tokio::task::spawn_local(probe(self.clone()));
         }
     }
 
-    /// Milliseconds since the store confirmed the oldest of what this host passes on. The configuration is not
-    /// part of that: it travels in another way, and may be read much later than the keys.
+    /// Milliseconds since the store confirmed the oldest of the forwarded feeds. The configuration
+    /// is excluded: it is distributed separately and may be read much later than the keys.
     pub(crate) fn age_ms(&self) -> Option<u64> {
         let now = self.clock.now();
         let ages: Option<Vec<u64>> =
@@ -111,8 +112,9 @@
         ages?.into_iter().max()
     }
 
-    /// The store answered a call sent at `at`: what a watch that waits has not told by then has not happened.
-    fn confirmed(&self, at: Tick) {
+    /// Records that the store answered a call sent at `at`: a pending watch would have reported any
+    /// earlier change.
+    fn confirm_watched(&self, at: Tick) {
         let era = self.store.eras().newest();
         let is_current = |feed: &&Rc<Feed>| feed.is_watched.get() && feed.era() == Some(era);
         for feed in self.feeds.borrow().iter().filter(is_current) {
@@ -120,27 +122,27 @@
         }
     }
 
-    /// The source told how old its word is.
-    fn take_age(&self, age_ms: Option<u64>) {
+    /// Records the age of the data reported by the source.
+    fn set_age(&self, age_ms: Option<u64>) {
         let at = age_ms.map(|age| self.clock.now() - age);
         self.shared_feeds().iter().for_each(|feed| feed.confirmed.set(at));
     }
 
-    /// The feeds that aggregators pass on.
+    /// Returns the feeds that aggregators forward.
     fn shared_feeds(&self) -> Vec<Rc<Feed>> {
         let feeds = self.feeds.borrow();
         feeds.iter().filter(|feed| feed.is_shared()).cloned().collect()
     }
 
-    /// The era of all that aggregators pass on, if it is one.
+    /// Returns the era of the forwarded feeds; `None` unless all have the same.
     fn shared_era(&self) -> Option<Era> {
         let feeds = self.shared_feeds();
         let eras: Option<BTreeSet<Era>> = feeds.iter().map(|feed| feed.era()).collect();
         eras.filter(|eras| eras.len() == 1)?.pop_first()
     }
 
-    /// What is new to a host that knows all changes up to `have`; `None` while something is not known here, or only of
-    /// an earlier era.
+    /// Returns the sync message for a host that knows all changes up to `have`; `None` while a
+    /// forwarded feed is unknown here, or the eras of the feeds differ.
     pub(crate) fn sync(&self, have: &[(Name, Revision)]) -> Option<PeerMessage> {
         self.shared_era()?;
         let feeds = self.shared_feeds();
@@ -150,12 +152,12 @@
         });
         let prefixes: Option<Vec<PrefixSync>> = prefixes.collect();
         let (store, age_ms) = (self.store.state(), self.age_ms());
-        let path = self.follow.borrow().path();
+        let path = self.source_selector.borrow().path();
         Some(PeerMessage::Sync { store, age_ms, path, prefixes: prefixes? })
     }
 
-    /// Another host told what is new to this one.
-    pub(crate) fn take_sync(
+    /// Handles a sync message from another host.
+    pub(crate) fn receive_sync(
         self: &Rc<Self>,
         from: &Name,
         age_ms: Option<u64>,
@@ -163,66 +165,67 @@
     ) {
         let feeds = self.shared_feeds();
         let before = self.shared_era();
-        let mut taken = 0;
+        let mut applied = 0;
         for sync in prefixes {
-            taken += usize::from(self.take_prefix(&feeds, sync));
+            applied += usize::from(self.apply_prefix(&feeds, sync));
         }
-        if taken < feeds.len() {
-            return log::info!("event=sync_incomplete from={from} taken={taken}");
+        if applied < feeds.len() {
+            return log::info!("event=sync_incomplete from={from} taken={applied}");
         }
-        let is_over = self.shared_era().is_some_and(|era| self.is_over(era));
-        let age_ms = age_ms.filter(|_| !is_over);
-        self.follow_event(Event::Synced { from: from.clone(), age_ms });
+        let is_era_outdated = self.shared_era().is_some_and(|era| self.is_era_outdated(era));
+        let age_ms = age_ms.filter(|_| !is_era_outdated);
+        self.source_event(Event::Synced { from: from.clone(), age_ms });
         if *self.source.borrow() == Source::Host(from.clone()) {
-            self.take_age(age_ms);
+            self.set_age(age_ms);
         }
         if before != self.shared_era() {
-            self.tell_subscribers(|| self.sync(&[]));
+            self.send_to_subscribers(|| self.sync(&[]));
         }
     }
 
-    /// Whether another host tells of an era that is over, though it has had the time to hear of the next one.
-    fn is_over(&self, era: Era) -> bool {
-        self.store.eras().is_over(self.clock.now(), era)
+    /// Whether data of `era` from another host is outdated, although that host has had time to
+    /// learn of the next era.
+    fn is_era_outdated(&self, era: Era) -> bool {
+        self.store.eras().is_outdated(self.clock.now(), era)
     }
 
-    /// Takes in what is new under one prefix and passes it on; tells whether it was news enough.
-    fn take_prefix(&self, feeds: &[Rc<Feed>], sync: PrefixSync) -> bool {
+    /// Applies the sync of one prefix and forwards it; returns whether it was recent enough.
+    fn apply_prefix(&self, feeds: &[Rc<Feed>], sync: PrefixSync) -> bool {
         let find = |prefix: &Name| feeds.iter().find(|feed| feed.prefix == *prefix);
         match sync {
             PrefixSync::Whole(packed) => {
                 let Some(PrefixSnapshot { prefix, at, items }) = unpack(&packed) else {
                     return false;
                 };
-                find(&prefix).is_some_and(|feed| self.take_whole(feed, Snapshot { items, at }))
+                find(&prefix).is_some_and(|feed| self.apply_snapshot(feed, Snapshot { items, at }))
             }
             PrefixSync::Since(PrefixChanges { prefix, after, at, changes }) => {
                 let Some(feed) = find(&prefix) else {
                     return false;
                 };
-                let is_taken = feed.change(after, at, changes.clone()).is_ok();
-                if is_taken {
-                    self.pass_on(feed, at, changes);
+                let is_applied = feed.apply_changes(after, at, changes.clone()).is_ok();
+                if is_applied {
+                    self.forward_changes(feed, at, changes);
                 }
-                is_taken
+                is_applied
             }
         }
     }
 
-    fn take_whole(&self, feed: &Feed, snapshot: Snapshot) -> bool {
+    fn apply_snapshot(&self, feed: &Feed, snapshot: Snapshot) -> bool {
         let (at, changes) = (snapshot.at, feed.changes_to(&snapshot));
         if !feed.replace(snapshot) {
             return false;
         }
         match changes {
-            Some(changes) => self.pass_on(feed, at, changes),
-            None => feed.told.set(at),
+            Some(changes) => self.forward_changes(feed, at, changes),
+            None => feed.announced.set(at),
         }
         true
     }
 
-    /// An aggregator told changes.
-    pub(crate) fn take_changes(
+    /// Handles changes sent by an aggregator.
+    pub(crate) fn receive_changes(
         self: &Rc<Self>,
         from: &Name,
         store: StoreState,
@@ -231,99 +234,100 @@
         if *self.source.borrow() != Source::Host(from.clone()) {
             return;
         }
-        self.store.told(store);
+        self.store.state_reported(store);
         let feeds = self.shared_feeds();
         let PrefixChanges { prefix, after, at, changes } = changes;
         let Some(feed) = feeds.iter().find(|feed| feed.prefix == prefix) else {
             return;
         };
         if feed.era().is_some_and(|known| at.era < known) {
-            return feed.log_passed_over("changes", at, changes.len());
+            return feed.log_stale_update("changes", at, changes.len());
         }
-        if feed.change(after, at, changes.clone()).is_ok() {
-            return self.pass_on(feed, at, changes);
+        if feed.apply_changes(after, at, changes.clone()).is_ok() {
+            return self.forward_changes(feed, at, changes);
         }
         log::info!("event=changes_missed from={from} prefix={prefix} after={after}");
-        self.follow_event(Event::ChangesMissed);
+        self.source_event(Event::ChangesMissed);
     }
 
-    /// How this host stands, for those that hear from it.
-    pub(crate) fn word(&self) -> Word {
-        Word {
+    /// Returns this host's status for its subscribers.
+    pub(crate) fn host_status(&self) -> HostStatus {
+        HostStatus {
             version: self.version(),
             age_ms: self.age_ms(),
-            configuration: self.configuration_word(),
+            configuration: self.configuration_status(),
             store: self.store.state(),
-            told: self.shared_feeds().iter().map(|feed| feed.told()).collect(),
+            announced: self.shared_feeds().iter().map(|feed| feed.announced_revisions()).collect(),
             is_leaving: self.is_leaving(),
-            path: self.follow.borrow().path(),
+            path: self.source_selector.borrow().path(),
         }
     }
 
-    /// A host that passes on what lies in the store told how it stands.
-    pub(crate) fn take_word(self: &Rc<Self>, from: &Name, word: &Word) {
-        let era = word.told.iter().map(|told| told.at.era).min();
-        let age_ms = word.age_ms.filter(|_| !era.is_some_and(|era| self.is_over(era)));
+    /// Handles the status of a host that forwards store data.
+    pub(crate) fn receive_status(self: &Rc<Self>, from: &Name, status: &HostStatus) {
+        let era = status.announced.iter().map(|announced| announced.at.era).min();
+        let age_ms = status.age_ms.filter(|_| !era.is_some_and(|era| self.is_era_outdated(era)));
         if *self.source.borrow() == Source::Host(from.clone()) {
-            self.store.told(word.store);
-            self.take_age(age_ms);
-            self.check_told(from, &word.told);
-            self.compare_version(from, word.version);
-            self.take_configuration_word(from, word.configuration);
+            self.store.state_reported(status.store);
+            self.set_age(age_ms);
+            self.check_announced(from, &status.announced);
+            self.check_version(from, status.version);
+            self.receive_configuration_status(from, status.configuration);
         }
-        self.follow_event(Event::Path { from: from.clone(), path: word.path.clone() });
-        let is_leaving = word.is_leaving;
-        self.follow_event(Event::Status { from: from.clone(), age_ms, is_leaving });
+        self.source_event(Event::Path { from: from.clone(), path: status.path.clone() });
+        let is_leaving = status.is_leaving;
+        self.source_event(Event::Status { from: from.clone(), age_ms, is_leaving });
     }
 
-    /// Messages of one link come in order: what is missing of what was told was lost with a link.
-    fn check_told(self: &Rc<Self>, from: &Name, told: &[Told]) {
+    /// Compares the announced revisions with the local copies. Messages of one link arrive in
+    /// order, so announced changes that are missing were lost with a link.
+    fn check_announced(self: &Rc<Self>, from: &Name, announced: &[AnnouncedRevisions]) {
         let feeds = self.shared_feeds();
-        let lacks = |told: &&Told| {
-            let feed = feeds.iter().find(|feed| feed.prefix == told.prefix);
-            feed.is_some_and(|feed| feed.lacks(told))
+        let is_missing = |announced: &&AnnouncedRevisions| {
+            let feed = feeds.iter().find(|feed| feed.prefix == announced.prefix);
+            feed.is_some_and(|feed| feed.is_missing_changes(announced))
         };
-        if let Some(Told { prefix, last, .. }) = told.iter().find(lacks) {
+        if let Some(AnnouncedRevisions { prefix, last, .. }) = announced.iter().find(is_missing) {
             log::info!("event=changes_missed from={from} prefix={prefix} told={last}");
-            self.follow_event(Event::ChangesMissed);
+            self.source_event(Event::ChangesMissed);
         }
     }
 
-    /// Passes changes on to the subscribers.
-    pub(crate) fn pass_on(&self, feed: &Feed, at: Revision, changes: Vec<Change>) {
-        let after = feed.told.replace(feed.told.get().max(at));
+    /// Forwards changes to the subscribers.
+    pub(crate) fn forward_changes(&self, feed: &Feed, at: Revision, changes: Vec<Change>) {
+        let after = feed.announced.replace(feed.announced.get().max(at));
         if changes.is_empty() {
             return;
         }
         let prefix = feed.prefix.clone();
         let changes = PrefixChanges { prefix, after, at, changes };
         let store = self.store.state();
-        self.tell_subscribers(|| Some(PeerMessage::Changes { store, changes }));
+        self.send_to_subscribers(|| Some(PeerMessage::Changes { store, changes }));
     }
 
-    /// All keys were read for the first time, or in another era: subscribers start from there as well.
+    /// Sends all keys to the subscribers after the first read, or the first one of another era.
     pub(crate) fn resend(&self, feed: &Feed, at: Revision) {
-        feed.told.set(at);
-        self.tell_subscribers(|| self.sync(&[]));
+        feed.announced.set(at);
+        self.send_to_subscribers(|| self.sync(&[]));
     }
 }
 
-/// Sees whether the store answers this host.
+/// Probes whether the store answers this host.
 async fn probe(hub: Rc<Hub>) {
     let sent = hub.clock.now();
     let is_answered = hub.store.probe(HOLDER_KEY).await;
     if is_answered && hub.reads_store() {
-        hub.confirmed(sent);
+        hub.confirm_watched(sent);
     }
-    hub.follow_event(Event::Probed(is_answered));
+    hub.source_event(Event::Probed(is_answered));
 }
 
-/// Reads the list of hosts, however old, to find one to hear from.
-async fn survey(hub: Rc<Hub>) {
-    let Ok(snapshot) = hub.store.range(peers::HOSTS, Freshness::MayBeStale).await else {
+/// Lists the hosts, accepting stale data, to find a source.
+async fn list_hosts(hub: Rc<Hub>) {
+    let Ok(snapshot) = hub.store.range(peers::HOST_PREFIX, Freshness::MayBeStale).await else {
         return;
     };
     if *hub.source.borrow() == Source::Searching {
-        hub.set_peers(snapshot.items.iter().filter_map(peers::entry).collect(), false);
+        hub.set_peers(snapshot.items.iter().filter_map(peers::parse_entry).collect(), false);
     }
 }
--- a/crates/gateway/src/statements.rs
+++ b/crates/gateway/src/statements.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves in their answers, and who hears of it.
+//! Handles what upstreams state about themselves in responses, and forwards it to other hosts.
 
 use crate::{hub::Hub, peers::PeerMessage, telemetry};
 use http::{StatusCode, response::Parts};
@@ -9,8 +9,8 @@
 use vanetally_types::{Incarnation, Name, Tick};
 
 impl Hub {
-    /// Takes in what the head of an answer to a request says, which was sent at `sent`.
-    pub(crate) fn note_answer(
+    /// Handles the statements in the head of a response to a request sent at `sent`.
+    pub(crate) fn handle_response_head(
         self: &Rc<Self>,
         upstream: &Incarnation,
         sent: Tick,
@@ -21,46 +21,53 @@
             return;
         }
         let statement = self.ports.engine.read_statement(head);
-        // One that turns a request away need not say all that it would: it may name a limit, and ends none.
+        // A rejecting response may omit the limit: it can state a limit, but its silence does not
+        // end one.
         let ends = matches!(kind, AnswerKind::Success | AnswerKind::Failure);
-        let rate = self.readable(upstream, "limit", statement.limit);
+        let rate = self.readable_value(upstream, "limit", statement.limit);
         if rate.is_some() || ends {
             self.request_event(Event::LimitStated { upstream: upstream.clone(), sent, rate });
         }
-        self.note_statement(upstream, &statement);
+        self.handle_statement(upstream, &statement);
     }
 
-    /// Takes in what the head of an answer to a report or an order says.
-    pub(crate) fn note_reply(self: &Rc<Self>, upstream: &Incarnation, head: &Parts) {
-        // Another life answers so.
+    /// Handles the statements in the head of a response to a report request or an order.
+    pub(crate) fn handle_reply_head(self: &Rc<Self>, upstream: &Incarnation, head: &Parts) {
+        // This status is sent by another incarnation.
         if head.status != StatusCode::MISDIRECTED_REQUEST {
-            self.note_statement(upstream, &self.ports.engine.read_statement(head));
+            self.handle_statement(upstream, &self.ports.engine.read_statement(head));
         }
     }
 
-    fn note_statement(self: &Rc<Self>, upstream: &Incarnation, statement: &Statement) {
-        if self.readable(upstream, "leaving", statement.leaving).is_some() {
-            self.leaving(None, vec![upstream.clone()]);
+    fn handle_statement(self: &Rc<Self>, upstream: &Incarnation, statement: &Statement) {
+        if self.readable_value(upstream, "leaving", statement.leaving).is_some() {
+            self.upstreams_leaving(None, vec![upstream.clone()]);
         }
-        let rest_ms = self.readable(upstream, "rest", statement.cooldown_ms);
-        if let Some(for_ms) = rest_ms.filter(|for_ms| *for_ms > 0) {
+        let cooldown_ms = self.readable_value(upstream, "rest", statement.cooldown_ms);
+        if let Some(for_ms) = cooldown_ms.filter(|for_ms| *for_ms > 0) {
             log::info!("event=rest_asked upstream={upstream} for_ms={for_ms}");
-            telemetry::rest_asked();
+            telemetry::cooldown_requested();
             self.request_event(Event::CooldownRequested { upstream: upstream.clone(), for_ms });
         }
     }
 
-    /// Whether an upstream has asked for rest; if so, waits for the end of it, `most` at most.
-    pub(crate) async fn rests(&self, upstream: &Incarnation, most: Duration) -> bool {
-        let left_ms = self.dispatch.borrow().cooldown_left_ms(self.clock.now(), upstream);
-        if let Some(left_ms) = left_ms {
-            sleep(Duration::from_millis(left_ms).min(most)).await;
+    /// If an upstream is in cooldown, waits for its end, at most `max_wait`. Returns whether it was
+    /// in cooldown.
+    pub(crate) async fn await_cooldown(&self, upstream: &Incarnation, max_wait: Duration) -> bool {
+        let remaining_ms = self.dispatch.borrow().cooldown_left_ms(self.clock.now(), upstream);
+        if let Some(remaining_ms) = remaining_ms {
+            sleep(Duration::from_millis(remaining_ms).min(max_wait)).await;
         }
-        left_ms.is_some()
+        remaining_ms.is_some()
     }
 
-    /// What was stated, if it can be read.
-    fn readable<T>(&self, upstream: &Incarnation, what: &str, stated: Stated<T>) -> Option<T> {
+    /// Returns the stated value, if present and readable.
+    fn readable_value<T>(
+        &self,
+        upstream: &Incarnation,
+        what: &str,
+        stated: Stated<T>,
+    ) -> Option<T> {
         match stated {
             Stated::Value(value) => Some(value),
             Stated::Absent => None,
@@ -72,17 +79,22 @@
         }
     }
 
-    /// These upstreams have said that they leave, by the word of `from` or in answers to this host.
-    pub(crate) fn leaving(self: &Rc<Self>, from: Option<&Name>, upstreams: Vec<Incarnation>) {
+    /// Handles announcements of leaving upstreams, relayed by `from` or stated in responses to this
+    /// host.
+    pub(crate) fn upstreams_leaving(
+        self: &Rc<Self>,
+        from: Option<&Name>,
+        upstreams: Vec<Incarnation>,
+    ) {
         let now = self.clock.now();
-        let is_news = |upstream: &Incarnation| {
+        let is_new = |upstream: &Incarnation| {
             self.leaving_upstreams.borrow_mut().insert(now, upstream.clone())
         };
-        let news: Vec<Incarnation> = upstreams.into_iter().filter(is_news).collect();
-        if news.is_empty() {
+        let added: Vec<Incarnation> = upstreams.into_iter().filter(is_new).collect();
+        if added.is_empty() {
             return;
         }
-        for upstream in &news {
+        for upstream in &added {
             let by = from.map_or("answer", |host| host);
             log::info!("event=upstream_leaving upstream={upstream} by={by}");
             telemetry::upstream_leaving(from.is_some());
@@ -92,11 +104,11 @@
             }
         }
         let own = &self.settings.host;
-        self.spread(from.unwrap_or(own), &PeerMessage::Leaving(news));
+        self.forward(from.unwrap_or(own), &PeerMessage::Leaving(added));
     }
 
-    /// Tells a host that starts which upstreams have said that they leave.
-    pub(crate) fn tell_leavers(&self, host: &Name) {
+    /// Sends a starting host the leaving upstreams.
+    pub(crate) fn send_leaving(&self, host: &Name) {
         let leaving_upstreams = self.leaving_upstreams.borrow().all();
         if !leaving_upstreams.is_empty() {
             self.send(host, &PeerMessage::Leaving(leaving_upstreams));
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,4 +1,4 @@
-//! Readiness for the balancer; metrics and state for people.
+//! HTTP endpoints for readiness, metrics and the state dump.
 
 use crate::hub::Hub;
 use bytes::Bytes;
@@ -10,16 +10,16 @@
 use std::{convert::Infallible, rc::Rc};
 use tokio::net::TcpListener;
 
-/// Path of the dumped state.
+/// URL path of the state dump.
 const STATE_PATH: &str = "/state";
 
-/// What is told about the process.
+/// State served by the endpoints.
 pub(crate) struct Status {
     pub hub: Rc<Hub>,
     pub metrics: PrometheusHandle,
 }
 
-/// Answers questions about the process for as long as it lives.
+/// Serves the endpoints until the process ends.
 pub(crate) async fn serve(status: Rc<Status>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -32,7 +32,7 @@
                 let response = answer(&status, &request);
                 async move { Ok::<_, Infallible>(response) }
             });
-            // Whoever asked and left needs no answer.
+            // A client that disconnected needs no response.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,9 +1,9 @@
-//! Calls to the store, with time-outs and typed answers.
+//! Store client with timeouts and typed responses.
 
 use crate::{
     call::{self, Reply},
     clock::Clock,
-    eras::{Eras, Sign},
+    eras::{EraUpdate, Eras},
     pool::Pool,
     settings::StoreSettings,
     telemetry,
@@ -19,51 +19,52 @@
 };
 use vanetally_types::Tick;
 
-/// Why a call to the store brought nothing.
+/// Why a store call failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
-    /// No answer came.
+    /// No response was received.
     #[error(transparent)]
     Call(#[from] call::Error),
-    /// The answer makes no sense.
+    /// The response is malformed.
     #[error(transparent)]
     Format(#[from] FormatError),
-    /// The store refuses calls for now.
+    /// The store is refusing calls temporarily.
     #[error("refused with {0}")]
     Refused(StatusCode),
-    /// The store has come back from a copy since it made the answer.
-    #[error("answered in era {era}, known is {known}")]
-    Late {
-        /// The era of the answer.
+    /// The store has been restored from a backup since it made the response.
+    #[error("response of era {era}, but era {known} is known")]
+    Outdated {
+        /// The era of the response.
         era: Era,
-        /// The era that is known.
+        /// The known era.
         known: Era,
     },
-    /// The lease is of an era before that of the answer: it may be that of another host.
-    #[error("a lease of era {lease}, answered in era {era}")]
-    OtherEra {
+    /// The lease is of an earlier era than the response, which may concern another host's lease
+    /// with the same number.
+    #[error("lease of era {lease}, but response of era {era}")]
+    EraMismatch {
         /// The era of the lease.
         lease: Era,
-        /// The era of the answer.
+        /// The era of the response.
         era: Era,
     },
 }
 
-/// All keys of a prefix, at one revision or somewhat later.
+/// All keys of a prefix. Later pages may include changes made after `at`.
 #[derive(Debug)]
 pub(crate) struct Snapshot {
     pub items: Vec<Item>,
     pub at: Revision,
 }
 
-/// An answer of the store.
-struct Told {
+/// A store response with its era.
+struct EraReply {
     reply: Reply,
-    /// The era in which it was given.
+    /// The era in which the response was made.
     era: Era,
 }
 
-impl Told {
+impl EraReply {
     fn status(&self) -> StatusCode {
         self.reply.status()
     }
@@ -73,7 +74,7 @@
     }
 }
 
-/// The store as this process sees it.
+/// Client of the store.
 #[derive(Clone)]
 pub(crate) struct Store {
     pool: Pool,
@@ -81,20 +82,21 @@
     protocol: Rc<dyn StoreProtocol>,
     clock: Clock,
     contact: Rc<RefCell<StoreContact>>,
-    /// Counts how often the way to the store opened again.
-    returns: Rc<watch::Sender<u64>>,
-    /// Calls since they were last logged, by name.
+    /// Incremented to make pending calls restart: when the store becomes reachable again or is
+    /// restored, and after a stall.
+    restarts: Rc<watch::Sender<u64>>,
+    /// Calls since the last log line, by name.
     calls: Rc<RefCell<BTreeMap<&'static str, u32>>>,
     eras: Rc<Eras>,
 }
 
-/// For a short call.
-const CALL: Duration = Duration::from_millis(1_200);
-/// A watch that is silent for longer than it may be held and this has broken: the store answers in a few
-/// milliseconds, in fifty times as many when it is slow.
+/// Timeout of a short call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Margin after the maximum hold time of a watch before it counts as broken. The store answers
+/// within a few milliseconds, or up to fifty times that when slow.
 const WATCH_MARGIN: Duration = Duration::from_millis(500);
 
-/// Whether the store did nothing, for now.
+/// Whether the status means that the store temporarily refuses calls.
 fn is_refusal(status: StatusCode) -> bool {
     status == StatusCode::TOO_MANY_REQUESTS || status.is_server_error()
 }
@@ -112,47 +114,48 @@
             protocol,
             clock,
             contact: Rc::new(RefCell::new(StoreContact::new(contact_ms))),
-            returns: Rc::new(watch::Sender::new(0)),
+            restarts: Rc::new(watch::Sender::new(0)),
             calls: Rc::default(),
             eras: Rc::new(Eras::new(clock.now())),
         }
     }
 
-    /// Whether the store was away lately.
+    /// Returns the record of the store's availability.
     pub(crate) fn contact(&self) -> StoreContact {
         *self.contact.borrow()
     }
 
-    /// What other hosts may rest on.
+    /// Returns the state of the store's availability that is reported to other hosts.
     pub(crate) fn state(&self) -> StoreState {
         self.contact.borrow().state(self.clock.now())
     }
 
-    /// Another host told what it knows of the store.
-    pub(crate) fn told(&self, state: StoreState) {
+    /// Records the store state reported by another host.
+    pub(crate) fn state_reported(&self, state: StoreState) {
         self.contact.borrow_mut().record_peer_state(self.clock.now(), state);
     }
 
-    /// Changes whenever the way to the store opens again: what hangs should be begun anew.
-    pub(crate) fn returns(&self) -> watch::Receiver<u64> {
-        self.returns.subscribe()
+    /// Subscribes to restarts of pending calls.
+    pub(crate) fn restarts(&self) -> watch::Receiver<u64> {
+        self.restarts.subscribe()
     }
 
-    /// Makes the calls anew that hang now.
-    pub(crate) fn begin_anew(&self) {
-        self.returns.send_modify(|count| *count += 1);
+    /// Restarts the calls that are pending now.
+    pub(crate) fn restart_calls(&self) {
+        self.restarts.send_modify(|count| *count += 1);
     }
 
-    /// Whether to send a probe now; other hosts may rest on what this one knows.
+    /// Whether to send a probe now. `is_relied_on` tells whether other hosts depend on this host's
+    /// knowledge.
     pub(crate) fn should_probe(&self, is_relied_on: bool) -> bool {
         self.contact.borrow_mut().should_probe(self.clock.now(), is_relied_on)
     }
 
-    /// Sees whether the store answers, on a connection of its own: what was lost on a kept one may be
-    /// repeated only much later.
+    /// Probes whether the store answers, on a new connection: data lost on an existing one may be
+    /// retransmitted only much later.
     pub(crate) async fn probe(&self, key: &str) -> bool {
         let request = self.protocol.probe(key);
-        let reply = self.call_on(&Pool::new(self.clock), "probe", request, CALL).await;
+        let reply = self.call_on(&Pool::new(self.clock), "probe", request, CALL_TIMEOUT).await;
         reply.is_ok_and(|reply| !is_refusal(reply.status()))
     }
 
@@ -161,7 +164,7 @@
         *self.calls.borrow_mut().entry(name).or_default() += 1;
     }
 
-    /// Logs the calls since the last time, by name.
+    /// Logs the number of calls since the last time, by name.
     pub(crate) fn log_calls(&self) {
         let calls = std::mem::take(&mut *self.calls.borrow_mut());
         if calls.is_empty() {
@@ -172,8 +175,8 @@
         log::info!("event=store_calls {}", calls.join(" "));
     }
 
-    /// Takes in how a call went.
-    fn note(&self, sent: Tick, reply: &Result<Reply, call::Error>) {
+    /// Records the outcome of a call.
+    fn record_call(&self, sent: Tick, reply: &Result<Reply, call::Error>) {
         let is_answered = reply.as_ref().is_ok_and(|reply| !is_refusal(reply.status()));
         let now = self.clock.now();
         let mut contact = self.contact.borrow_mut();
@@ -182,43 +185,46 @@
             contact.record_failure(sent);
         } else if contact.record_answer(sent, now) {
             log::info!("event=store_returned silent_ms={silent_ms}");
-            self.begin_anew();
+            self.restart_calls();
         }
     }
 
-    /// The era of an answer. Where the store has come back from a copy, what hangs is begun anew.
+    /// Returns the era of a response. If the store has been restored from a backup, pending calls
+    /// are restarted.
     ///
     /// # Errors
-    /// If the answer comes late, or its era can't be read.
-    fn note_era(&self, name: &'static str, reply: &Reply) -> Result<Era, Error> {
+    /// If the response is outdated or its era is unreadable.
+    fn check_era(&self, name: &'static str, reply: &Reply) -> Result<Era, Error> {
         let era = self.protocol.read_era(&reply.head.headers).inspect_err(|error| {
             log::error!("event=store_era_unreadable call={name} error=\"{error}\"");
         })?;
         let now = self.clock.now();
-        match self.eras.answer(now, era) {
-            Sign::Known => {}
-            Sign::First => {
+        match self.eras.record_answer(now, era) {
+            EraUpdate::Known => {}
+            EraUpdate::First => {
                 log::info!("event=store_era era={era} before=-");
                 telemetry::store_era(era);
             }
-            Sign::Returned { before, is_news } => {
-                log::warn!("event=store_era era={era} before={before} call={name} news={is_news}");
+            EraUpdate::Restored { before, is_unread } => {
+                log::warn!(
+                    "event=store_era era={era} before={before} call={name} news={is_unread}"
+                );
                 telemetry::store_era(era);
-                if is_news {
+                if is_unread {
                     self.contact.borrow_mut().record_return(now);
-                    self.begin_anew();
+                    self.restart_calls();
                 }
             }
-            Sign::Late { known } => {
-                telemetry::passed_over("answer");
+            EraUpdate::Outdated { known } => {
+                telemetry::stale_update("answer");
                 log::info!("event=store_answer_late call={name} era={era} known={known}");
-                return Err(Error::Late { era, known });
+                return Err(Error::Outdated { era, known });
             }
         }
         Ok(era)
     }
 
-    /// In which era the store is.
+    /// Returns the known eras of the store.
     pub(crate) fn eras(&self) -> &Eras {
         &self.eras
     }
@@ -227,9 +233,9 @@
         &self,
         name: &'static str,
         request: Request<Bytes>,
-        within: Duration,
-    ) -> Result<Told, Error> {
-        self.call_on(&self.pool, name, request, within).await
+        wait_limit: Duration,
+    ) -> Result<EraReply, Error> {
+        self.call_on(&self.pool, name, request, wait_limit).await
     }
 
     async fn call_on(
@@ -237,31 +243,31 @@
         pool: &Pool,
         name: &'static str,
         request: Request<Bytes>,
-        within: Duration,
-    ) -> Result<Told, Error> {
+        wait_limit: Duration,
+    ) -> Result<EraReply, Error> {
         let sent = self.clock.now();
-        let reply = call::call(pool, self.address, request, within).await;
-        self.take(name, sent, reply)
+        let reply = call::call(pool, self.address, request, wait_limit).await;
+        self.finish_call(name, sent, reply)
     }
 
-    fn take(
+    fn finish_call(
         &self,
         name: &'static str,
         sent: Tick,
         reply: Result<Reply, call::Error>,
-    ) -> Result<Told, Error> {
+    ) -> Result<EraReply, Error> {
         self.count(name, reply.is_ok());
-        self.note(sent, &reply);
+        self.record_call(sent, &reply);
         let reply = reply?;
-        Ok(Told { era: self.note_era(name, &reply)?, reply })
+        Ok(EraReply { era: self.check_era(name, &reply)?, reply })
     }
 
-    /// Closes connections that have rested too long.
+    /// Closes expired idle connections.
     pub(crate) fn sweep(&self) {
         self.pool.sweep();
     }
 
-    /// Reads all keys that begin with `prefix`.
+    /// Reads all keys with `prefix`.
     pub(crate) async fn range(
         &self,
         prefix: &str,
@@ -276,11 +282,12 @@
             }
             let page = self.protocol.read_range(reply.era, reply.body())?;
             if last.is_some() && page.revision.era != snapshot.at.era {
-                // It came back from a copy between two pages.
+                // The store was restored from a backup between two pages.
                 snapshot.items.clear();
                 continue;
             }
-            // Pages are no snapshot: the watch goes on from the first, and sees changes twice.
+            // The pages are not one snapshot. A watch continues from the first page's revision and
+            // may see changes twice.
             if last.is_none() {
                 snapshot.at = page.revision;
             }
@@ -292,35 +299,38 @@
         }
     }
 
-    /// Reads one page. A call that hangs when the way to the store opens again is made anew at once: its
-    /// answer may never come, while an answer that has begun may be large and goes on.
+    /// Reads one page. On a restart of pending calls, a call whose response has not begun is sent
+    /// again at once, since the response may never arrive. A response that has begun may be large
+    /// and is read to its end.
     async fn read_page(
         &self,
         prefix: &str,
         after: Option<&str>,
         freshness: Freshness,
-    ) -> Result<Told, Error> {
-        let mut returns = self.returns();
+    ) -> Result<EraReply, Error> {
+        let mut restarts = self.restarts();
         loop {
-            let returned = async {
+            let restarted = async {
                 // The sender lives as long as the store.
-                let _ = returns.changed().await;
+                let _ = restarts.changed().await;
             };
             let request = self.protocol.range(prefix, after, freshness);
             let sent = self.clock.now();
-            let reply = call::call_unless(&self.pool, self.address, request, CALL, returned).await;
-            if matches!(reply, Err(call::Error::Hung)) {
+            let reply =
+                call::call_or_cancel(&self.pool, self.address, request, CALL_TIMEOUT, restarted)
+                    .await;
+            if matches!(reply, Err(call::Error::Cancelled)) {
                 continue;
             }
             let name = match freshness {
                 Freshness::Newest => "range",
                 Freshness::MayBeStale => "survey",
             };
-            return self.take(name, sent, reply);
+            return self.finish_call(name, sent, reply);
         }
     }
 
-    /// Waits for changes of the keys that begin with `prefix`, `wait_ms` at most.
+    /// Waits for changes of keys with `prefix`, `wait_ms` at most.
     pub(crate) async fn watch(
         &self,
         prefix: &str,
@@ -328,46 +338,48 @@
         wait_ms: u64,
     ) -> Result<WatchAnswer, Error> {
         let request = self.protocol.watch(prefix, after, wait_ms);
-        let within = Duration::from_millis(wait_ms) + WATCH_MARGIN;
-        let reply = self.call("watch", request, within).await?;
+        let wait_limit = Duration::from_millis(wait_ms) + WATCH_MARGIN;
+        let reply = self.call("watch", request, wait_limit).await?;
         let answer = self.protocol.read_watch(reply.era, reply.status(), reply.body())?;
         answer.ok_or(Error::Refused(reply.status()))
     }
 
-    /// Writes, if all expectations hold.
+    /// Commits a transaction if all its expectations hold.
     pub(crate) async fn transact(
         &self,
         transaction: &Transaction,
     ) -> Result<StoreAnswer<Revision>, Error> {
         let request = self.protocol.transaction(transaction);
-        let reply = self.call("transaction", request, CALL).await?;
+        let reply = self.call("transaction", request, CALL_TIMEOUT).await?;
         Ok(self.protocol.read_transaction(reply.era, reply.status(), reply.body())?)
     }
 
-    /// Asks for a lease.
+    /// Requests a lease; returns its id and TTL.
     pub(crate) async fn grant(&self, ttl_ms: u64) -> Result<StoreAnswer<(LeaseId, u64)>, Error> {
-        let reply = self.call("grant", self.protocol.grant(ttl_ms), CALL).await?;
+        let reply = self.call("grant", self.protocol.grant(ttl_ms), CALL_TIMEOUT).await?;
         Ok(self.protocol.read_grant(reply.era, reply.status(), reply.body())?)
     }
 
     /// Renews a lease.
     ///
     /// # Errors
-    /// Also if the store is in a later era than that of the lease: what it says is about another lease.
+    /// Also if the store is in a later era than the lease, since the response then concerns another
+    /// lease.
     pub(crate) async fn renew(&self, lease: LeaseId) -> Result<StoreAnswer<()>, Error> {
-        let reply = self.call("renew", self.protocol.renew(lease), CALL).await?;
+        let reply = self.call("renew", self.protocol.renew(lease), CALL_TIMEOUT).await?;
         if reply.era != lease.era {
-            return Err(Error::OtherEra { lease: lease.era, era: reply.era });
+            return Err(Error::EraMismatch { lease: lease.era, era: reply.era });
         }
         Ok(self.protocol.classify_lease(reply.status()))
     }
 
-    /// Ends a lease, with its keys. One of an earlier era runs out by itself: its number may be that of another host's.
+    /// Ends a lease and removes its keys. A lease of an earlier era is left to expire: its number
+    /// may now belong to another host's lease.
     pub(crate) async fn end(&self, lease: LeaseId) -> Result<StoreAnswer<()>, Error> {
         if lease.era < self.eras.newest() {
             return Ok(StoreAnswer::NoLease);
         }
-        let reply = self.call("end", self.protocol.revoke(lease), CALL).await?;
+        let reply = self.call("end", self.protocol.revoke(lease), CALL_TIMEOUT).await?;
         Ok(self.protocol.classify_lease(reply.status()))
     }
 }
--- a/crates/gateway/src/telemetry.rs
+++ b/crates/gateway/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and latency histograms.
+//! Metrics: counters, gauges and histograms.
 
 use metrics::{counter, gauge, histogram};
 use metrics_exporter_prometheus::{Matcher, PrometheusBuilder, PrometheusHandle};
@@ -9,17 +9,17 @@
 use vanetally_ports::{AnnouncementError, Era, OrderOutcome, RefusalCause};
 use vanetally_quarantine::CrashSign;
 
-/// Bounds of the latency histograms, in seconds.
+/// Bucket bounds of the latency histograms, in seconds.
 const LATENCY_BUCKETS: [f64; 14] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.8, 1.0, 2.0, 5.0, 10.0, 30.0];
 
-/// Bounds of the histograms of ratios.
+/// Bucket bounds of the ratio histograms.
 const RATIO_BUCKETS: [f64; 10] = [0.25, 0.5, 0.7, 0.85, 1.0, 1.2, 1.5, 2.0, 4.0, 8.0];
 
-/// Installs the recorder of this process.
+/// Installs the metrics recorder.
 ///
 /// # Errors
-/// If another one is installed already.
+/// If a recorder is already installed.
 pub(crate) fn try_install() -> anyhow::Result<PrometheusHandle> {
     let builder = PrometheusBuilder::new()
         .set_buckets_for_metric(Matcher::Suffix("_seconds".into()), &LATENCY_BUCKETS)?
@@ -30,125 +30,127 @@
     Ok(handle)
 }
 
-/// The build that runs.
-pub(crate) fn built(build: &'static str) {
+/// Records the running build.
+pub(crate) fn build_info(build: &'static str) {
     gauge!("vanetally_build_info", "build" => build).set(1.0);
 }
 
-/// A request arrived.
-pub(crate) fn arrived() {
+/// Counts an arrived request.
+pub(crate) fn request_arrived() {
     counter!("vanetally_requests_total").increment(1);
 }
 
-/// The product itself ended a request.
-pub(crate) fn refused(cause: RefusalCause, lack: &'static str) {
-    counter!("vanetally_refusals_total", "cause" => cause.as_str(), "lack" => lack).increment(1);
+/// Counts a request refused by this host.
+pub(crate) fn request_refused(cause: RefusalCause, shortage: &'static str) {
+    counter!("vanetally_refusals_total", "cause" => cause.as_str(), "lack" => shortage)
+        .increment(1);
 }
 
-/// An upstream said that it leaves, in an answer to this host or by the word of another one.
-pub(crate) fn upstream_leaving(is_hearsay: bool) {
-    let by = if is_hearsay { "host" } else { "answer" };
+/// Counts an upstream that announced that it is leaving, in a response to this host or relayed by
+/// another one.
+pub(crate) fn upstream_leaving(is_relayed: bool) {
+    let by = if is_relayed { "host" } else { "answer" };
     counter!("vanetally_upstreams_leaving_total", "by" => by).increment(1);
 }
 
-/// An upstream turned a request away and asked for rest.
-pub(crate) fn rest_asked() {
+/// Counts a cooldown requested by an upstream.
+pub(crate) fn cooldown_requested() {
     counter!("vanetally_rests_asked_total").increment(1);
 }
 
-/// What an upstream says of itself can't be read.
+/// Counts an unreadable statement of an upstream.
 pub(crate) fn statement_unreadable() {
     counter!("vanetally_statements_unreadable_total").increment(1);
 }
 
-/// It was looked whether an upstream lives at which attempts had broken off.
-pub(crate) fn looked(sign: Option<CrashSign>) {
+/// Counts a probe of an upstream at which attempts were interrupted.
+pub(crate) fn upstream_probed(sign: Option<CrashSign>) {
     let sign = sign.map_or("none", CrashSign::as_str);
     counter!("vanetally_upstream_looks_total", "sign" => sign).increment(1);
 }
 
-/// A content was found to end upstreams.
-pub(crate) fn quarantined() {
+/// Counts a new quarantine.
+pub(crate) fn content_quarantined() {
     counter!("vanetally_contents_quarantined_total").increment(1);
 }
 
-/// An upstream named another limit, or none any more.
-pub(crate) fn limit_stated(limit_change: LimitChange) {
-    let change = match limit_change {
+/// Counts a rate limit that an upstream stated or ended.
+pub(crate) fn limit_changed(update: LimitChange) {
+    let change = match update {
         LimitChange::Stated(_) => "named",
         LimitChange::Ended => "ended",
     };
     counter!("vanetally_limits_total", "change" => change).increment(1);
 }
 
-/// A request to an upstream in need got its moment, or did not.
-pub(crate) fn permitted(answer: PermitAnswer) {
+/// Counts an answer to a permit request.
+pub(crate) fn permit_answered(answer: PermitAnswer) {
     counter!("vanetally_permits_total", "answer" => answer.as_str()).increment(1);
 }
 
-/// What an upstream announces can't be read.
+/// Counts an unreadable announcement.
 pub(crate) fn announcement_unreadable(error: &AnnouncementError) {
     counter!("vanetally_announcements_unreadable_total", "reason" => error.as_str()).increment(1);
 }
 
-/// Another life of an upstream was announced under its id.
-pub(crate) fn upstream_reborn() {
+/// Counts a new incarnation announced under an upstream's id.
+pub(crate) fn upstream_restarted() {
     counter!("vanetally_upstreams_reborn_total").increment(1);
 }
 
-/// A caller left before its answer was whole.
+/// Counts a caller that disconnected before its response was complete.
 pub(crate) fn caller_left() {
     counter!("vanetally_callers_left_total").increment(1);
 }
 
-/// An attempt ended.
+/// Counts an ended attempt.
 pub(crate) fn attempt_ended(end: AttemptEnd) {
     counter!("vanetally_attempts_total", "end" => end.as_str()).increment(1);
 }
 
-/// The first piece of an answer came after `seconds` since the request arrived.
+/// Records the seconds from the arrival of a request to the first frame of its response.
 pub(crate) fn first_piece(seconds: f64) {
     histogram!("vanetally_first_piece_seconds").record(seconds);
 }
 
-/// A first piece took `ratio` times as long as it was expected to.
-pub(crate) fn predicted(ratio: f64) {
+/// Records the ratio of the actual to the predicted time to the first frame.
+pub(crate) fn prediction_ratio(ratio: f64) {
     histogram!("vanetally_first_piece_prediction_ratio").record(ratio);
 }
 
-/// The longest pause between two pieces of a whole stream lasted `seconds`.
+/// Records the longest pause between two frames of a complete stream.
 pub(crate) fn longest_pause(seconds: f64) {
     histogram!("vanetally_longest_pause_seconds").record(seconds);
 }
 
-/// A whole answer went out after `seconds` since the request arrived.
-pub(crate) fn answered(seconds: f64) {
+/// Records the seconds from the arrival of a request to the end of its response.
+pub(crate) fn request_answered(seconds: f64) {
     histogram!("vanetally_answer_seconds").record(seconds);
 }
 
-/// A runner answered an order.
-pub(crate) fn ordered(outcome: OrderOutcome) {
+/// Counts an order by its outcome.
+pub(crate) fn order_finished(outcome: OrderOutcome) {
     counter!("vanetally_orders_total", "outcome" => outcome.as_str()).increment(1);
 }
 
-/// A call to the store ended.
+/// Counts a store call.
 pub(crate) fn store_call(call: &'static str, is_answered: bool) {
     let outcome = if is_answered { "answered" } else { "failed" };
     counter!("vanetally_store_calls_total", "call" => call, "outcome" => outcome).increment(1);
 }
 
-/// The store answered in another era than before.
+/// Records a new era of the store.
 pub(crate) fn store_era(era: Era) {
     gauge!("vanetally_store_era").set(era.0 as f64);
 }
 
-/// News of the store were passed over: they are older than what is known here.
-pub(crate) fn passed_over(what: &'static str) {
+/// Counts a store update that was ignored because it was older than the local copy.
+pub(crate) fn stale_update(what: &'static str) {
     counter!("vanetally_store_news_passed_over_total", "what" => what).increment(1);
 }
 
-/// Figures that are read off now and then.
-pub(crate) fn gauges(counts: Counts, version: Option<u64>, is_ready: bool, is_holder: bool) {
+/// Sets the gauges that are sampled periodically.
+pub(crate) fn set_gauges(counts: Counts, version: Option<u64>, is_ready: bool, is_holder: bool) {
     gauge!("vanetally_requests_waiting").set(counts.waiting as f64);
     gauge!("vanetally_requests_open").set(counts.open as f64);
     gauge!("vanetally_upstreams").set(counts.upstreams as f64);
@@ -160,11 +162,11 @@
     gauge!("vanetally_log_lines_dropped").set(crate::logging::dropped() as f64);
 }
 
-/// What went over the links to other hosts so far.
-pub(crate) fn links(traffic: &Traffic) {
-    let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
-    counter!("vanetally_link_sent_messages_total").absolute(read(&traffic.sent));
-    counter!("vanetally_link_sent_bytes_total").absolute(read(&traffic.sent_bytes));
-    counter!("vanetally_link_received_bytes_total").absolute(read(&traffic.received_bytes));
-    counter!("vanetally_link_dropped_messages_total").absolute(read(&traffic.dropped));
+/// Records the total traffic of the links to other hosts.
+pub(crate) fn link_traffic(traffic: &Traffic) {
+    let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
+    counter!("vanetally_link_sent_messages_total").absolute(load(&traffic.sent));
+    counter!("vanetally_link_sent_bytes_total").absolute(load(&traffic.sent_bytes));
+    counter!("vanetally_link_received_bytes_total").absolute(load(&traffic.received_bytes));
+    counter!("vanetally_link_dropped_messages_total").absolute(load(&traffic.dropped));
 }
--- a/crates/gateway/src/upkeep.rs
+++ b/crates/gateway/src/upkeep.rs
@@ -1,31 +1,31 @@
-//! Housekeeping, and the state of the process for people.
+//! Housekeeping and the state dump.
 
 use crate::{hub::Hub, telemetry};
 
 impl Hub {
-    /// Housekeeping, about once a second.
+    /// Runs the housekeeping, about once per second.
     pub(crate) fn upkeep(&self) {
         self.pool.sweep();
-        self.control.sweep();
+        self.control_pool.sweep();
         self.store.sweep();
-        let is_holder = self.tenure.borrow().is_holding(self.clock.now());
+        let is_holder = self.order_lease.borrow().is_holding(self.clock.now());
         if is_holder {
             self.log_placement();
         }
         let dispatch = self.dispatch.borrow();
-        telemetry::gauges(dispatch.counts(), dispatch.version(), self.is_ready(), is_holder);
-        telemetry::links(self.links.traffic());
+        telemetry::set_gauges(dispatch.counts(), dispatch.version(), self.is_ready(), is_holder);
+        telemetry::link_traffic(self.links.traffic());
     }
 
     fn log_placement(&self) {
         let summary = self.placement.borrow().summary(self.clock.now());
         let models = summary.iter().map(|model| {
-            let (load, holding, coming) = (model.load, model.holders, model.loading);
-            format!("{}:{load:.2}:{holding}+{coming}", model.model)
+            let (load, holders, loading) = (model.load, model.holders, model.loading);
+            format!("{}:{load:.2}:{holders}+{loading}", model.model)
         });
         let runners = self.placement.borrow().runners();
         let obstacles = runners.obstacles.iter();
-        let obstacles = obstacles.map(|(why, count)| format!("{}:{count}", why.as_str()));
+        let obstacles = obstacles.map(|(obstacle, count)| format!("{}:{count}", obstacle.as_str()));
         log::info!(
             "event=placement open={} making_room={} obstacles={} free_places={} models={}",
             runners.available,
@@ -36,7 +36,7 @@
         );
     }
 
-    /// The state of the process, for people.
+    /// Returns the state of the process as text.
     pub(crate) fn dump(&self) -> String {
         let now = self.clock.now();
         let dispatch = self.dispatch.borrow();
@@ -50,7 +50,7 @@
             dispatch.counts(),
             *self.stage.borrow(),
             self.holder.borrow(),
-            self.tenure.borrow().token(now),
+            self.order_lease.borrow().token(now),
             peers.keys().collect::<Vec<_>>(),
         )
     }
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -1,6 +1,6 @@
-//! Following the upstreams' announcements in the store.
+//! Tracks the announcements of upstreams in the store.
 
-use crate::{hub::Hub, store::Snapshot, telemetry, watch::Follower};
+use crate::{hub::Hub, store::Snapshot, telemetry, watch::FeedHandler};
 use std::{
     cell::RefCell,
     collections::{BTreeMap, BTreeSet},
@@ -12,16 +12,16 @@
 use vanetally_ports::{Change, Item, Revision, UpstreamState};
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// Follows the keys of all upstreams.
-pub(crate) struct UpstreamFollower {
+/// Handles changes of the upstream keys.
+pub(crate) struct UpstreamFeedHandler {
     hub: Rc<Hub>,
     roster: Rc<RefCell<Roster>>,
-    /// Those whose keys went while the store was away, and until when they are waited for: most
-    /// write them again soon.
+    /// Upstreams whose keys disappeared while the store was unreachable, and until when to wait for
+    /// them: most write their keys again soon.
     lapsed: Rc<RefCell<BTreeMap<Name, Tick>>>,
 }
 
-impl UpstreamFollower {
+impl UpstreamFeedHandler {
     pub(crate) fn new(hub: Rc<Hub>) -> Self {
         Self { hub, roster: Rc::default(), lapsed: Rc::default() }
     }
@@ -30,23 +30,23 @@
         key.strip_prefix(self.hub.ports.upstreams.prefix()).map(Name::from)
     }
 
-    fn seen(&self, item: &Item) {
+    fn key_written(&self, item: &Item) {
         let Some(id) = self.id(&item.key) else {
             return;
         };
         if self.lapsed.borrow_mut().remove(&id).is_some() {
-            log::log!(self.hub.hearsay(), "event=upstream_returned upstream={id}");
+            log::log!(self.hub.relayed_log_level(), "event=upstream_returned upstream={id}");
         }
         let read = self.hub.ports.upstreams.read(id.clone(), &item.value);
         let now = self.hub.clock.now();
-        let news = self.roster.borrow_mut().record(now, &id, item.revision, read);
-        for news in news {
-            self.take(&id, item.revision, news);
+        let updates = self.roster.borrow_mut().record(now, &id, item.revision, read);
+        for update in updates {
+            self.apply_update(&id, item.revision, update);
         }
     }
 
-    fn take(&self, id: &Name, revision: Revision, news: RosterUpdate) {
-        match news {
+    fn apply_update(&self, id: &Name, revision: Revision, update: RosterUpdate) {
+        match update {
             RosterUpdate::Seen { incarnation, state, is_new } => {
                 if is_new || state.draining {
                     self.log_seen(&incarnation, &state, revision);
@@ -64,19 +64,19 @@
                 }
             }
             RosterUpdate::Outdated { incarnation } => {
-                telemetry::passed_over("announcement");
+                telemetry::stale_update("announcement");
                 log::log!(
-                    self.hub.hearsay(),
+                    self.hub.relayed_log_level(),
                     "event=upstream_outdated upstream={incarnation} revision={revision}"
                 );
             }
             RosterUpdate::Ended { incarnation, next } => {
-                telemetry::upstream_reborn();
+                telemetry::upstream_restarted();
                 log::log!(
-                    self.hub.hearsay(),
+                    self.hub.relayed_log_level(),
                     "event=upstream_reborn upstream={id} born_before={} born={} revision={revision}",
-                    start(&incarnation),
-                    start(&next)
+                    birth_text(&incarnation),
+                    birth_text(&next)
                 );
                 self.hub.upstream_ended(incarnation);
             }
@@ -85,7 +85,7 @@
 
     fn log_seen(&self, incarnation: &Incarnation, state: &UpstreamState, revision: Revision) {
         log::log!(
-            self.hub.hearsay(),
+            self.hub.relayed_log_level(),
             "event=upstream_seen upstream={incarnation} service={} address={} draining={} remaining_ms={} \
              revision={revision}",
             state.service,
@@ -95,8 +95,9 @@
         );
     }
 
-    /// The key of an upstream is gone; the upstream is too, unless the store has lost keys.
-    fn gone(&self, id: &Name) {
+    /// Handles the removal of an upstream's key. The upstream is gone too, unless the store may
+    /// have lost keys.
+    fn key_removed(&self, id: &Name) {
         let contact = self.hub.store.contact();
         let now = self.hub.clock.now();
         if !contact.may_miss_keys(now) {
@@ -106,7 +107,10 @@
             return;
         }
         let wait_ms = contact.missing_key_wait_ms(now);
-        log::log!(self.hub.hearsay(), "event=upstream_lapsed upstream={id} wait_ms={wait_ms}");
+        log::log!(
+            self.hub.relayed_log_level(),
+            "event=upstream_lapsed upstream={id} wait_ms={wait_ms}"
+        );
         self.lapsed.borrow_mut().insert(id.clone(), now + wait_ms);
         tokio::task::spawn_local(self.wait_for_return(id.clone(), wait_ms));
     }
@@ -116,9 +120,9 @@
         async move {
             sleep(Duration::from_millis(wait_ms)).await;
             let now = hub.clock.now();
-            // It may have returned and lapsed once more: then another wait goes on.
-            let is_over = lapsed.borrow().get(&id).is_some_and(|until| now >= *until);
-            if is_over {
+            // It may have returned and lapsed again, in which case a later wait is responsible.
+            let is_expired = lapsed.borrow().get(&id).is_some_and(|until| now >= *until);
+            if is_expired {
                 lapsed.borrow_mut().remove(&id);
                 forget(&hub, &roster, &id);
             }
@@ -129,31 +133,31 @@
 fn forget(hub: &Rc<Hub>, roster: &RefCell<Roster>, id: &Name) {
     let incarnation = roster.borrow_mut().remove(hub.clock.now(), id);
     if let Some(incarnation) = incarnation {
-        log::log!(hub.hearsay(), "event=upstream_gone upstream={incarnation}");
+        log::log!(hub.relayed_log_level(), "event=upstream_gone upstream={incarnation}");
         hub.upstream_gone(incarnation);
     }
 }
 
-fn start(incarnation: &Incarnation) -> String {
+fn birth_text(incarnation: &Incarnation) -> String {
     incarnation.born.map_or_else(|| "-".into(), |born| born.to_string())
 }
 
-impl Follower for UpstreamFollower {
+impl FeedHandler for UpstreamFeedHandler {
     fn replaced(&self, snapshot: Snapshot) {
         let listed: BTreeSet<Name> =
             snapshot.items.iter().filter_map(|item| self.id(&item.key)).collect();
         let missing: Vec<Name> =
             self.roster.borrow().ids().filter(|id| !listed.contains(*id)).cloned().collect();
-        missing.iter().for_each(|id| self.gone(id));
-        snapshot.items.iter().for_each(|item| self.seen(item));
+        missing.iter().for_each(|id| self.key_removed(id));
+        snapshot.items.iter().for_each(|item| self.key_written(item));
     }
 
     fn changed(&self, change: Change) {
         match change {
-            Change::Put(item) => self.seen(&item),
+            Change::Put(item) => self.key_written(&item),
             Change::Deleted { key, .. } => {
                 if let Some(id) = self.id(&key) {
-                    self.gone(&id);
+                    self.key_removed(&id);
                 }
             }
         }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -1,7 +1,7 @@
-//! Following keys in the store.
+//! Follows the keys of the store by reads and watches.
 
 use crate::{
-    reader::{Reader, Scope},
+    reader::{Reader, WatchScope},
     store::{Error, Snapshot, Store},
 };
 use futures_util::future::select_all;
@@ -10,64 +10,70 @@
 use tokio::time::sleep;
 use vanetally_ports::{Change, Freshness, Revision, WatchAnswer};
 
-/// Who hears of a prefix.
-pub(crate) trait Follower {
-    /// All keys as they are.
+/// Receives the changes to the keys of one prefix.
+pub(crate) trait FeedHandler {
+    /// All keys were read.
     fn replaced(&self, snapshot: Snapshot);
 
     /// One key changed.
     fn changed(&self, change: Change);
 
-    /// The store can't be asked.
+    /// The store is unreachable.
     fn lost(&self);
 }
 
-/// How long the store may hold a watch, in milliseconds: a connection that has gone silent is noticed within this
-/// time and a margin of half a second, and read anew within the 2.5 s or more that deployments allow for it. Probes
-/// show sooner whether the way to the store is open, not whether this connection lives.
+/// Maximum time for which the store holds a watch. A connection that fell silent is detected within
+/// this time plus a margin of half a second, and its keys are read again within the 2.5 s or more
+/// that deployments allow. Probes detect earlier whether the store is reachable, but not whether
+/// this connection is alive.
 pub(crate) const WATCH_MS: u64 = 1_500;
-/// After changes the next watch waits this long, to find more at once.
-const GATHER: Duration = Duration::from_millis(300);
-/// A value larger than this is read and watched by itself, in bytes: on a link of 10 Mbit/s it takes a tenth of a
-/// second.
+/// Pause before the next watch after changes, so that it returns several changes at once.
+const BATCH_PAUSE: Duration = Duration::from_millis(300);
+/// Size above which a value is read and watched separately: on a 10 Mbit/s link it takes a tenth of
+/// a second.
 pub(crate) const BULK_BYTES: usize = 96 << 10;
-/// The first pause after a failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(80);
-/// The longest pause after failures.
-const LONGEST_PAUSE: Duration = Duration::from_millis(700);
+/// Pause after the first failure.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(80);
+/// Maximum pause after repeated failures.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(700);
 
-/// Reads and watches all prefixes, for as long as it is polled.
+/// Reads and watches all prefixes until dropped.
 ///
-/// One watch tells of all of them while the values are small. A large value is read and watched apart from the
-/// rest: on a link of 10 Mbit/s a configuration of 800 KB takes 0.9 s, and hosts that rest on the other keys took
-/// their reader for cut off meanwhile.
-pub(crate) async fn follow(store: &Store, reader: &Reader) {
+/// One watch covers all prefixes while the values are small. A large value is read and watched
+/// separately: on a 10 Mbit/s link a configuration of 800 KB takes 0.9 s, during which hosts that
+/// depend on the other keys would take their reader for disconnected.
+pub(crate) async fn follow_all(store: &Store, reader: &Reader) {
     let outage = Outage::default();
-    // What other hosts passed on need not be read: a watch goes on from there.
+    // Data received from other hosts need not be read again: a watch continues from its revision.
     let mut is_known = true;
     loop {
         let end = if reader.is_bulk() {
-            follow_apart(store, reader, is_known, &outage).await
+            follow_separately(store, reader, is_known, &outage).await
         } else {
             follow_keys(store, reader, &reader.all(), is_known, &outage).await
         };
         reader.stop_watching();
-        is_known = matches!(end, End::Resized);
-        let End::Lost(error) = end else {
+        is_known = matches!(end, FollowEnd::Resized);
+        let FollowEnd::Lost(error) = end else {
             continue;
         };
         outage.begin(&error);
-        reader.lost();
-        let mut returns = store.returns();
+        reader.store_lost();
+        let mut restarts = store.restarts();
         tokio::select! {
             () = sleep(jittered(outage.next_pause())) => {}
-            _ = returns.changed() => {}
+            _ = restarts.changed() => {}
         }
     }
 }
 
-/// Follows each prefix by itself, until one of them ends.
-async fn follow_apart(store: &Store, reader: &Reader, is_known: bool, outage: &Outage) -> End {
+/// Follows each prefix separately until one of them ends.
+async fn follow_separately(
+    store: &Store,
+    reader: &Reader,
+    is_known: bool,
+    outage: &Outage,
+) -> FollowEnd {
     let scopes = reader.each();
     let following =
         scopes.iter().map(|scope| Box::pin(follow_keys(store, reader, scope, is_known, outage)));
@@ -75,7 +81,7 @@
     end
 }
 
-/// Failures in a row.
+/// State of consecutive failures.
 struct Outage {
     is_lost: Cell<bool>,
     pause: Cell<Duration>,
@@ -83,7 +89,7 @@
 
 impl Default for Outage {
     fn default() -> Self {
-        Self { is_lost: Cell::new(false), pause: Cell::new(FIRST_PAUSE) }
+        Self { is_lost: Cell::new(false), pause: Cell::new(MIN_RETRY_PAUSE) }
     }
 }
 
@@ -98,74 +104,75 @@
         if self.is_lost.replace(false) {
             log::info!("event=store_regained revision={at}");
         }
-        self.pause.set(FIRST_PAUSE);
+        self.pause.set(MIN_RETRY_PAUSE);
     }
 
-    /// The pause after this failure.
+    /// Returns the pause after this failure and doubles the next one.
     fn next_pause(&self) -> Duration {
         let pause = self.pause.get();
-        self.pause.set((pause * 2).min(LONGEST_PAUSE));
+        self.pause.set((pause * 2).min(MAX_RETRY_PAUSE));
         pause
     }
 }
 
-/// Why following ended.
-enum End {
-    /// The store can't be asked.
+/// Why following a scope ended.
+enum FollowEnd {
+    /// The store is unreachable.
     Lost(Error),
-    /// The store has forgotten the history, or changes are or may be missing: all has to be read anew.
+    /// The store has discarded the history, or changes may be missing: all keys have to be read
+    /// again.
     Gap,
-    /// A large value came, or the value that was large is small now.
+    /// The large value appeared, or became small.
     Resized,
 }
 
-/// Reads the keys of `scope`, but for shared ones that are known already, and watches them.
+/// Reads the keys of `scope`, except shared ones that are already known, and watches them.
 ///
-/// A watch that hangs when the way to the store opens again is given up. A reading has shorter limits of
-/// its own, and may be large: it goes on.
+/// A pending watch is abandoned when pending calls restart. A read continues, since it has shorter
+/// timeouts of its own and may be large.
 async fn follow_keys(
     store: &Store,
     reader: &Reader,
-    scope: &Scope,
+    scope: &WatchScope,
     is_known: bool,
     outage: &Outage,
-) -> End {
-    let mut known = reader.known(scope).filter(|_| is_known);
+) -> FollowEnd {
+    let mut known = reader.known_revision(scope).filter(|_| is_known);
     let mut is_bulk = false;
     loop {
         let before = scope.last_change();
         let from = match read(store, reader, scope, known.take()).await {
             Ok(from) => from,
-            Err(error) => return End::Lost(error),
+            Err(error) => return FollowEnd::Lost(error),
         };
         outage.end(from);
-        if scope.has_bulk() && reader.is_bulk() != scope.is_bulk_alone() {
-            return End::Resized;
+        if scope.has_bulk() && reader.is_bulk() != scope.is_bulk_only() {
+            return FollowEnd::Resized;
         }
-        // Large values that follow each other are read one at a time, the newest; once it stays the
-        // same, changes are waited for.
+        // While large values change in quick succession, only the newest is read, one at a time.
+        // Once it stays the same, changes are watched.
         if is_bulk && scope.last_change() != before {
-            sleep(GATHER).await;
+            sleep(BATCH_PAUSE).await;
             continue;
         }
-        let mut returns = store.returns();
+        let mut restarts = store.restarts();
         let end = tokio::select! {
             end = watch(store, reader, scope, from) => end,
-            _ = returns.changed() => End::Gap,
+            _ = restarts.changed() => FollowEnd::Gap,
         };
-        if !matches!(end, End::Resized) || !scope.is_bulk_alone() {
+        if !matches!(end, FollowEnd::Resized) || !scope.is_bulk_only() {
             return end;
         }
         is_bulk = true;
-        sleep(GATHER).await;
+        sleep(BATCH_PAUSE).await;
     }
 }
 
-/// Reads what is not `known` of the keys of `scope`; gives back the revision from which they have to be watched.
+/// Reads the keys of `scope` that are not `known`; returns the revision from which to watch.
 async fn read(
     store: &Store,
     reader: &Reader,
-    scope: &Scope,
+    scope: &WatchScope,
     known: Option<Revision>,
 ) -> Result<Revision, Error> {
     let mut from = known;
@@ -173,52 +180,53 @@
         if known.is_some() && feed.is_shared() {
             continue;
         }
-        let asked = reader.now();
+        let requested_at = reader.now();
         let snapshot = store.range(&feed.prefix, Freshness::Newest).await?;
-        // Later readings see some changes twice.
+        // Later reads may include changes that the watch returns again.
         from = Some(from.map_or(snapshot.at, |from| from.min(snapshot.at)));
-        reader.read(feed, snapshot, asked);
+        reader.keys_read(feed, snapshot, requested_at);
     }
     Ok(from.unwrap_or_default())
 }
 
-/// Watches until there is a reason to stop.
-async fn watch(store: &Store, reader: &Reader, scope: &Scope, from: Revision) -> End {
+/// Watches the keys of `scope` until a read is needed or the store is unreachable.
+async fn watch(store: &Store, reader: &Reader, scope: &WatchScope, from: Revision) -> FollowEnd {
     let mut after = from;
     loop {
         scope.set_watching(true);
-        let asked = reader.now();
+        let requested_at = reader.now();
         let answer = store.watch(&scope.prefix, after, reader.watch_ms(scope)).await;
         scope.set_watching(false);
         match answer {
             Ok(WatchAnswer::Changes { changes, revision: at }) => {
-                let (is_change, is_bulk) = (!changes.is_empty(), bytes(&changes) > BULK_BYTES);
+                let (is_change, is_bulk) =
+                    (!changes.is_empty(), value_bytes(&changes) > BULK_BYTES);
                 let at = after.max(at);
-                if reader.changed(scope, after, at, changes, asked).is_err() {
+                if reader.keys_changed(scope, after, at, changes, requested_at).is_err() {
                     log::warn!("event=changes_missed from=store after={after}");
-                    return End::Gap;
+                    return FollowEnd::Gap;
                 }
                 after = at;
-                // A watch would tell each version of a large value, superseded or not.
+                // A watch would return every version of a large value, even superseded ones.
                 if is_bulk && scope.has_bulk() {
-                    return End::Resized;
+                    return FollowEnd::Resized;
                 }
                 if is_change {
-                    // Changes come in groups: one call takes what follows soon.
-                    sleep(GATHER).await;
+                    // Changes come in bursts; the pause lets one call return several.
+                    sleep(BATCH_PAUSE).await;
                 }
             }
             Ok(WatchAnswer::Compacted) => {
                 log::info!("event=watch_history_gone after={after}");
-                return End::Gap;
+                return FollowEnd::Gap;
             }
-            Err(error) => return End::Lost(error),
+            Err(error) => return FollowEnd::Lost(error),
         }
     }
 }
 
-/// Bytes of all values that `changes` bring.
-fn bytes(changes: &[Change]) -> usize {
+/// Returns the total size of the values in `changes`.
+fn value_bytes(changes: &[Change]) -> usize {
     let values = changes.iter().map(|change| match change {
         Change::Put(item) => item.value.len(),
         Change::Deleted { .. } => 0,
@@ -226,7 +234,7 @@
     values.sum()
 }
 
-/// Half of `pause` and a random part of the other half.
+/// Returns a random duration between half of `pause` and all of it.
 pub(crate) fn jittered(pause: Duration) -> Duration {
     pause.mul_f64(rand::rng().random_range(0.5..1.0))
 }
--- a/crates/gateway/src/wire.rs
+++ b/crates/gateway/src/wire.rs
@@ -1,7 +1,7 @@
-//! What hosts tell each other of the store's keys, as it goes over a link.
+//! Wire format of the messages that carry store keys between hosts.
 //!
-//! Each message names the era of all its revisions once. Hosts of builds that know of no era pass that over, and tell
-//! none: what they say counts as of era 0, and is never newer than what was read in an era that is known.
+//! Each message contains the era of all its revisions once. Builds that don't know eras ignore the
+//! field and omit it; their data counts as era 0 and is never newer than data read in a known era.
 
 use crate::{
     feed::{PrefixChanges, PrefixSnapshot},
@@ -12,12 +12,12 @@
 use vanetally_ports::{Change, Era, Item, Revision};
 use vanetally_types::Name;
 
-/// Whether no era is told.
+/// Whether the era is omitted.
 pub(crate) fn is_none(era: &u64) -> bool {
     *era == 0
 }
 
-/// A [`PrefixSnapshot`].
+/// Wire format of a [`PrefixSnapshot`].
 #[derive(Clone, Serialize, Deserialize)]
 pub(crate) struct Snapshot {
     prefix: Name,
@@ -27,7 +27,7 @@
     era: u64,
 }
 
-/// [`PrefixChanges`].
+/// Wire format of [`PrefixChanges`].
 #[derive(Clone, Serialize, Deserialize)]
 pub(crate) struct Changes {
     prefix: Name,
@@ -38,7 +38,7 @@
     era: u64,
 }
 
-/// A [`peers::Told`].
+/// Wire format of [`peers::AnnouncedRevisions`].
 #[derive(Clone, Serialize, Deserialize)]
 pub(crate) struct Told {
     prefix: Name,
@@ -64,7 +64,7 @@
 }
 
 impl ItemRow {
-    fn read(self, era: Era) -> Item {
+    fn with_era(self, era: Era) -> Item {
         let Self { key, value, revision } = self;
         Item { key, value, revision: Revision::new(era, revision) }
     }
@@ -78,9 +78,9 @@
 }
 
 impl ChangeRow {
-    fn read(self, era: Era) -> Change {
+    fn with_era(self, era: Era) -> Change {
         match self {
-            Self::Put(item) => Change::Put(item.read(era)),
+            Self::Put(item) => Change::Put(item.with_era(era)),
             Self::Gone { key, revision } => {
                 Change::Deleted { key, revision: Revision::new(era, revision) }
             }
@@ -100,7 +100,7 @@
 impl From<Snapshot> for PrefixSnapshot {
     fn from(row: Snapshot) -> Self {
         let era = Era(row.era);
-        let items = row.items.into_iter().map(|item| item.read(era)).collect();
+        let items = row.items.into_iter().map(|item| item.with_era(era)).collect();
         Self { prefix: row.prefix, at: Revision::new(era, row.at), items }
     }
 }
@@ -116,7 +116,7 @@
 impl From<Changes> for PrefixChanges {
     fn from(row: Changes) -> Self {
         let era = Era(row.era);
-        let changes = row.changes.into_iter().map(|change| change.read(era)).collect();
+        let changes = row.changes.into_iter().map(|change| change.with_era(era)).collect();
         let (after, at) = (Revision::new(era, row.after), Revision::new(era, row.at));
         Self { prefix: row.prefix, after, at, changes }
     }
@@ -130,7 +130,7 @@
     }
 }
 
-impl From<Told> for peers::Told {
+impl From<Told> for peers::AnnouncedRevisions {
     fn from(row: Told) -> Self {
         let era = Era(row.era);
         let (last, at) = (Revision::new(era, row.last), Revision::new(era, row.at));
@@ -138,9 +138,9 @@
     }
 }
 
-impl From<peers::Told> for Told {
-    fn from(told: peers::Told) -> Self {
-        let peers::Told { prefix, last, at } = told;
+impl From<peers::AnnouncedRevisions> for Told {
+    fn from(announced: peers::AnnouncedRevisions) -> Self {
+        let peers::AnnouncedRevisions { prefix, last, at } = announced;
         Self { prefix, last: last.number, at: at.number, era: at.era.0 }
     }
 }
