--- a/crates/claim/src/holder.rs
+++ b/crates/claim/src/holder.rs
@@ -7,7 +7,8 @@
 use std::collections::BTreeMap;
 use vanetally_types::{HostId, Tick};
 
-/// Retry delay sent to entry hosts when the slot is full or can neither write nor grant from memory.
+/// Retry delay sent to entry hosts when the slot is full or can neither write nor grant from
+/// memory.
 const RETRY_AFTER_MS: u64 = 2_000;
 
 /// Time between two checks for expired ids.
--- a/crates/claim/src/record.rs
+++ b/crates/claim/src/record.rs
@@ -103,8 +103,8 @@
     /// Ids with deadlines up to this one may have been dropped from `claims`.
     #[serde(rename = "forgotten")]
     pub expired_until: u64,
-    /// Earlier holders that may have granted ids that are recorded nowhere. `Some` if that holder has
-    /// ended: it can't have granted an id with a later deadline.
+    /// Earlier holders that may have granted ids that are recorded nowhere. `Some` if that holder
+    /// has ended: it can't have granted an id with a later deadline.
     #[serde(rename = "doubts", with = "pairs")]
     pub unresolved: BTreeMap<HostId, Option<u64>>,
 }
--- a/crates/claim/src/slot.rs
+++ b/crates/claim/src/slot.rs
@@ -52,7 +52,8 @@
 /// A message between hosts about one slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
 pub enum Message {
-    /// Holder to backup: requests the promise not to take over as if nothing was granted from memory.
+    /// Holder to backup: requests the promise not to take over as if nothing was granted from
+    /// memory.
     #[serde(rename = "AskMemory")]
     RequestPromise {
         /// The record's epoch.
@@ -192,7 +193,8 @@
     },
 }
 
-/// Safety rules that the model check disables one at a time to verify that it detects their absence.
+/// Safety rules that the model check disables one at a time to verify that it detects their
+/// absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
     /// While the platform is available, an id is granted only after it is written.
@@ -214,7 +216,7 @@
 }
 
 impl Guards {
-    /// All guards on.
+    /// All rules enabled.
     pub const ON: Guards = Guards {
         record_first: true,
         promise: true,
@@ -230,8 +232,8 @@
 /// Settings of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// How long past its deadline an id is kept, in milliseconds; no deadline lies further ahead than
-    /// this.
+    /// How long past its deadline an id is kept, in milliseconds; no deadline lies further ahead
+    /// than this.
     pub retention_ms: u64,
     /// Minimum time between two writes, in milliseconds.
     pub write_interval_ms: u64,
@@ -338,8 +340,8 @@
     pub(crate) handover: Option<(HostId, Message)>,
     /// As backup: epoch and term of the promise given.
     pub(crate) promised: Option<(u64, u64)>,
-    /// As backup: epoch and version of the record that this host tried to replace. It gives no promise
-    /// for that epoch while the attempt may still take effect.
+    /// As backup: epoch and version of the record that this host tried to replace. It gives no
+    /// promise for that epoch while the attempt may still take effect.
     pub(crate) takeover_attempt: Option<(u64, u64)>,
     /// The highest epoch that a peer announced, with its holder.
     pub(crate) highest_epoch: Option<(u64, HostId)>,
--- a/crates/claim/src/succession.rs
+++ b/crates/claim/src/succession.rs
@@ -38,7 +38,8 @@
         if let Some((epoch, holder)) = &self.highest_epoch
             && *epoch > next.epoch
         {
-            // The platform was restored to an older state, which lacks the ids that `holder` granted.
+            // The platform was restored to an older state, which lacks the ids that `holder`
+            // granted.
             next.epoch = *epoch;
             next.unresolved.insert(holder.clone(), None);
         }
@@ -321,8 +322,8 @@
         if self.handover.as_ref().is_some_and(|(to, _)| to == host) {
             self.handover = None;
         }
-        // A backup that has ended may have taken the slot over before, so its end doesn't replace its
-        // promise.
+        // A backup that has ended may have taken the slot over before, so its end doesn't replace
+        // its promise.
     }
 
     pub(crate) fn set_backup(&mut self, backup: Option<HostId>) {
--- a/crates/claim/tests/succession.rs
+++ b/crates/claim/tests/succession.rs
@@ -90,7 +90,8 @@
 
 #[test]
 fn returning_holder() {
-    // Host a granted id 1 from memory, lost the slot, and takes it over again before id 1 is recorded.
+    // Host a granted id 1 from memory, lost the slot, and takes it over again before id 1 is
+    // recorded.
     let mut a = slot("a", Guards::ON, stored(1, 1, "a", "b", None));
     a.handle(NOW, request(1));
     a.handle(NOW, Event::WriteUnconfirmed);
--- a/crates/placement/src/adapters.rs
+++ b/crates/placement/src/adapters.rs
@@ -81,9 +81,9 @@
 
     /// Announces again to hosts what they requested although a runner holds it.
     ///
-    /// Hosts rely on an announcement for some seconds and then on the runner's entry in the store. If
-    /// that entry is not updated in time, for example while the store is unavailable, hosts would not
-    /// find a recently loaded model or adapter until it is.
+    /// Hosts rely on an announcement for some seconds and then on the runner's entry in the store.
+    /// If that entry is not updated in time, for example while the store is unavailable, hosts
+    /// would not find a recently loaded model or adapter until it is.
     pub(crate) fn reannounce(
         &mut self,
         now: Tick,
--- a/crates/placement/src/capacity.rs
+++ b/crates/placement/src/capacity.rs
@@ -31,8 +31,8 @@
         Self { engine, models_mb: engine.weights_mb - adapter_reserve }
     }
 
-    /// Megabytes of a model's weights. A model that is not in the configuration may have any size and
-    /// counts as filling the runner.
+    /// Megabytes of a model's weights. A model that is not in the configuration may have any size
+    /// and counts as filling the runner.
     fn model_mb(&self, model: &Name) -> f64 {
         let spec = self.engine.models.get(model);
         spec.map_or(self.engine.weights_mb, |spec| spec.weights_mb)
--- a/crates/placement/src/inventory.rs
+++ b/crates/placement/src/inventory.rs
@@ -89,10 +89,10 @@
                     self.models[index].replicas.planned += 1;
                 }
             }
-            let coming = ledger.coming_model();
+            let loading = ledger.loading_model();
             let reserved = input.reserved.get(runner).map(|reservation| &reservation.model);
             let reserved = reserved.filter(|model| !ledger.will_hold(model));
-            for model in coming.into_iter().chain(reserved) {
+            for model in loading.into_iter().chain(reserved) {
                 if let Some(&index) = self.index.get(model) {
                     self.models[index].replicas.planned += 1;
                 }
--- a/crates/placement/src/ledger.rs
+++ b/crates/placement/src/ledger.rs
@@ -20,11 +20,11 @@
     /// Held models with their adapters.
     held: BTreeMap<Name, BTreeSet<Name>>,
     /// Adapters that are loading, as far as known, with the time of the order or report.
-    coming: BTreeMap<Subject, Tick>,
+    loading_adapters: BTreeMap<Subject, Tick>,
     loading: Option<WeightsChange>,
     unloading: Option<WeightsChange>,
-    /// Whether the last report mentioned an order in progress that this host doesn't know: one of an
-    /// earlier holder, or one whose answer was lost.
+    /// Whether the last report mentioned an order in progress that this host doesn't know: one of
+    /// an earlier holder, or one whose answer was lost.
     has_unknown_order: bool,
     /// Number of orders that the runner has accepted; `None` before the first report.
     order_count: Option<u64>,
@@ -54,15 +54,15 @@
 /// A report is requested for an adapter that has been loading for this long.
 const ADAPTER_TIMEOUT_MS: u64 = 5_000;
 /// Maximum number of adapters that load at once.
-const MAX_COMING_ADAPTERS: usize = 3;
+const MAX_LOADING_ADAPTERS: usize = 3;
 /// Maximum age of a report's contents when it arrives.
 const MAX_REPORT_AGE_MS: u64 = 400;
 /// An order counts as lost if it is not answered within this time.
 const ORDER_TIMEOUT_MS: u64 = 1_500;
 
 impl Ledger {
-    /// Creates the ledger of a runner that announced `state`. Until the runner reports, it counts as
-    /// holding what it announces and gets no orders.
+    /// Creates the ledger of a runner that announced `state`. Until the runner reports, it counts
+    /// as holding what it announces and gets no orders.
     pub fn new(state: UpstreamState) -> Self {
         let mut ledger = Self::empty(state);
         ledger.use_announced_models();
@@ -80,8 +80,8 @@
     pub(crate) fn take_unsettled(&mut self, now: Tick) -> UnsettledOrders {
         let mut unsettled = std::mem::take(&mut self.unsettled);
         unsettled.merge(now, &std::mem::take(&mut self.unanswered));
-        if let Some((order, sent)) = self.pending_order.take() {
-            unsettled.add(sent, order);
+        if let Some((order, sent_at)) = self.pending_order.take() {
+            unsettled.add(sent_at, order);
         }
         unsettled
     }
@@ -100,7 +100,7 @@
     fn empty(state: UpstreamState) -> Self {
         Self {
             held: BTreeMap::new(),
-            coming: BTreeMap::new(),
+            loading_adapters: BTreeMap::new(),
             loading: None,
             unloading: None,
             has_unknown_order: false,
@@ -159,7 +159,7 @@
         if self.unloading.as_ref().is_some_and(|unloading| !held.contains_key(&unloading.model)) {
             self.unloading = None;
         }
-        self.coming.retain(|subject, _| {
+        self.loading_adapters.retain(|subject, _| {
             let adapters = held.get(&subject.model);
             !adapters.zip(subject.adapter.as_ref()).is_some_and(|(set, name)| set.contains(name))
         });
@@ -176,19 +176,20 @@
         if self.order_count.is_some_and(|count| report.orders_taken < count) {
             return false;
         }
-        if let Some((order, sent)) = &self.pending_order {
+        if let Some((order, sent_at)) = &self.pending_order {
             let was_accepted = report.orders_taken > order.orders_before;
-            if !was_accepted && requested_at.since(*sent) < ORDER_TIMEOUT_MS {
+            if !was_accepted && requested_at.since(*sent_at) < ORDER_TIMEOUT_MS {
                 return false;
             }
             // An order that was not accepted may still be. Every further order expects the same
             // count, so that at most one of them is accepted; the count doesn't say which.
-            self.unanswered.add(*sent, order.clone());
+            self.unanswered.add(*sent_at, order.clone());
             self.pending_order = None;
         }
         self.order_count = Some(report.orders_taken);
         self.set_held(&report.models);
-        self.coming = report.coming.iter().map(|subject| (subject.clone(), now)).collect();
+        self.loading_adapters =
+            report.coming.iter().map(|subject| (subject.clone(), now)).collect();
         // A report may be outdated: it may not include an order that was answered just before.
         let is_newer_than_answer =
             self.last_answer.is_none_or(|at| requested_at.since(at) > MAX_REPORT_AGE_MS);
@@ -212,10 +213,10 @@
             || self
                 .pending_order
                 .as_ref()
-                .is_some_and(|(_, sent)| now.since(*sent) > ORDER_TIMEOUT_MS)
+                .is_some_and(|(_, sent_at)| now.since(*sent_at) > ORDER_TIMEOUT_MS)
             || self.loading.as_ref().is_some_and(|loading| now >= loading.due)
             || self.unloading.as_ref().is_some_and(|unloading| now >= unloading.due)
-            || self.coming.values().any(|at| now.since(*at) > ADAPTER_TIMEOUT_MS);
+            || self.loading_adapters.values().any(|at| now.since(*at) > ADAPTER_TIMEOUT_MS);
         let has_no_open_request =
             self.report_requested.is_none_or(|at| now.since(at) > REPORT_TIMEOUT_MS);
         let should_request =
@@ -226,7 +227,8 @@
         should_request
     }
 
-    /// The order count that the next order must expect, or `None` while the runner can't be sent one.
+    /// The order count that the next order must expect, or `None` while the runner can't be sent
+    /// one.
     pub fn next_count(&self) -> Option<u64> {
         // A runner executes one order about weights at a time and refuses others meanwhile.
         self.order_count.filter(|_| self.obstacle().is_none())
@@ -285,7 +287,7 @@
             (Operation::Load, None) => self.loading = Some(WeightsChange { model, due }),
             (Operation::Unload, None) => self.unloading = Some(WeightsChange { model, due }),
             (Operation::Load, Some(_)) => {
-                self.coming.insert(order.subject.clone(), now);
+                self.loading_adapters.insert(order.subject.clone(), now);
             }
             (Operation::Unload, Some(adapter)) => {
                 if let Some(adapters) = self.held.get_mut(&model) {
@@ -297,7 +299,7 @@
 
     /// Counts an adapter as held whose load should be done by now.
     pub fn adapter_arrived(&mut self, subject: &Subject) {
-        if self.coming.remove(subject).is_some()
+        if self.loading_adapters.remove(subject).is_some()
             && let (Some(adapters), Some(adapter)) =
                 (self.held.get_mut(&subject.model), &subject.adapter)
         {
@@ -358,7 +360,7 @@
             order.operation == Operation::Load && order.subject == *subject
         });
         let is_held = held.is_some_and(|(set, name)| set.contains(name));
-        is_held || is_ordered || self.coming.contains_key(subject)
+        is_held || is_ordered || self.loading_adapters.contains_key(subject)
     }
 
     /// Models whose weights are held and not being unloaded.
@@ -372,7 +374,7 @@
     }
 
     /// The model that is loading or was ordered to load.
-    pub(crate) fn coming_model(&self) -> Option<&Name> {
+    pub(crate) fn loading_model(&self) -> Option<&Name> {
         let ordered = self.pending_load().map(|subject| &subject.model);
         let loading = self.loading.as_ref().map(|loading| &loading.model);
         loading.or(ordered).filter(|model| !self.holds_model(model))
@@ -417,7 +419,8 @@
         self.local_copies.contains(model)
     }
 
-    /// Whether the model's weights fit beside everything that is held, loading or may still be loaded.
+    /// Whether the model's weights fit beside everything that is held, loading or may still be
+    /// loaded.
     pub fn model_fit(&self, engine: &EngineSpec, model: &Name) -> Fit {
         let Some(spec) = engine.models.get(model) else {
             return Fit::Never;
@@ -433,8 +436,11 @@
     /// Whether another adapter fits beside those that are held, loading or may still be loaded.
     pub fn adapter_fit(&self, engine: &EngineSpec) -> Fit {
         let unsettled = self.unsettled.adapter_count(self.order_count);
-        let count = self.adapters().count() + self.coming.len() + unsettled;
-        match (count < engine.max_adapters as usize, self.coming.len() < MAX_COMING_ADAPTERS) {
+        let count = self.adapters().count() + self.loading_adapters.len() + unsettled;
+        match (
+            count < engine.max_adapters as usize,
+            self.loading_adapters.len() < MAX_LOADING_ADAPTERS,
+        ) {
             (true, true) => Fit::Fits,
             (_, true) => Fit::NeedsEviction,
             (_, false) => Fit::Never,
@@ -443,7 +449,7 @@
 
     /// Number of adapters that are held or loading.
     pub fn adapter_count(&self) -> usize {
-        self.adapters().count() + self.coming.len()
+        self.adapters().count() + self.loading_adapters.len()
     }
 
     /// Returns the known state for an order.
--- a/crates/placement/src/machine.rs
+++ b/crates/placement/src/machine.rs
@@ -33,9 +33,11 @@
     pub(crate) load_limits: HashMap<Name, LoadLimit>,
     /// Models and adapters that hosts requested, with the time of the last request.
     pub(crate) requested: BTreeMap<(Name, ModelRef), Tick>,
-    /// Models whose replicas are all saturated while callers wait, with the time of the last request.
+    /// Models whose replicas are all saturated while callers wait, with the time of the last
+    /// request.
     pub(crate) saturated: BTreeMap<(Name, Name), Tick>,
-    /// Models whose holders have no room for a requested adapter, with the time this was last found.
+    /// Models whose holders have no room for a requested adapter, with the time this was last
+    /// found.
     pub(crate) adapter_full: BTreeMap<(Name, Name), Tick>,
     /// Models and adapters that were requested although they are held, with the time of the last
     /// announcement.
@@ -52,11 +54,11 @@
 
 /// A request is dropped if it is not repeated within this time.
 const REQUEST_TTL_MS: u64 = 1_000;
-/// How long a model counts as saturated after a host reported it. Hosts repeat the report four times
-/// a second while requests wait.
+/// How long a model counts as saturated after a host reported it. Hosts repeat the report four
+/// times a second while requests wait.
 const SATURATION_TTL_MS: u64 = 1_000;
-/// Minimum time between ordering two more copies of one adapter. Hosts learn of the first copy within
-/// this time.
+/// Minimum time between ordering two more copies of one adapter. Hosts learn of the first copy
+/// within this time.
 const COPY_INTERVAL_MS: u64 = 500;
 /// Time between announcing an unload to all hosts and ordering it.
 const UNLOAD_NOTICE_MS: u64 = 150;
@@ -68,11 +70,12 @@
 const ADAPTER_BASE_MS: f64 = 20.0;
 /// Part of the expected duration of an adapter load per megabyte.
 const ADAPTER_PER_MB_MS: f64 = 0.7;
-/// A report is requested this long after an unload was accepted. An unload waits for running requests.
+/// A report is requested this long after an unload was accepted. An unload waits for running
+/// requests.
 const UNLOAD_MS: u64 = 400;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
-/// Minimum time between two planning rounds. A round costs runners x models, while hundreds of reports
-/// and answers arrive per second.
+/// Minimum time between two planning rounds. A round costs runners x models, while hundreds of
+/// reports and answers arrive per second.
 const ROUND_INTERVAL_MS: u64 = 40;
 
 impl Placement {
@@ -300,15 +303,16 @@
                 self.copy_adapter(now, token, service, engine, subject, actions);
             }
             (Some(_), false) => self.order_adapter(now, token, service, engine, subject, actions),
-            // A round costs runners x models: requested weights wait for the next one, 40 ms compared
-            // with seconds of loading.
+            // A round costs runners x models: requested weights wait for the next one, 40 ms
+            // compared with seconds of loading.
             (None, _) => self.order_all(now, actions),
         }
     }
 
     /// Orders the unloads that were announced to all hosts long enough ago.
     fn order_pending_unloads(&mut self, now: Tick, token: FencingToken, actions: &mut Vec<Action>) {
-        // Unloads that could not be ordered in time are cancelled: the demand may have changed since.
+        // Unloads that could not be ordered in time are cancelled: the demand may have changed
+        // since.
         let is_expired = |since: &Tick| now.since(*since) > UNLOAD_NOTICE_LIMIT_MS;
         let expired = self.pending_unloads.iter().filter(|(_, since)| is_expired(since));
         let cancelled: Vec<(Incarnation, Subject)> = expired.map(|(key, _)| key.clone()).collect();
--- a/crates/placement/src/order_lease.rs
+++ b/crates/placement/src/order_lease.rs
@@ -1,15 +1,16 @@
 //! The lease of the one host that may send orders.
 //!
-//! The holder writes its key to the store under a lease. Its fencing token is derived from the revision
-//! at which the key was written, so that a later holder's token is always higher. A holder sends orders
-//! only while its last renewal is valid, counted from when the renewal was sent. It keeps trying to
-//! renew after that: if the store was unavailable and kept the lease, the key still belongs to the
-//! holder, and orders resume with the first answer rather than with a new lease two seconds later.
+//! The holder writes its key to the store under a lease. Its fencing token is derived from the
+//! revision at which the key was written, so that a later holder's token is always higher. A holder
+//! sends orders only while its last renewal is valid, counted from when the renewal was sent. It
+//! keeps trying to renew after that: if the store was unavailable and kept the lease, the key still
+//! belongs to the holder, and orders resume with the first answer rather than with a new lease two
+//! seconds later.
 //!
-//! After the store was restored from a copy, the key may be missing while its holder is still active.
-//! Other hosts that write the key wait until the previous holder must have stopped. The holder itself
-//! continues at once: with its key if the copy contains it, or with a new key that it wrote while its
-//! last renewal was valid.
+//! After the store was restored from a copy, the key may be missing while its holder is still
+//! active. Other hosts that write the key wait until the previous holder must have stopped. The
+//! holder itself continues at once: with its key if the copy contains it, or with a new key that it
+//! wrote while its last renewal was valid.
 
 use vanetally_ports::{Era, FencingToken, LeaseId, Revision};
 use vanetally_types::{Name, Tick};
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -20,8 +20,8 @@
     pub from_store: bool,
 }
 
-/// One planning round. The inventory is taken once; each step examines only the runners with a local
-/// copy of its model and a few of the cheapest others.
+/// One planning round. The inventory is taken once; each step examines only the runners with a
+/// local copy of its model and a few of the cheapest others.
 pub(crate) struct PlanningRound<'a> {
     models: Vec<Model<'a>>,
     index: HashMap<&'a Name, usize>,
@@ -75,8 +75,8 @@
 /// Maximum share of runners that load or unload weights at once, so that others stay available when
 /// the demand changes.
 const MAX_BUSY_SHARE: f64 = 0.55;
-/// Maximum share for saturated models. The demand for one model may rise fivefold within seconds; with
-/// the usual share it would wait until other models have all the replicas that they can use.
+/// Maximum share for saturated models. The demand for one model may rise fivefold within seconds;
+/// with the usual share it would wait until other models have all the replicas that they can use.
 const MAX_BUSY_SHARE_SATURATED: f64 = 0.85;
 /// Cost per second that a load occupies its runner.
 const LOAD_SECOND_COST: f64 = 0.03;
@@ -125,7 +125,8 @@
         costs.min_by(|a, b| (a.0 + a.1).total_cmp(&(b.0 + b.1)))
     }
 
-    /// Whether the model should have more replicas than are planned, not counting `excluded` of them.
+    /// Whether the model should have more replicas than are planned, not counting `excluded` of
+    /// them.
     pub(crate) fn needs_more(&self, model: &Name, excluded: usize) -> bool {
         self.index.get(model).is_some_and(|&index| self.needs_replica(index, excluded))
     }
@@ -151,7 +152,8 @@
         (gain > 0.0).then_some(Need { is_saturated: *is_saturated, gain, model: index })
     }
 
-    /// Returns at most `max_steps` steps, of which at most `store_loads` load from the weight store.
+    /// Returns at most `max_steps` steps, of which at most `store_loads` load from the weight
+    /// store.
     pub(crate) fn steps(mut self, max_steps: usize, mut store_loads: usize) -> Vec<Step> {
         let needs = (0..self.models.len()).filter_map(|index| self.need(index));
         let mut needs: BinaryHeap<Need> = needs.collect();
--- a/crates/placement/src/summary.rs
+++ b/crates/placement/src/summary.rs
@@ -42,7 +42,7 @@
             ledger
                 .held_names()
                 .for_each(|model| counts.entry((service, model)).or_default().0 += 1);
-            if let Some(model) = ledger.coming_model() {
+            if let Some(model) = ledger.loading_model() {
                 counts.entry((service, model)).or_default().1 += 1;
             }
         }
--- a/crates/placement/src/unsettled.rs
+++ b/crates/placement/src/unsettled.rs
@@ -1,5 +1,5 @@
-//! Unanswered orders that may still be executed, by the runner incarnation they were sent to or by a
-//! later one.
+//! Unanswered orders that may still be executed, by the runner incarnation they were sent to or by
+//! a later one.
 
 use vanetally_ports::{Operation, Order};
 use vanetally_types::{Name, Tick};
--- a/crates/placement/src/value.rs
+++ b/crates/placement/src/value.rs
@@ -27,8 +27,8 @@
 const FIRST_REPLICA_GAIN: f64 = 1.0;
 /// Gain of the first replica of an idle model: it only fills free memory and evicts nothing.
 pub(crate) const FILL_GAIN: f64 = 0.02;
-/// Gain of another replica of a model whose holders have no room for a requested adapter. It exceeds
-/// the value of an idle model and is below that of any requested one.
+/// Gain of another replica of a model whose holders have no room for a requested adapter. It
+/// exceeds the value of an idle model and is below that of any requested one.
 pub(crate) const ADAPTER_ROOM_GAIN: f64 = 0.05;
 /// Load that a replica serves in time, in runner-seconds per second; any excess waits or is lost.
 const REPLICA_CAPACITY: f64 = 0.25;
--- a/crates/placement/src/weights.rs
+++ b/crates/placement/src/weights.rs
@@ -77,7 +77,8 @@
         load_limit.map_or(0, |load_limit| load_limit.remaining(now, unanswered))
     }
 
-    /// Orders the loads for which memory was freed, and drops reservations that are no longer needed.
+    /// Orders the loads for which memory was freed, and drops reservations that are no longer
+    /// needed.
     fn use_reserved(
         &mut self,
         now: Tick,
@@ -131,8 +132,8 @@
 
     /// Returns the load limit of a new holder, or `None` while too few runners have reported.
     ///
-    /// Where every load from the weight store takes longer than the window, the loads that an earlier
-    /// holder started within the window are still running and show in the runners' reports.
+    /// Where every load from the weight store takes longer than the window, the loads that an
+    /// earlier holder started within the window are still running and show in the runners' reports.
     fn initial_load_limit(
         &self,
         now: Tick,
@@ -140,15 +141,15 @@
         engine: &EngineSpec,
         window_ms: u64,
     ) -> Option<LoadLimit> {
-        let own = || self.ledgers.values().filter(|l| l.state.service == *service);
+        let ledgers = || self.ledgers.values().filter(|l| l.state.service == *service);
         let unreported =
-            own().filter(|ledger| !ledger.is_known() && !ledger.state.draining).count();
+            ledgers().filter(|ledger| !ledger.is_known() && !ledger.state.draining).count();
         if unreported > 0 && now.since(self.token_since) < REPORT_WAIT_MS {
             return None;
         }
         let shortest = engine.models.values().map(|spec| spec.load_s).fold(f64::MAX, f64::min);
         let outlasts_window = shortest * MILLIS_PER_SECOND > (window_ms + REPORT_WAIT_MS) as f64;
-        let started = own().filter(|ledger| ledger.has_unknown_order()).count() + unreported;
+        let started = ledgers().filter(|ledger| ledger.has_unknown_order()).count() + unreported;
         let started = outlasts_window.then_some(started);
         Some(LoadLimit::new(now, engine.loads_per_s, window_ms, started))
     }
--- a/crates/placement/tests/adapter_shortage.rs
+++ b/crates/placement/tests/adapter_shortage.rs
@@ -10,8 +10,8 @@
 /// When the holders of a model have no room for all requested adapters, the model must be loaded on
 /// another runner with free memory; otherwise one of the adapters is never available.
 ///
-/// Each runner has memory for one more model. Runners execute orders at once and report what they hold:
-/// one that never reports an accepted load gets no further orders.
+/// Each runner has memory for one more model. Runners execute orders at once and report what they
+/// hold: one that never reports an accepted load gets no further orders.
 #[test]
 fn more_adapters_than_places() {
     let held: [(&str, &[&str]); 2] = [("r1", &["m1", "m2"]), ("r2", &["m3", "m4"])];
--- a/crates/placement/tests/incarnations.rs
+++ b/crates/placement/tests/incarnations.rs
@@ -54,8 +54,8 @@
     order_for(holder, "m1")
 }
 
-/// The order count of a new incarnation is lower than that of the previous one: its reports must not
-/// be ignored as stale.
+/// The order count of a new incarnation is lower than that of the previous one: its reports must
+/// not be ignored as stale.
 #[test]
 fn next_incarnation_reports() {
     let mut holder = holder();
@@ -128,8 +128,8 @@
     assert!(order_for_m1(&mut holder).is_some());
 }
 
-/// Two models fill a runner. An order for a third one, sent to the previous incarnation at count two,
-/// may be executed once the new one has accepted two orders: memory stays reserved until then.
+/// Two models fill a runner. An order for a third one, sent to the previous incarnation at count
+/// two, may be executed once the new one has accepted two orders: memory stays reserved until then.
 #[test]
 fn unsettled_order() {
     let mut holder = holder();
--- a/crates/placement/tests/order_lease.rs
+++ b/crates/placement/tests/order_lease.rs
@@ -90,8 +90,8 @@
     assert_eq!(order_lease.token(again + 3_300), Some(FencingToken(50)));
 }
 
-/// A holder that is paused, or whose renewals are not answered, stops before its lease expires in the
-/// store.
+/// A holder that is paused, or whose renewals are not answered, stops before its lease expires in
+/// the store.
 #[rstest]
 #[case(1_599, true)]
 #[case(1_600, false)]
@@ -212,7 +212,8 @@
     })
 }
 
-/// The copy contains the key and the last renewal is still valid: orders continue with the same token.
+/// The copy contains the key and the last renewal is still valid: orders continue with the same
+/// token.
 #[test]
 fn restored_with_key() {
     let mut order_lease = holder();
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -183,8 +183,8 @@
     assert!(holder.orders.is_empty());
 }
 
-/// An unload that waits for a busy runner must be cancelled: seconds later its model may be the most
-/// requested one.
+/// An unload that waits for a busy runner must be cancelled: seconds later its model may be the
+/// most requested one.
 #[test]
 fn late_unload_cancelled() {
     let mut holder = Holder::new(&[("r1", &["m1", "m2"]), ("r2", &["m1", "m2"])]);
@@ -237,8 +237,8 @@
     assert!(holder.orders.is_empty(), "{:?}", holder.orders);
 }
 
-/// Until the first unload is done, further planning rounds must not free memory for the same model on
-/// more runners.
+/// Until the first unload is done, further planning rounds must not free memory for the same model
+/// on more runners.
 #[test]
 fn memory_freed_once() {
     let full: &[&str] = &["m1", "m2"];
@@ -328,8 +328,9 @@
     assert!(!busy.is_empty() && busy.len() <= 11, "at most 0.55 of 20: {busy:?}");
 }
 
-/// The value of a replica must include the load that the present replicas can't serve at all. By the
-/// relief of each replica alone, a model whose callers wait for seconds would get no more replicas.
+/// The value of a replica must include the load that the present replicas can't serve at all. By
+/// the relief of each replica alone, a model whose callers wait for seconds would get no more
+/// replicas.
 #[test]
 fn overload_evicts() {
     let names: Vec<String> = (10..23).map(|number| format!("r{number}")).collect();
@@ -435,7 +436,8 @@
     assert_eq!(copies.len(), 1, "{copies:?}");
     let second = copies[0].clone();
     assert!(copies[0].runner != first && &*copies[0].runner.id != "r3", "{copies:?}");
-    // Requests continue while it is loading; the next copy follows after half a second at the earliest.
+    // Requests continue while it is loading; the next copy follows after half a second at the
+    // earliest.
     holder.orders.clear();
     holder.answer(second, OrderOutcome::Accepted);
     holder.handle(Event::UpstreamSeen { id: "r4".into(), state: state(&["m1", "m4"], 0) });
@@ -449,8 +451,8 @@
     assert_eq!(copies, 1, "{:?}", holder.orders);
 }
 
-/// When copies of saturated adapters use all places and every adapter is requested continuously, a copy
-/// must be evicted for an adapter that no runner holds.
+/// When copies of saturated adapters use all places and every adapter is requested continuously, a
+/// copy must be evicted for an adapter that no runner holds.
 #[test]
 fn adapter_copy_evicted() {
     let mut holder = Holder::new(&[]);
--- a/crates/placement/tests/reannounce.rs
+++ b/crates/placement/tests/reannounce.rs
@@ -26,9 +26,9 @@
     announced.collect()
 }
 
-/// An adapter is loaded just after its runner wrote its store entry, which is not written again. Some
-/// seconds later hosts rely on that entry and request the adapter: the holder must announce it again
-/// rather than ignore the request because the adapter is held.
+/// An adapter is loaded just after its runner wrote its store entry, which is not written again.
+/// Some seconds later hosts rely on that entry and request the adapter: the holder must announce it
+/// again rather than ignore the request because the adapter is held.
 #[test]
 fn held_adapter() {
     let mut holder = Holder::new(&[("r1", &["m1"])]);
--- a/crates/placement/tests/saturation.rs
+++ b/crates/placement/tests/saturation.rs
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Simulates `millis` milliseconds. The load of the hot model grows by `load_growth` each second.
+    /// Simulates `millis` milliseconds. The load of the hot model grows by `load_growth` each
+    /// second.
     fn simulate(&mut self, millis: u64, load_growth: f64, is_saturated: bool) {
         for step in 0..millis / 100 {
             self.now = self.now + 100;
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -97,8 +97,8 @@
     }
 
     pub fn loads(&self, model: &str) -> Vec<&Order> {
-        let own = self.orders.iter().filter(|order| order.operation == Operation::Load);
-        own.filter(|order| &*order.subject.model == model).collect()
+        let loads = self.orders.iter().filter(|order| order.operation == Operation::Load);
+        loads.filter(|order| &*order.subject.model == model).collect()
     }
 }
 
--- a/crates/placement/tests/unsettled_orders.rs
+++ b/crates/placement/tests/unsettled_orders.rs
@@ -1,6 +1,6 @@
-//! Simulates a holder of the order lease and one runner that restarts repeatedly under its id, while
-//! orders are lost or executed late by whichever incarnation receives them: the runner's memory is never
-//! overcommitted.
+//! Simulates a holder of the order lease and one runner that restarts repeatedly under its id,
+//! while orders are lost or executed late by whichever incarnation receives them. The runner's
+//! memory is never overcommitted.
 
 mod support;
 
@@ -17,10 +17,12 @@
 const MAX_DELAY_MS: u64 = 50_000;
 const MODELS: [&str; 4] = ["m1", "m2", "m3", "m4"];
 
-/// One step of the simulation. Numbers are indices.
+/// One step of the simulation.
 #[derive(Clone, Copy, Debug)]
 enum Step {
+    /// Advances the time by this many milliseconds.
     Advance(u64),
+    /// Requests the model with this index.
     Request(usize),
     /// Delivers an order to the runner and its answer to the holder.
     Deliver(usize),
@@ -105,8 +107,8 @@
                 self.holder.answer(order, outcome);
             }
             Step::TimeOut(at) if at < self.in_flight.len() => {
-                let (order, sent) = self.in_flight.remove(at);
-                self.timed_out.push((order.clone(), sent));
+                let (order, sent_at) = self.in_flight.remove(at);
+                self.timed_out.push((order.clone(), sent_at));
                 self.holder.answer(order, OrderOutcome::Unknown);
             }
             Step::DeliverLate => {
@@ -128,8 +130,8 @@
         let now = self.holder.now;
         self.in_flight.extend(self.holder.orders.drain(..).map(|order| (order, now)));
         // The delay of orders is bounded.
-        self.in_flight.retain(|(_, sent)| now.since(*sent) < MAX_DELAY_MS);
-        self.timed_out.retain(|(_, sent)| now.since(*sent) < MAX_DELAY_MS);
+        self.in_flight.retain(|(_, sent_at)| now.since(*sent_at) < MAX_DELAY_MS);
+        self.timed_out.retain(|(_, sent_at)| now.since(*sent_at) < MAX_DELAY_MS);
     }
 
     fn report(&mut self) {
@@ -181,10 +183,10 @@
 proptest! {
     #![proptest_config(config(600, 23))]
 
-    /// An unanswered order is sent again with the same contents. One copy is refused; the other one must
-    /// stay unsettled, because a later incarnation may still execute it. This seed contains the sequence:
-    /// `Load m1 @1` is sent twice and one copy refused at count 2; `Load m2 @0` follows while
-    /// `Load m1 @1` and `Load m3 @2` are still in transit: three models where two fit.
+    /// An unanswered order is sent again with the same contents. One copy is refused; the other one
+    /// must stay unsettled, because a later incarnation may still execute it. This seed contains
+    /// the sequence: `Load m1 @1` is sent twice and one copy is refused at count 2; `Load m2 @0` is
+    /// sent while `Load m1 @1` and `Load m3 @2` are still in transit: three models where two fit.
     #[test]
     fn resent_order(steps in prop::collection::vec(step(), 60..160)) {
         simulate(steps)?;
--- a/crates/plan/src/builder.rs
+++ b/crates/plan/src/builder.rs
@@ -1,8 +1,9 @@
 //! Computes a placement from load, memory and resident entries.
 //!
-//! First every entry without a replica gets one. Then, while a runner is overloaded and a move pays,
-//! its most loaded entry gets another replica on the least loaded runner that may hold it, evicting
-//! surplus replicas of the lowest value. Resident entries stay unless their memory is needed.
+//! First every entry without a replica gets one. Then, while a runner is overloaded and a move
+//! pays, its most loaded entry gets another replica on the least loaded runner that may hold it,
+//! evicting surplus replicas of the lowest value. Resident entries stay unless their memory is
+//! needed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use vanetally_types::{Bytes, Name};
--- a/crates/plan/src/demand.rs
+++ b/crates/plan/src/demand.rs
@@ -1,7 +1,7 @@
 //! Estimates how many slots each target keeps busy.
 //!
-//! Uses two exponential averages of the offered work: a slow one that suppresses noise, and a fast one
-//! that counts only as far as it exceeds random variation.
+//! Uses two exponential averages of the offered work: a slow one that suppresses noise, and a fast
+//! one that counts only as far as it exceeds random variation.
 
 use std::collections::BTreeMap;
 use vanetally_types::{Name, Tick};
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,7 +1,7 @@
 //! Demand estimates and placement of models on runners.
 //!
-//! The plan is advice to the leaders of the groups of runners. It can't overcommit memory, which the
-//! ledgers protect; two planners at once only cost additional moves.
+//! The plan is advice to the leaders of the groups of runners. It can't overcommit memory, which
+//! the ledgers protect; two planners at once only cost additional moves.
 #![deny(missing_docs, unsafe_code)]
 
 mod builder;
--- a/crates/plan/tests/placement.rs
+++ b/crates/plan/tests/placement.rs
@@ -155,8 +155,8 @@
         let before: BTreeSet<Name> = runners.iter().flat_map(|r| r.entries.clone()).collect();
         let placement = place(&Input { entries: entries.clone(), runners });
         for held in placement.values() {
-            let used_bytes: u64 = entries.iter().filter(|e| held.contains(&e.id)).map(|e| e.size).sum();
-            prop_assert!(used_bytes <= 100, "{placement:?}");
+            let used: u64 = entries.iter().filter(|e| held.contains(&e.id)).map(|e| e.size).sum();
+            prop_assert!(used <= 100, "{placement:?}");
         }
         for name in before {
             prop_assert!(replicas(&placement, &name) > 0, "{name} lost its last replica");
