--- a/crates/bench/benches/decisions.rs
+++ b/crates/bench/benches/decisions.rs
@@ -4,10 +4,12 @@
 use std::{collections::BTreeMap, hint::black_box, sync::Arc, time::Duration};
 use vanetally_claim::{ClaimRequest, Event as SlotEvent, Guards, Id, Slot, Ticket};
 use vanetally_core::{Core, Event, Frame, Options};
-use vanetally_member::Listed;
+use vanetally_member::ListedHost;
 use vanetally_pacing::{Pacer, Pacers, Prefix, Prompt, SendSlot};
 use vanetally_plan::{Entry, Input, PlacementBuilder, Runner};
-use vanetally_route::{End, Event as Route, Phase, Request, Router, Seen, Upstream};
+use vanetally_route::{
+    AttemptEnd, Event as Route, Phase, Request, Router, Upstream, UpstreamStatus,
+};
 use vanetally_types::{HostId, Name, Tick};
 
 const NOW: Tick = Tick(1_000_000);
@@ -20,13 +22,17 @@
     format!("{kind}-{n}").into()
 }
 
-fn seen(runner: usize, models: usize) -> Seen {
+fn seen(runner: usize, models: usize) -> UpstreamStatus {
     let entry = |k: usize| (name("model", (runner + k * 7) % models), Phase::Ready);
-    Seen { entries: (0..REPLICAS).map(entry).collect(), reachable: true, ..Seen::default() }
+    UpstreamStatus {
+        entries: (0..REPLICAS).map(entry).collect(),
+        reachable: true,
+        ..UpstreamStatus::default()
+    }
 }
 
 fn router(runners: usize) -> Router {
-    let options = vanetally_route::Options { domain: "a".into(), queue: 2_000 };
+    let options = vanetally_route::Options { domain: "a".into(), max_queued: 2_000 };
     let mut router = Router::new(options);
     let upstream = |n: usize| Upstream {
         name: name("runner", n),
@@ -38,7 +44,7 @@
     router.handle(NOW, Route::Upstreams((0..runners).map(upstream).collect()));
     for n in 0..runners {
         let seen = seen(n, models(runners));
-        router.handle(NOW, Route::Seen { upstream: name("runner", n), seen });
+        router.handle(NOW, Route::Status { upstream: name("runner", n), status: seen });
     }
     router
 }
@@ -55,7 +61,7 @@
         entries: vec![name("model", model)],
         rank: 0,
         deadline: NOW + 60_000,
-        once: false,
+        once_only: false,
         prefix: id % 50 + 1,
     }
 }
@@ -71,7 +77,10 @@
                 id += 1;
                 let request = request(id, id as usize % models(runners));
                 black_box(router.handle(NOW, Route::Arrive(request)));
-                router.handle(NOW, Route::Ended { id, end: End::Done, sent: true })
+                router.handle(
+                    NOW,
+                    Route::Ended { id, end: AttemptEnd::Completed, response_started: true },
+                )
             });
         });
     }
@@ -87,7 +96,7 @@
         group.bench_function(BenchmarkId::from_parameter(runners), |b| {
             b.iter(|| {
                 let (upstream, seen) = (name("runner", 1), seen.clone());
-                router.handle(NOW, Route::Seen { upstream, seen })
+                router.handle(NOW, Route::Status { upstream, status: seen })
             });
         });
     }
@@ -176,9 +185,9 @@
 fn upkeep(c: &mut Criterion) {
     let mut group = c.benchmark_group("upkeep");
     for hosts in [3_usize, 9, 90, 370] {
-        let listed = |n: usize| Listed {
+        let listed = |n: usize| ListedHost {
             name: name("entry", n),
-            peer: "10.0.0.1:1".into(),
+            link_addr: "10.0.0.1:1".into(),
             domain: name("domain", n % 9),
             leaving: false,
         };
@@ -187,11 +196,11 @@
             listed: listed(0),
             slots: 16,
             groups: 8,
-            poll: 500,
-            ping: 500,
-            suspect: 3_000,
-            horizon: 600_000,
-            queue: 2_000,
+            poll_ms: 500,
+            ping_ms: 500,
+            suspect_ms: 3_000,
+            horizon_ms: 600_000,
+            max_queued: 2_000,
         };
         let mut core = Core::new(NOW, options);
         core.handle(NOW, Event::Hosts((0..hosts).map(listed).collect()));
@@ -254,9 +263,9 @@
         ciborium::into_writer(frame, &mut bytes).map_or(0, |()| bytes.len())
     };
     let me = HostId::new("entry-100", 1_796_205_122_946);
-    let listed = Listed {
+    let listed = ListedHost {
         name: "entry-100".into(),
-        peer: "10.1.2.3:8002".into(),
+        link_addr: "10.1.2.3:8002".into(),
         domain: "domain-3".into(),
         leaving: false,
     };
@@ -269,8 +278,12 @@
     }
     for entries in [1_usize, 5, 10, 20] {
         let pairs = (0..entries).map(|n| (name("model", n), Phase::Ready));
-        let seen = Seen { entries: pairs.collect(), reachable: true, ..Seen::default() };
-        let frame = Frame::Seen { runner: name("runner", 4_000), seen };
+        let seen = UpstreamStatus {
+            entries: pairs.collect(),
+            reachable: true,
+            ..UpstreamStatus::default()
+        };
+        let frame = Frame::RunnerStatus { runner: name("runner", 4_000), status: seen };
         println!("bytes frame=seen entries={entries} value={}", size(&frame));
     }
     for targets in [1_usize, 9, 90, 960] {
@@ -281,7 +294,7 @@
         );
     }
     let ticket = Ticket { entry: me, number: 1_000_000 };
-    let ask = Frame::Ask(ClaimRequest { id: Id(u128::MAX), deadline: NOW.0, ticket });
+    let ask = Frame::Claim(ClaimRequest { id: Id(u128::MAX), deadline: NOW.0, ticket });
     println!("bytes frame=ask value={}", size(&ask));
     let revision = Arc::new(vanetally_config::Revision::default());
     println!("bytes frame=empty-config value={}", size(&Frame::Config(revision)));
--- a/crates/check/src/runner.rs
+++ b/crates/check/src/runner.rs
@@ -7,8 +7,8 @@
 use crate::{Steps, World};
 use std::collections::{BTreeMap, BTreeSet};
 use vanetally_ledger::{
-    Action, Epoch, Event, Guards, Held, Ledger, Order, Phase, Record, Refusal, Report, Spec, Want,
-    Wanted,
+    Action, DesiredEntries, DesiredEntry, Epoch, Event, Guards, HeldEntry, Ledger, Order, Phase,
+    Record, Refusal, Report, RunnerSpec,
 };
 use vanetally_types::{HostId, Name, Tick};
 
@@ -100,8 +100,8 @@
 const CAPACITY: u64 = 3;
 
 /// A plan that wants these entries.
-fn wanted(entries: &[&str]) -> Wanted {
-    let want = |name: &&str| (Name::from(*name), Want { bytes: SIZE, base: None });
+fn wanted(entries: &[&str]) -> DesiredEntries {
+    let want = |name: &&str| (Name::from(*name), DesiredEntry { bytes: SIZE, base: None });
     entries.iter().map(want).collect()
 }
 
@@ -146,7 +146,7 @@
                     self.messages.insert(Message::Put { host, base, seq, waits: true });
                 }
                 Action::Send(order) => self.send(host, &order),
-                Action::NeedTerm(_) | Action::GiveUp => {}
+                Action::RaiseTerm(_) | Action::StepDown => {}
             }
         }
     }
@@ -197,7 +197,7 @@
         self.report.seq = seq;
         let name: Name = ENTRIES[usize::from(entry)].into();
         if load {
-            let held = Held { phase: Phase::Resident, bytes: SIZE, in_flight: 0, base: None };
+            let held = HeldEntry { phase: Phase::Resident, bytes: SIZE, in_flight: 0, base: None };
             self.report.entries.insert(name, held);
         } else {
             self.report.entries.remove(&name);
@@ -228,7 +228,7 @@
             true => self.event(host, Event::Written { seq }),
             false => {
                 let record = self.cell.as_ref().map(|c| c.1.clone());
-                self.event(host, Event::WriteRefused(record));
+                self.event(host, Event::WriteConflict(record));
             }
         }
     }
@@ -237,7 +237,7 @@
     fn lose(&mut self, message: &Message) -> bool {
         match message {
             Message::Fence { host, epoch } => {
-                self.event(*host, Event::FenceLost { epoch: Epoch(*epoch) });
+                self.event(*host, Event::FenceUnanswered { epoch: Epoch(*epoch) });
                 true
             }
             Message::Order { host, seq, epoch, entry, load, bound: None } => {
@@ -247,14 +247,14 @@
                 let late =
                     Message::Order { host, seq, epoch: *epoch, entry: *entry, load: *load, bound };
                 self.messages.insert(late);
-                self.event(host, Event::OrderLost { seq });
+                self.event(host, Event::OrderUnanswered { seq });
                 true
             }
             Message::Put { host, base, seq, waits: true } => {
                 self.messages.remove(message);
                 let (host, seq) = (*host, *seq);
                 self.messages.insert(Message::Put { host, base: *base, seq, waits: false });
-                self.event(host, Event::WriteLost);
+                self.event(host, Event::WriteUnconfirmed);
                 true
             }
             _ => false,
@@ -270,13 +270,13 @@
             }
             Answer::Outranked { host, of, epoch } => {
                 let (of, epoch) = (Epoch(of), Epoch(epoch));
-                self.event(host, Event::Outranked { of, epoch });
+                self.event(host, Event::StaleEpoch { sent: of, current: epoch });
             }
             Answer::Ordered { host, seq, result, report } => {
                 self.event(host, Event::Answered { seq, result, report });
             }
             Answer::Report { host, asked, report } => {
-                self.event(host, Event::Reported { asked: Tick(asked), report });
+                self.event(host, Event::Reported { polled_at: Tick(asked), report });
             }
         }
     }
@@ -285,9 +285,9 @@
     fn miss(&mut self, answer: &Answer) {
         self.answers.remove(answer);
         match answer.clone() {
-            Answer::Ordered { host, seq, .. } => self.event(host, Event::OrderLost { seq }),
+            Answer::Ordered { host, seq, .. } => self.event(host, Event::OrderUnanswered { seq }),
             Answer::Fenced { host, epoch, .. } => {
-                self.event(host, Event::FenceLost { epoch: Epoch(epoch) });
+                self.event(host, Event::FenceUnanswered { epoch: Epoch(epoch) });
             }
             Answer::Outranked { .. } | Answer::Report { .. } => {}
         }
@@ -298,7 +298,7 @@
         self.term += 1;
         self.stewards[host].version = self.cell.as_ref().map_or(0, |c| c.0);
         let record = self.cell.as_ref().map(|c| c.1.clone()).filter(|_| !self.options.fenced);
-        self.event(host, Event::Took { term: self.term, record });
+        self.event(host, Event::LeadershipAcquired { term: self.term, record });
     }
 
     fn poll(&mut self, host: usize) {
@@ -353,18 +353,18 @@
             add(&|| format!("{name} becomes steward"), &|w| w.take(host));
         }
         if self.options.wants > 0 {
-            let first_want = self.stewards.iter().all(|s| s.ledger.wanted().is_none());
+            let first_want = self.stewards.iter().all(|s| s.ledger.desired().is_none());
             let kinds = if first_want { 1 } else { ENTRIES.len() };
             for (entry, text) in ENTRIES.iter().enumerate().take(kinds) {
                 add(&|| format!("the plan wants {text} of {name}"), &|w| {
                     w.options.wants -= 1;
-                    w.event(host, Event::Want(wanted(&ENTRIES[entry..=entry])));
+                    w.event(host, Event::Desired(wanted(&ENTRIES[entry..=entry])));
                 });
             }
             if self.options.both {
                 add(&|| format!("the plan wants both of {name}"), &|w| {
                     w.options.wants -= 1;
-                    w.event(host, Event::Want(wanted(&ENTRIES)));
+                    w.event(host, Event::Desired(wanted(&ENTRIES)));
                 });
             }
         }
@@ -379,7 +379,8 @@
 }
 
 fn ledger(id: &HostId, options: Options) -> Ledger {
-    let spec = Spec { capacity: CAPACITY, fenced: options.fenced, order_life: None, drain: 0 };
+    let spec =
+        RunnerSpec { capacity: CAPACITY, fenced: options.fenced, order_ttl_ms: None, drain_ms: 0 };
     Ledger::new(id.clone(), spec, options.guards)
 }
 
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -7,7 +7,7 @@
     catalog::is_leaving,
     keeper::{Outcome, Source},
 };
-use vanetally_route::{Event as Route, Phase, Seen, Upstream};
+use vanetally_route::{Event as Route, Phase, Upstream, UpstreamStatus};
 use vanetally_types::{HostId, Name};
 
 /// Between two requests for a newer revision, in milliseconds.
@@ -45,23 +45,25 @@
         for service in &revision.catalog.services {
             for instance in &service.instances {
                 let entry = service_entry(&service.name);
-                let seen = Seen {
+                let seen = UpstreamStatus {
                     entries: [(entry, Phase::Ready)].into(),
                     reachable: true,
-                    ..Seen::default()
+                    ..UpstreamStatus::default()
                 };
-                let actions = self
-                    .router
-                    .handle(self.now, Route::Seen { upstream: instance.name.clone(), seen });
+                let actions = self.router.handle(
+                    self.now,
+                    Route::Status { upstream: instance.name.clone(), status: seen },
+                );
                 self.route_actions(actions);
             }
         }
         for (runner, seen) in self.seen.clone() {
-            let actions = self.router.handle(self.now, Route::Seen { upstream: runner, seen });
+            let actions =
+                self.router.handle(self.now, Route::Status { upstream: runner, status: seen });
             self.route_actions(actions);
         }
         self.declare_runners(&revision.catalog);
-        self.out.push(Action::InForce(revision));
+        self.out.push(Action::RevisionApplied(revision));
         // Peers that lack it ask for it: the whole is not sent to those that have it.
         self.ping_all();
     }
--- a/crates/core/src/dump.rs
+++ b/crates/core/src/dump.rs
@@ -32,11 +32,11 @@
     fn dump_hosts(&self) -> Value {
         let row = |p: &vanetally_member::Peer| {
             json!({
-                "name": p.listed.name, "domain": p.listed.domain, "peer": p.listed.peer,
-                "incarnation": p.incarnation, "listed": p.present,
+                "name": p.listed.name, "domain": p.listed.domain, "peer": p.listed.link_addr,
+                "incarnation": p.incarnation, "listed": p.is_listed,
                 "leaving": p.leaving || p.listed.leaving,
-                "silent_ms": p.heard.map(|h| self.now.since(h)),
-                "alive": self.members.is_alive(self.now, &p.listed.name),
+                "silent_ms": p.last_seen.map(|h| self.now.since(h)),
+                "alive": self.members.is_host_eligible(self.now, &p.listed.name),
             })
         };
         self.members.peers().map(row).collect()
@@ -69,7 +69,7 @@
     }
 
     fn dump_groups(&self) -> Value {
-        let row = |(number, group): (usize, &vanetally_member::Group)| {
+        let row = |(number, group): (usize, &vanetally_member::GroupLeadership)| {
             let head = self.group_heads.get(&(number as u16));
             json!({
                 "group": number, "role": group.role(),
@@ -83,13 +83,13 @@
         let row = |(name, ledger): (&Name, &vanetally_ledger::Ledger)| {
             let seen = self.seen.get(name);
             json!({
-                "name": name, "stewardship": ledger.standing(), "held_bytes": ledger.held(),
+                "name": name, "stewardship": ledger.state(), "held_bytes": ledger.held_bytes(),
                 "open_orders": ledger.open_intents(),
                 "reachable": seen.is_some_and(|s| s.reachable),
                 "running": seen.map(|s| s.running),
                 "leaving": seen.is_some_and(|s| s.leaving),
                 "entries": seen.map(|s| &s.entries),
-                "wanted": ledger.wanted().map(|w| w.keys().cloned().collect::<Vec<_>>()),
+                "wanted": ledger.desired().map(|w| w.keys().cloned().collect::<Vec<_>>()),
             })
         };
         self.ledgers.iter().map(row).collect()
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -6,8 +6,8 @@
 use vanetally_claim::{Answer, Id};
 use vanetally_config::{Revision, keeper::Source};
 use vanetally_ledger::{Epoch, Order, Refusal, Report};
-use vanetally_member::Listed;
-use vanetally_route::{End, Request};
+use vanetally_member::ListedHost;
+use vanetally_route::{AttemptEnd, Request};
 use vanetally_types::{HostId, Name, Tick, Verdict};
 
 /// A key of the platform's service.
@@ -37,7 +37,7 @@
 
 /// A value of the platform's service.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stored {
+pub struct StoredValue {
     /// Its version.
     pub version: u64,
     /// JSON.
@@ -50,12 +50,12 @@
     /// The request.
     pub request: Request,
     /// Its identity if it must not run twice.
-    pub once: Option<Id>,
+    pub claim_id: Option<Id>,
 }
 
 /// A poll's answer.
 #[derive(Clone, Debug)]
-pub struct Polled {
+pub struct PollReply {
     /// The runner's memory and epoch.
     pub report: Report,
     /// Requests that it runs or has queued.
@@ -66,24 +66,24 @@
 
 /// A fence's answer.
 #[derive(Clone, Debug)]
-pub enum Fenced {
+pub enum FenceReply {
     /// Accepted, with the runner's state.
     Accepted(Report),
     /// Refused for this higher epoch.
-    Outranked(Epoch),
+    StaleEpoch(Epoch),
     /// No answer.
-    Lost,
+    Unanswered,
 }
 
 /// An order's answer.
 #[derive(Clone, Debug)]
-pub enum Ordered {
+pub enum OrderReply {
     /// Carried out or refused, with the runner's state after it.
     Answered(Result<(), Refusal>, Report),
     /// Refused for another epoch.
-    Outranked(Epoch),
+    StaleEpoch(Epoch),
     /// No answer: it may have been carried out or may still be.
-    Lost,
+    Unanswered,
 }
 
 /// What happens to a core.
@@ -96,33 +96,33 @@
         /// The request.
         id: u64,
         /// How.
-        end: End,
+        end: AttemptEnd,
         /// Whether the caller has bytes of an answer.
-        sent: bool,
+        response_started: bool,
         /// The answer, for repeats of a once-only request.
         answer: Option<Arc<Answer>>,
     },
     /// A revision of the configuration.
     Config(Arc<Revision>, Source),
     /// A key was read; `None` if the service did not answer.
-    Got(Key, Option<Option<Stored>>),
+    KeyRead(Key, Option<Option<StoredValue>>),
     /// A key was written, or had another value; `None` if the service did not answer.
-    Put(Key, Option<Result<u64, Option<Stored>>>),
+    KeyWritten(Key, Option<Result<u64, Option<StoredValue>>>),
     /// The platform's list of hosts.
-    Hosts(Vec<Listed>),
+    Hosts(Vec<ListedHost>),
     /// A runner was polled; `None` if it did not answer.
     Polled {
         /// The runner.
         runner: Name,
         /// When the poll was sent.
-        asked: Tick,
+        polled_at: Tick,
         /// Its answer.
-        polled: Option<Polled>,
+        reply: Option<PollReply>,
     },
     /// A fence was answered.
-    Fenced(Name, Epoch, Fenced),
+    Fenced(Name, Epoch, FenceReply),
     /// An order was answered.
-    Ordered(Name, Epoch, u64, Ordered),
+    Ordered(Name, Epoch, u64, OrderReply),
     /// Another daemon says something.
     Frame(HostId, Frame),
     /// A planned stop begins.
@@ -131,10 +131,10 @@
     Tick,
 }
 
-/// Why a request is refused.
+/// RefusalReason a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum RefusalReason {
     /// The deadline can't be met.
     DeadlineUnmeetable,
     /// Too many requests wait.
@@ -154,12 +154,12 @@
 /// A final refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// Why.
-    pub why: Why,
+    /// RefusalReason.
+    pub reason: RefusalReason,
     /// Whether the request may have run.
     pub verdict: Verdict,
     /// When to come back, in milliseconds, if that helps.
-    pub retry_after: Option<u64>,
+    pub retry_after_ms: Option<u64>,
 }
 
 /// What a core wants done.
@@ -202,7 +202,7 @@
     /// Tell another daemon something: name, address, frame.
     Send(Name, Name, Frame),
     /// A revision is in force.
-    InForce(Arc<Revision>),
+    RevisionApplied(Arc<Revision>),
     /// Write a line to the log: what happened, in key=value pairs.
     Log(String),
     /// The planned stop is complete.
--- a/crates/core/src/frame.rs
+++ b/crates/core/src/frame.rs
@@ -4,13 +4,13 @@
 use std::{collections::BTreeMap, sync::Arc};
 use vanetally_claim::{ClaimRequest, Id, Message, Outcome, Reply, Ticket};
 use vanetally_config::Revision;
-use vanetally_ledger::Wanted;
-use vanetally_member::Listed;
-use vanetally_route::Seen;
+use vanetally_ledger::DesiredEntries;
+use vanetally_member::ListedHost;
+use vanetally_route::UpstreamStatus;
 use vanetally_types::{HostId, Name};
 
 /// Number of a record's holder change, and the holder.
-pub type Head = (u64, HostId);
+pub type EpochHolder = (u64, HostId);
 
 /// A message between daemons.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
     Ping {
         /// How the sender is listed, with whether it is leaving.
         #[serde(rename = "l")]
-        listed: Listed,
+        listed: ListedHost,
         /// The revision that it follows.
         #[serde(rename = "c")]
         config: u64,
@@ -32,9 +32,9 @@
     #[serde(rename = "t")]
     Tables {
         /// Slots by number.
-        slots: BTreeMap<u16, Head>,
+        slots: BTreeMap<u16, EpochHolder>,
         /// Groups of runners by number.
-        groups: BTreeMap<u16, Head>,
+        groups: BTreeMap<u16, EpochHolder>,
     },
     /// Send me your revision.
     #[serde(rename = "cp")]
@@ -44,24 +44,25 @@
     Config(Arc<Revision>),
     /// What was seen of a runner.
     #[serde(rename = "s")]
-    Seen {
+    RunnerStatus {
         /// The runner.
         runner: Name,
         /// The report.
-        seen: Seen,
+        #[serde(rename = "seen")]
+        status: UpstreamStatus,
     },
     /// What arrived at the sender, for the planner: count and milliseconds of slots by target.
     #[serde(rename = "d")]
     Demand(BTreeMap<Name, (u32, u32)>),
     /// What the planner wants on runners that the receiver is steward of.
     #[serde(rename = "w")]
-    Want(BTreeMap<Name, Wanted>),
+    Desired(BTreeMap<Name, DesiredEntries>),
     /// May this run?
     #[serde(rename = "a")]
-    Ask(ClaimRequest),
+    Claim(ClaimRequest),
     /// The answer to an ask.
     #[serde(rename = "r")]
-    Reply {
+    ClaimReply {
         /// The attempt.
         ticket: Ticket,
         /// The request.
@@ -77,11 +78,12 @@
         /// The attempt.
         ticket: Ticket,
         /// How.
-        finish: Outcome,
+        #[serde(rename = "finish")]
+        outcome: Outcome,
     },
     /// The end of an attempt is known.
     #[serde(rename = "fs")]
-    FinishSeen(Ticket),
+    FinishAck(Ticket),
     /// Between holders and deputies of a slot.
     #[serde(rename = "x")]
     Slot(u16, Message),
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -1,6 +1,6 @@
 //! What daemons tell each other: that they live, who holds what, what was seen of runners.
 
-use crate::{Action, Core, Frame, Head};
+use crate::{Action, Core, EpochHolder, Frame};
 use std::collections::{BTreeMap, BTreeSet};
 use vanetally_config::keeper::Source;
 use vanetally_types::{HostId, Name, Tick, hash64, rendezvous_rank};
@@ -24,7 +24,7 @@
 impl Core {
     pub(crate) fn tick_gossip(&mut self) {
         if self.now >= self.spread.next_ping {
-            self.spread.next_ping = self.now + self.options.ping;
+            self.spread.next_ping = self.now + self.options.ping_ms;
             self.ping_all();
         }
         let due: Vec<Name> = self.spread.tables_due.iter().cloned().collect();
@@ -45,7 +45,9 @@
         let domain = self.options.listed.domain.clone();
         let mut names = vec![self.options.me.name.clone()];
         for peer in self.members.peers() {
-            if peer.listed.domain == domain && self.members.is_alive(self.now, &peer.listed.name) {
+            if peer.listed.domain == domain
+                && self.members.is_host_eligible(self.now, &peer.listed.name)
+            {
                 names.push(peer.listed.name.clone());
             }
         }
@@ -74,7 +76,7 @@
 
     fn tables_hash(&self) -> u64 {
         let mut bytes = Vec::new();
-        let mut add = |kind: u8, number: u16, head: &Head| {
+        let mut add = |kind: u8, number: u16, head: &EpochHolder| {
             bytes.push(kind);
             bytes.extend(number.to_le_bytes());
             bytes.extend(head.0.to_le_bytes());
@@ -97,28 +99,34 @@
             Frame::Tables { slots, groups } => self.merge_tables(slots, groups),
             Frame::PullConfig => self.pull_config(&from),
             Frame::Config(revision) => self.offer(revision, Source::Peer),
-            Frame::Seen { runner, seen } => self.saw(runner, seen),
+            Frame::RunnerStatus { runner, status } => self.saw(runner, status),
             Frame::Demand(arrived) => self.demand(arrived),
-            Frame::Want(wanted) => self.want(wanted),
-            Frame::Ask(ask) => self.ask_here(ask),
-            Frame::Reply { ticket, id, reply } => self.replied(from, ticket, id, reply),
-            Frame::Finished { id, ticket, finish } => self.finish_here(id, ticket, finish),
-            Frame::FinishSeen(ticket) => {
+            Frame::Desired(wanted) => self.want(wanted),
+            Frame::Claim(ask) => self.ask_here(ask),
+            Frame::ClaimReply { ticket, id, reply } => self.replied(from, ticket, id, reply),
+            Frame::Finished { id, ticket, outcome: finish } => self.finish_here(id, ticket, finish),
+            Frame::FinishAck(ticket) => {
                 self.unacked.remove(&ticket);
             }
             Frame::Slot(slot, message) => self.slot_message(from, slot, message),
         }
     }
 
-    fn pinged(&mut self, from: HostId, listed: vanetally_member::Listed, config: u64, tables: u64) {
+    fn pinged(
+        &mut self,
+        from: HostId,
+        listed: vanetally_member::ListedHost,
+        config: u64,
+        tables: u64,
+    ) {
         if listed.name != from.name {
             return;
         }
-        if let Some(ended) = self.members.heard(self.now, listed, from.incarnation) {
+        if let Some(ended) = self.members.record_ping(self.now, listed, from.incarnation) {
             self.log(format!("event=host-ended host={ended} by={from}"));
             self.host_ended(&ended);
         }
-        if self.members.current(&from.name).as_ref() != Some(&from) {
+        if self.members.current_process(&from.name).as_ref() != Some(&from) {
             return;
         }
         if config > self.keeper.current().number {
@@ -139,7 +147,7 @@
         let polled: Vec<Name> = self.probes.keys().cloned().collect();
         for runner in polled {
             if let Some(seen) = self.seen.get(&runner).cloned() {
-                self.send(&host.name, Frame::Seen { runner, seen });
+                self.send(&host.name, Frame::RunnerStatus { runner, status: seen });
             }
         }
     }
@@ -149,7 +157,11 @@
         self.ledgers_ended(ended);
     }
 
-    fn merge_tables(&mut self, slots: BTreeMap<u16, Head>, groups: BTreeMap<u16, Head>) {
+    fn merge_tables(
+        &mut self,
+        slots: BTreeMap<u16, EpochHolder>,
+        groups: BTreeMap<u16, EpochHolder>,
+    ) {
         for (slot, head) in slots {
             if slot < self.options.slots {
                 self.heard_slot(slot, head);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -16,6 +16,9 @@
 mod stewards;
 
 pub use config::service_entry;
-pub use event::{Action, Arrival, Event, Fenced, Key, Ordered, Polled, Refused, Stored, Why};
-pub use frame::{Frame, Head};
+pub use event::{
+    Action, Arrival, Event, FenceReply, Key, OrderReply, PollReply, RefusalReason, Refused,
+    StoredValue,
+};
+pub use frame::{EpochHolder, Frame};
 pub use machine::{Core, Options};
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -1,6 +1,6 @@
 //! The core's parts and the dispatch of events.
 
-use crate::{Action, Event, Frame, Head, Key, gossip::Spread, requests::Attempt};
+use crate::{Action, EpochHolder, Event, Frame, Key, gossip::Spread, requests::Attempt};
 use std::{
     collections::{BTreeMap, BTreeSet},
     sync::Arc,
@@ -8,9 +8,9 @@
 use vanetally_claim::{Id, Outcome, Slot, Ticket};
 use vanetally_config::{Keeper, Revision};
 use vanetally_ledger::Ledger;
-use vanetally_member::{Group, Listed, Members};
+use vanetally_member::{GroupLeadership, ListedHost, Members};
 use vanetally_plan::Planner;
-use vanetally_route::{Router, Seen};
+use vanetally_route::{Router, UpstreamStatus};
 use vanetally_types::{HostId, Name, Tick};
 
 /// What a core is told at its start.
@@ -19,21 +19,21 @@
     /// This process.
     pub me: HostId,
     /// How this host is listed.
-    pub listed: Listed,
+    pub listed: ListedHost,
     /// Slots of once-only ids; the same on all hosts.
     pub slots: u16,
     /// Groups of runners; the same on all hosts.
     pub groups: u16,
     /// Between two polls of a runner, in milliseconds.
-    pub poll: u64,
+    pub poll_ms: u64,
     /// Between two pings, in milliseconds.
-    pub ping: u64,
+    pub ping_ms: u64,
     /// A peer silent for this long is suspected, in milliseconds.
-    pub suspect: u64,
+    pub suspect_ms: u64,
     /// No deadline lies further ahead than this, in milliseconds.
-    pub horizon: u64,
+    pub horizon_ms: u64,
     /// Most requests waiting for a replica.
-    pub queue: usize,
+    pub max_queued: usize,
 }
 
 /// What is known of polling one runner.
@@ -43,7 +43,7 @@
     pub next: Tick,
     pub failures: u32,
     /// The last report sent to peers and when.
-    pub told: Option<(Seen, Tick)>,
+    pub told: Option<(UpstreamStatus, Tick)>,
 }
 
 /// All decisions of one entry host.
@@ -65,20 +65,20 @@
     pub(crate) config_asked: Tick,
     // Once-only requests.
     pub(crate) slots: Vec<Slot>,
-    pub(crate) slot_heads: BTreeMap<u16, Head>,
+    pub(crate) slot_heads: BTreeMap<u16, EpochHolder>,
     pub(crate) slot_reads: BTreeMap<u16, Tick>,
     pub(crate) slot_due: BTreeSet<u16>,
     pub(crate) attempts: BTreeMap<u64, Attempt>,
     pub(crate) unacked: BTreeMap<Ticket, (Id, Outcome, Tick, Tick)>,
     // Runners.
-    pub(crate) groups: Vec<Group>,
-    pub(crate) group_heads: BTreeMap<u16, Head>,
+    pub(crate) groups: Vec<GroupLeadership>,
+    pub(crate) group_heads: BTreeMap<u16, EpochHolder>,
     pub(crate) group_tries: BTreeMap<u16, Tick>,
     pub(crate) ledgers: BTreeMap<Name, Ledger>,
     pub(crate) versions: BTreeMap<Key, u64>,
     pub(crate) terms: BTreeMap<Name, u64>,
     pub(crate) probes: BTreeMap<Name, Probe>,
-    pub(crate) seen: BTreeMap<Name, Seen>,
+    pub(crate) seen: BTreeMap<Name, UpstreamStatus>,
     // Planning.
     pub(crate) planner: Planner,
     pub(crate) planning: Option<Tick>,
@@ -94,7 +94,7 @@
     /// A core at its start.
     pub fn new(now: Tick, options: Options) -> Self {
         let slot_options = vanetally_claim::Options {
-            retention_ms: options.horizon,
+            retention_ms: options.horizon_ms,
             write_interval_ms: SLOT_PACE,
             wait_limit_ms: SLOT_PATIENCE,
             max_ids: MOST_IDS,
@@ -103,13 +103,13 @@
         let me = options.me.clone();
         let router = vanetally_route::Options {
             domain: options.listed.domain.clone(),
-            queue: options.queue,
+            max_queued: options.max_queued,
         };
         Self {
             now,
             out: Vec::new(),
             keeper: Keeper::default(),
-            members: Members::new(me.clone(), options.suspect),
+            members: Members::new(me.clone(), options.suspect_ms),
             router: Router::new(router),
             started: now,
             last_tick: now,
@@ -126,7 +126,7 @@
             slot_due: BTreeSet::new(),
             attempts: BTreeMap::new(),
             unacked: BTreeMap::new(),
-            groups: (0..options.groups).map(|_| Group::new(me.clone())).collect(),
+            groups: (0..options.groups).map(|_| GroupLeadership::new(me.clone())).collect(),
             group_heads: BTreeMap::new(),
             group_tries: BTreeMap::new(),
             ledgers: BTreeMap::new(),
@@ -150,15 +150,19 @@
         self.now = now;
         match event {
             Event::Arrive(arrival) => self.arrive(arrival),
-            Event::Ended { id, end, sent, answer } => self.attempt_ended(id, end, sent, answer),
+            Event::Ended { id, end, response_started: sent, answer } => {
+                self.attempt_ended(id, end, sent, answer)
+            }
             Event::Config(revision, source) => self.offer(revision, source),
-            Event::Got(key, value) => self.got(key, value),
-            Event::Put(key, result) => self.put_done(key, result),
+            Event::KeyRead(key, value) => self.got(key, value),
+            Event::KeyWritten(key, result) => self.put_done(key, result),
             Event::Hosts(list) => {
                 self.listed = true;
-                self.members.listed(now, list);
+                self.members.update_list(now, list);
+            }
+            Event::Polled { runner, polled_at: asked, reply: polled } => {
+                self.polled(runner, asked, polled)
             }
-            Event::Polled { runner, asked, polled } => self.polled(runner, asked, polled),
             Event::Fenced(runner, epoch, fenced) => self.fenced(runner, epoch, fenced),
             Event::Ordered(runner, of, seq, ordered) => self.ordered(runner, of, seq, ordered),
             Event::Frame(from, frame) => self.frame(from, frame),
@@ -200,7 +204,7 @@
     /// Sends a frame to the host `to`, if its address is known.
     pub(crate) fn send(&mut self, to: &Name, frame: Frame) {
         let address =
-            self.members.peers().find(|p| p.listed.name == *to).map(|p| p.listed.peer.clone());
+            self.members.peers().find(|p| p.listed.name == *to).map(|p| p.listed.link_addr.clone());
         if let Some(address) = address {
             self.out.push(Action::Send(to.clone(), address, frame));
         }
@@ -216,13 +220,13 @@
 
     pub(crate) fn reachable_peers(&self) -> Vec<Name> {
         let spoke = |p: &&vanetally_member::Peer| {
-            let last = p.heard.unwrap_or(p.since);
-            self.now.since(last) < self.options.suspect
+            let last = p.last_seen.unwrap_or(p.known_since);
+            self.now.since(last) < self.options.suspect_ms
         };
         self.members.peers().filter(spoke).map(|p| p.listed.name.clone()).collect()
     }
 
-    fn got(&mut self, key: Key, value: Option<Option<crate::Stored>>) {
+    fn got(&mut self, key: Key, value: Option<Option<crate::StoredValue>>) {
         match key {
             Key::Config => {}
             Key::Slot(slot) => self.slot_read(slot, value),
@@ -231,7 +235,7 @@
         }
     }
 
-    fn put_done(&mut self, key: Key, result: Option<Result<u64, Option<crate::Stored>>>) {
+    fn put_done(&mut self, key: Key, result: Option<Result<u64, Option<crate::StoredValue>>>) {
         match key {
             Key::Config => {}
             Key::Slot(slot) => self.slot_written(slot, result),
@@ -242,7 +246,7 @@
 
     fn stop(&mut self) {
         self.stopping = true;
-        self.members.leave();
+        self.members.set_leaving();
         self.log("event=stopping".into());
         self.ping_all();
     }
@@ -268,8 +272,8 @@
     fn notice_pause(&mut self) {
         let gap = self.now.since(self.last_tick);
         self.last_tick = self.now;
-        if gap >= self.options.suspect / 2 {
-            self.members.resume(self.now);
+        if gap >= self.options.suspect_ms / 2 {
+            self.members.reset_timeouts(self.now);
             self.log(format!("event=resumed gap_ms={gap}"));
         }
     }
@@ -279,7 +283,7 @@
         let idle = self.requests() == (0, 0) && !self.has_fresh_finishes();
         let alone = self.reachable_peers().is_empty();
         let held = |s: &Slot| s.role() != vanetally_claim::Role::Other || s.is_handing_over();
-        let steward = |g: &Group| g.role() != vanetally_member::Role::Other;
+        let steward = |g: &GroupLeadership| g.role() != vanetally_member::Role::Other;
         idle && (alone || !(self.slots.iter().any(held) || self.groups.iter().any(steward)))
     }
 }
--- a/crates/core/src/planning.rs
+++ b/crates/core/src/planning.rs
@@ -3,10 +3,10 @@
 use crate::{Core, Frame};
 use std::collections::{BTreeMap, BTreeSet};
 use vanetally_config::{Catalog, catalog, catalog::is_leaving};
-use vanetally_ledger::{Want, Wanted};
+use vanetally_ledger::{DesiredEntries, DesiredEntry};
 use vanetally_member::group_of;
 use vanetally_plan::{Entry, Input, Runner, StoreLimits};
-use vanetally_route::{Phase, Seen};
+use vanetally_route::{Phase, UpstreamStatus};
 use vanetally_types::{Name, Tick, hash64, rendezvous};
 
 /// Between two plans, and between two reports of demand, in milliseconds.
@@ -19,7 +19,7 @@
 impl Core {
     /// The planner is the most preferred living host; two at once would cost moves only.
     fn planner_name(&self) -> Option<Name> {
-        let alive = self.members.alive(self.now);
+        let alive = self.members.eligible_hosts(self.now);
         rendezvous(hash64(b"planner"), &alive).cloned()
     }
 
@@ -49,12 +49,12 @@
     }
 
     fn report_demand(&mut self, planner: &Name, mine: bool) {
-        let arrived = self.router.take_arrived();
+        let arrived = self.router.take_arrivals();
         if arrived.is_empty() {
             return;
         }
         let arrived: BTreeMap<Name, (u32, u32)> =
-            arrived.into_iter().map(|(name, a)| (name, (a.count, a.work as u32))).collect();
+            arrived.into_iter().map(|(name, a)| (name, (a.count, a.slot_ms as u32))).collect();
         match mine {
             true => self.demand(arrived),
             false => self.send(planner, Frame::Demand(arrived)),
@@ -149,7 +149,7 @@
     }
 
     /// Whether a runner has been out of reach for long.
-    fn is_lost(&mut self, runner: &Name, seen: &Seen) -> bool {
+    fn is_lost(&mut self, runner: &Name, seen: &UpstreamStatus) -> bool {
         if seen.reachable {
             self.lost_since.remove(runner);
             return false;
@@ -159,18 +159,18 @@
     }
 
     fn tell_stewards(&mut self, catalog: &Catalog, input: &Input) {
-        let sizes: BTreeMap<Name, Want> = catalog
+        let sizes: BTreeMap<Name, DesiredEntry> = catalog
             .entries()
             .into_iter()
-            .map(|e| (e.id, Want { bytes: e.size, base: e.base }))
+            .map(|e| (e.id, DesiredEntry { bytes: e.size, base: e.base }))
             .collect();
-        let mut by_host: BTreeMap<Name, BTreeMap<Name, Wanted>> = BTreeMap::new();
+        let mut by_host: BTreeMap<Name, BTreeMap<Name, DesiredEntries>> = BTreeMap::new();
         for runner in input.runners.iter().filter(|r| r.usable) {
             let Some(placed) = self.planner.planned(&runner.name) else {
                 continue;
             };
             let pairs = placed.iter().filter_map(|e| Some((e.clone(), sizes.get(e)?.clone())));
-            let wanted: Wanted = pairs.collect();
+            let wanted: DesiredEntries = pairs.collect();
             let group = group_of(&runner.name, self.options.groups);
             let Some((_, holder)) = self.group_heads.get(&group) else {
                 continue;
@@ -186,7 +186,7 @@
     }
 
     /// Sends wanted entries when they changed, and now and then in case a frame was lost.
-    fn send_wanted(&mut self, host: Name, wanted: BTreeMap<Name, Wanted>) {
+    fn send_wanted(&mut self, host: Name, wanted: BTreeMap<Name, DesiredEntries>) {
         let text = serde_json::to_vec(&wanted).unwrap_or_default();
         let hash = hash64(&text);
         let told = self.told_wanted.get(&host).copied();
@@ -195,14 +195,14 @@
         });
         if again {
             self.told_wanted.insert(host.clone(), (hash, self.now));
-            self.send(&host, Frame::Want(wanted));
+            self.send(&host, Frame::Desired(wanted));
         }
     }
 }
 
 /// Memory that entries outside of the plan may take on a runner. What the plan itself waits for
 /// is counted as an entry already.
-fn stuck(seen: &Seen, placed: &BTreeSet<Name>) -> u64 {
+fn stuck(seen: &UpstreamStatus, placed: &BTreeSet<Name>) -> u64 {
     let waits = placed.iter().any(|name| !seen.entries.contains_key(name));
     if waits { 0 } else { seen.reserved }
 }
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -1,9 +1,9 @@
 //! Requests of callers at this entry host.
 
-use crate::{Action, Arrival, Core, Frame, Refused, Why};
+use crate::{Action, Arrival, Core, Frame, RefusalReason, Refused};
 use std::sync::Arc;
 use vanetally_claim::{Answer, ClaimRequest, Id, Outcome, Reply, Ticket, slot_of};
-use vanetally_route::{Action as Do, End, Event as Route, Reason, Refusal, Request};
+use vanetally_route::{Action as Do, AttemptEnd, Event as Route, Reason, Refusal, Request};
 use vanetally_types::{HostId, Tick, Verdict};
 
 /// A once-only request at this entry host.
@@ -30,7 +30,7 @@
 
 impl Core {
     pub(crate) fn arrive(&mut self, arrival: Arrival) {
-        let Some(id) = arrival.once else {
+        let Some(id) = arrival.claim_id else {
             return self.route(arrival.request);
         };
         let number = arrival.request.id;
@@ -66,18 +66,24 @@
             };
             self.finish(attempt.id, id, finish);
         }
-        let why = match refusal.reason {
-            Reason::Late => Why::DeadlineUnmeetable,
-            Reason::Full => Why::Overloaded,
-            Reason::Nowhere => Why::NoUpstream,
-            Reason::Failed => Why::UpstreamFailed,
+        let reason = match refusal.reason {
+            Reason::DeadlineUnmeetable => RefusalReason::DeadlineUnmeetable,
+            Reason::QueueFull => RefusalReason::Overloaded,
+            Reason::NoUpstream => RefusalReason::NoUpstream,
+            Reason::UpstreamFailed => RefusalReason::UpstreamFailed,
         };
-        let retry = (refusal.verdict == Verdict::NotRun).then_some(refusal.retry_after);
-        self.refuse(id, why, refusal.verdict, retry);
+        let retry = (refusal.verdict == Verdict::NotRun).then_some(refusal.retry_after_ms);
+        self.refuse(id, reason, refusal.verdict, retry);
     }
 
-    fn refuse(&mut self, id: u64, why: Why, verdict: Verdict, retry_after: Option<u64>) {
-        self.out.push(Action::Refuse(id, Refused { why, verdict, retry_after }));
+    fn refuse(
+        &mut self,
+        id: u64,
+        reason: RefusalReason,
+        verdict: Verdict,
+        retry_after_ms: Option<u64>,
+    ) {
+        self.out.push(Action::Refuse(id, Refused { reason, verdict, retry_after_ms }));
     }
 
     fn ticket(&self, number: u64) -> Ticket {
@@ -101,7 +107,7 @@
             // Waiting for a successor would hold the answer back; the caller may come again.
             Some(holder) if !serves(&holder) => self.give_up(number),
             Some(holder) if holder != self.options.me => {
-                self.send(&holder.name, Frame::Ask(ask));
+                self.send(&holder.name, Frame::Claim(ask));
             }
             Some(_) => self.ask_here(ask),
             None => {}
@@ -116,7 +122,7 @@
         };
         self.finish(attempt.id, number, Outcome::NotRun);
         // Another attempt with this id may have run elsewhere.
-        self.refuse(number, Why::IdUndecided, Verdict::MayHaveRun, Some(UNDECIDED));
+        self.refuse(number, RefusalReason::IdUndecided, Verdict::MayHaveRun, Some(UNDECIDED));
     }
 
     pub(crate) fn replied(&mut self, from: HostId, ticket: Ticket, id: Id, reply: Reply) {
@@ -143,27 +149,35 @@
                 self.attempts.remove(&number);
                 self.out.push(Action::Replay(number, answer));
             }
-            Reply::AlreadyRan => self.decline(number, Why::AlreadyRan, Verdict::Ran, None),
+            Reply::AlreadyRan => {
+                self.decline(number, RefusalReason::AlreadyRan, Verdict::Ran, None)
+            }
             Reply::MayHaveRun => {
-                self.decline(number, Why::IdUncertain, Verdict::MayHaveRun, None);
+                self.decline(number, RefusalReason::IdUncertain, Verdict::MayHaveRun, None);
             }
             Reply::RetryAfter(millis) => {
-                self.decline(number, Why::IdUndecided, Verdict::MayHaveRun, Some(millis));
+                self.decline(number, RefusalReason::IdUndecided, Verdict::MayHaveRun, Some(millis));
             }
             Reply::NotHolder(Some(holder)) if holder != from => self.ask(number, Some(holder)),
             Reply::NotHolder(_) => {}
         }
     }
 
-    fn decline(&mut self, number: u64, why: Why, verdict: Verdict, retry_after: Option<u64>) {
+    fn decline(
+        &mut self,
+        number: u64,
+        reason: RefusalReason,
+        verdict: Verdict,
+        retry_after_ms: Option<u64>,
+    ) {
         self.attempts.remove(&number);
-        self.refuse(number, why, verdict, retry_after);
+        self.refuse(number, reason, verdict, retry_after_ms);
     }
 
     /// Tells the slot's holder how an attempt ended, until it has heard.
     fn finish(&mut self, id: Id, number: u64, finish: Outcome) {
         let ticket = self.ticket(number);
-        let until = self.now + self.options.horizon;
+        let until = self.now + self.options.horizon_ms;
         self.unacked.insert(ticket.clone(), (id, finish, self.now, until));
         self.tell_finish(&ticket);
     }
@@ -180,7 +194,7 @@
         };
         if holder != self.options.me {
             let ticket = ticket.clone();
-            return self.send(&holder.name, Frame::Finished { id, ticket, finish });
+            return self.send(&holder.name, Frame::Finished { id, ticket, outcome: finish });
         }
         let event =
             vanetally_claim::Event::Finished { id, ticket: ticket.clone(), outcome: finish };
@@ -191,13 +205,14 @@
     pub(crate) fn attempt_ended(
         &mut self,
         id: u64,
-        end: End,
+        end: AttemptEnd,
         sent: bool,
         answer: Option<Arc<Answer>>,
     ) {
         let granted = self.attempts.get(&id).is_some_and(|a| a.granted);
-        let over = matches!(end, End::Done | End::Gone) || sent;
-        let actions = self.router.handle(self.now, Route::Ended { id, end, sent });
+        let over = matches!(end, AttemptEnd::Completed | AttemptEnd::CallerGone) || sent;
+        let actions =
+            self.router.handle(self.now, Route::Ended { id, end, response_started: sent });
         self.route_actions(actions);
         if !over {
             return;
@@ -206,7 +221,7 @@
             return;
         };
         let finish = match (granted, end) {
-            (true, End::Done) => Outcome::Ran(answer),
+            (true, AttemptEnd::Completed) => Outcome::Ran(answer),
             (true, _) => Outcome::Unknown,
             (false, _) => Outcome::NotRun,
         };
@@ -245,7 +260,7 @@
     /// Whether an attempt's end is unconfirmed and worth delaying a planned stop for.
     pub(crate) fn has_fresh_finishes(&self) -> bool {
         let mut ends = self.unacked.values();
-        ends.any(|(_, _, _, until)| self.now.since(*until - self.options.horizon) < STOP_TELLS)
+        ends.any(|(_, _, _, until)| self.now.since(*until - self.options.horizon_ms) < STOP_TELLS)
     }
 
     fn tell_finishes(&mut self) {
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,6 +1,6 @@
 //! Upkeep of the slots of once-only ids: who holds which, takeover, hand-over.
 
-use crate::{Core, Frame, Head, Key, Stored};
+use crate::{Core, EpochHolder, Frame, Key, StoredValue};
 use vanetally_claim::{
     Action as Do, ClaimRequest, Event as Happens, Id, Message, Outcome, Record, Role, Ticket,
     slot_of,
@@ -47,24 +47,24 @@
                     return self.replied(me, ticket, id, reply);
                 }
                 let to = ticket.entry.name.clone();
-                self.send(&to, Frame::Reply { ticket, id, reply });
+                self.send(&to, Frame::ClaimReply { ticket, id, reply });
             }
             Do::Send { to, message } => self.send(&to.name, Frame::Slot(number, message)),
             Do::Forward { to, id, ticket, outcome: finish } => {
-                self.send(&to.name, Frame::Finished { id, ticket, finish });
+                self.send(&to.name, Frame::Finished { id, ticket, outcome: finish });
             }
         }
     }
 
     /// The highest epoch of a slot that this host knows, with its holder.
-    fn note_slot(&mut self, number: u16, head: Head) {
+    fn note_slot(&mut self, number: u16, head: EpochHolder) {
         if self.slot_heads.get(&number).is_none_or(|known| known.0 < head.0) {
             self.slot_heads.insert(number, head);
             self.tables_changed();
         }
     }
 
-    pub(crate) fn heard_slot(&mut self, number: u16, head: Head) {
+    pub(crate) fn heard_slot(&mut self, number: u16, head: EpochHolder) {
         let (epoch, holder) = head.clone();
         self.note_slot(number, head);
         self.slot_event(number, Happens::EpochAnnounced { epoch, holder });
@@ -90,12 +90,12 @@
         let number = slot_of(id, self.options.slots);
         let held = self.slots[usize::from(number)].role() == Role::Holder;
         if held {
-            self.send(&ticket.entry.name.clone(), Frame::FinishSeen(ticket.clone()));
+            self.send(&ticket.entry.name.clone(), Frame::FinishAck(ticket.clone()));
         }
         self.slot_event(number, Happens::Finished { id, ticket, outcome: finish });
     }
 
-    pub(crate) fn slot_read(&mut self, number: u16, value: Option<Option<Stored>>) {
+    pub(crate) fn slot_read(&mut self, number: u16, value: Option<Option<StoredValue>>) {
         let Some(value) = value else { return };
         let stored = value.and_then(parse);
         let absent = stored.is_none();
@@ -109,7 +109,7 @@
     pub(crate) fn slot_written(
         &mut self,
         number: u16,
-        result: Option<Result<u64, Option<Stored>>>,
+        result: Option<Result<u64, Option<StoredValue>>>,
     ) {
         let event = match result {
             None => Happens::WriteUnconfirmed,
@@ -121,7 +121,7 @@
 
     /// The living hosts for a slot, most preferred first.
     fn ranked(&self, number: u16) -> Vec<Name> {
-        let alive = self.members.alive(self.now);
+        let alive = self.members.eligible_hosts(self.now);
         let key = hash64(format!("slot/{number}").as_bytes());
         rendezvous_rank(key, &alive).into_iter().cloned().collect()
     }
@@ -130,7 +130,7 @@
     fn next_for(&self, number: u16) -> Option<HostId> {
         let ranked = self.ranked(number);
         let others = ranked.iter().filter(|n| **n != self.options.me.name);
-        others.filter_map(|n| self.members.current(n)).next()
+        others.filter_map(|n| self.members.current_process(n)).next()
     }
 
     /// Whether this host should take the slot now: its holder does not serve, and this host is
@@ -146,7 +146,7 @@
         }
         let record = slot.record();
         let deputy = record.and_then(|r| r.backup.as_ref());
-        match deputy.filter(|d| self.members.is_current(self.now, d)) {
+        match deputy.filter(|d| self.members.is_process_eligible(self.now, d)) {
             Some(deputy) => *deputy == self.options.me,
             None => self.ranked(number).first() == Some(&self.options.me.name),
         }
@@ -194,13 +194,13 @@
             if let Some(to) = heir {
                 let ranked = self.ranked(number);
                 let second = ranked.iter().filter(|n| **n != to.name);
-                let deputy = second.filter_map(|n| self.members.current(n)).next();
+                let deputy = second.filter_map(|n| self.members.current_process(n)).next();
                 self.slot_event(number, Happens::Release { to, backup: deputy });
             }
             return;
         }
         let deputy = slot.record().and_then(|r| r.backup.clone());
-        let sound = deputy.as_ref().is_some_and(|d| self.members.is_current(self.now, d));
+        let sound = deputy.as_ref().is_some_and(|d| self.members.is_process_eligible(self.now, d));
         if !sound && heir.is_some() {
             self.slot_event(number, Happens::SetBackup(heir));
         }
@@ -232,7 +232,7 @@
     }
 }
 
-fn parse(stored: Stored) -> Option<vanetally_claim::VersionedRecord> {
+fn parse(stored: StoredValue) -> Option<vanetally_claim::VersionedRecord> {
     let record: Record = serde_json::from_slice(&stored.bytes).ok()?;
     Some(vanetally_claim::VersionedRecord { version: stored.version, record })
 }
--- a/crates/core/src/stewards.rs
+++ b/crates/core/src/stewards.rs
@@ -1,15 +1,19 @@
 //! Stewardship of runners: polls, fences, orders, and what is told of them.
 
-use crate::{Action, Core, Fenced, Frame, Head, Key, Ordered, Polled, Stored, machine::Probe};
+use crate::{
+    Action, Core, EpochHolder, FenceReply, Frame, Key, OrderReply, PollReply, StoredValue,
+    machine::Probe,
+};
 use std::collections::BTreeMap;
 use vanetally_config::Catalog;
 use vanetally_ledger::{
-    Action as Do, Epoch, Event as Happens, Guards, Ledger, Phase, Record, Spec, Wanted,
+    Action as Do, DesiredEntries, Epoch, Event as Happens, Guards, Ledger, Phase, Record,
+    RunnerSpec,
 };
 use vanetally_member::{
     Action as GroupDo, Event as GroupHappens, Record as GroupRecord, Role, group_of,
 };
-use vanetally_route::{Event as Route, Phase as RoutePhase, Seen};
+use vanetally_route::{Event as Route, Phase as RoutePhase, UpstreamStatus};
 use vanetally_types::{HostId, Name, Tick, hash64, rendezvous};
 
 /// Polls without an answer after which a runner counts as unreachable.
@@ -23,13 +27,13 @@
 
 impl Core {
     pub(crate) fn declare_runners(&mut self, catalog: &Catalog) {
-        let mut specs: BTreeMap<Name, Spec> = BTreeMap::new();
+        let mut specs: BTreeMap<Name, RunnerSpec> = BTreeMap::new();
         for runner in &catalog.runners {
-            let spec = Spec {
+            let spec = RunnerSpec {
                 capacity: runner.capacity.0,
                 fenced: runner.fenced,
-                order_life: runner.order_life.map(|m| m.0),
-                drain: DRAIN_POLLS * self.options.poll,
+                order_ttl_ms: runner.order_life.map(|m| m.0),
+                drain_ms: DRAIN_POLLS * self.options.poll_ms,
             };
             specs.insert(runner.name.clone(), spec);
         }
@@ -43,7 +47,7 @@
             self.ledgers.entry(name.clone()).or_insert_with(new).set_spec(spec.clone());
             let group = group_of(&name, self.options.groups);
             if fresh && self.groups[usize::from(group)].role() == Role::Holder {
-                let term = self.groups[usize::from(group)].head().0;
+                let term = self.groups[usize::from(group)].known_leader().0;
                 self.take_runner(&name, term);
             }
         }
@@ -66,7 +70,7 @@
             return;
         };
         let actions = group.handle(event);
-        let (term, holder) = group.head();
+        let (term, holder) = group.known_leader();
         if let Some(holder) = holder.cloned() {
             self.note_group(number, (term, holder));
         }
@@ -74,23 +78,23 @@
             match action {
                 GroupDo::Read => self.get(Key::Group(number)),
                 GroupDo::Write { base, record } => self.put(Key::Group(number), base, &record),
-                GroupDo::Took(term) => self.took_group(number, term),
-                GroupDo::Dropped => self.dropped_group(number),
+                GroupDo::LeadershipAcquired(term) => self.took_group(number, term),
+                GroupDo::LeadershipLost => self.dropped_group(number),
             }
         }
     }
 
-    fn note_group(&mut self, number: u16, head: Head) {
+    fn note_group(&mut self, number: u16, head: EpochHolder) {
         if self.group_heads.get(&number).is_none_or(|known| known.0 < head.0) {
             self.group_heads.insert(number, head);
             self.tables_changed();
         }
     }
 
-    pub(crate) fn heard_group(&mut self, number: u16, head: Head) {
+    pub(crate) fn heard_group(&mut self, number: u16, head: EpochHolder) {
         let (term, holder) = head.clone();
         self.note_group(number, head);
-        self.group_event(number, GroupHappens::Heard { term, holder: Some(holder) });
+        self.group_event(number, GroupHappens::TermAnnounced { term, holder: Some(holder) });
     }
 
     fn took_group(&mut self, number: u16, term: u64) {
@@ -104,7 +108,7 @@
         let runners = &self.keeper.current().catalog.runners;
         let fenced = runners.iter().find(|r| r.name == *runner).is_some_and(|r| r.fenced);
         if fenced {
-            return self.ledger_event(runner, Happens::Took { term, record: None });
+            return self.ledger_event(runner, Happens::LeadershipAcquired { term, record: None });
         }
         self.terms.insert(runner.clone(), term);
         self.get(Key::Runner(runner.clone()));
@@ -114,13 +118,13 @@
         self.log(format!("event=steward-dropped group={number}"));
         for runner in self.runners_of(number) {
             self.terms.remove(&runner);
-            self.ledger_event(&runner, Happens::Dropped);
+            self.ledger_event(&runner, Happens::LeadershipLost);
         }
     }
 
-    pub(crate) fn group_read(&mut self, number: u16, value: Option<Option<Stored>>) {
+    pub(crate) fn group_read(&mut self, number: u16, value: Option<Option<StoredValue>>) {
         let event = match value {
-            None => GroupHappens::WriteLost,
+            None => GroupHappens::WriteUnconfirmed,
             Some(stored) => GroupHappens::Read(stored.and_then(parse_group)),
         };
         self.group_event(number, event);
@@ -129,19 +133,19 @@
     pub(crate) fn group_written(
         &mut self,
         number: u16,
-        result: Option<Result<u64, Option<Stored>>>,
+        result: Option<Result<u64, Option<StoredValue>>>,
     ) {
         let event = match result {
-            None => GroupHappens::WriteLost,
-            Some(Ok(version)) => GroupHappens::Wrote { version },
-            Some(Err(stored)) => GroupHappens::WriteRefused(stored.and_then(parse_group)),
+            None => GroupHappens::WriteUnconfirmed,
+            Some(Ok(version)) => GroupHappens::Written { version },
+            Some(Err(stored)) => GroupHappens::WriteConflict(stored.and_then(parse_group)),
         };
         self.group_event(number, event);
     }
 
     /// The host that should be steward of a group when nobody is.
     fn preferred(&self, group: u16) -> Option<Name> {
-        let alive = self.members.alive(self.now);
+        let alive = self.members.eligible_hosts(self.now);
         rendezvous(hash64(format!("group/{group}").as_bytes()), &alive).cloned()
     }
 
@@ -157,7 +161,7 @@
     fn tick_group(&mut self, number: u16) {
         let me = self.options.me.name.clone();
         let holder = self.group_heads.get(&number).map(|h| h.1.clone());
-        let serves = holder.as_ref().is_some_and(|h| self.members.is_current(self.now, h));
+        let serves = holder.as_ref().is_some_and(|h| self.members.is_process_eligible(self.now, h));
         let mine = holder.as_ref() == Some(&self.options.me);
         let poller = match serves {
             true => holder.map(|h| h.name),
@@ -190,12 +194,12 @@
         let probe = self.probes.entry(runner.clone()).or_default();
         if !probe.busy && self.now >= probe.next {
             probe.busy = true;
-            probe.next = self.now + self.options.poll;
+            probe.next = self.now + self.options.poll_ms;
             self.out.push(Action::Poll(runner.clone(), url));
         }
     }
 
-    pub(crate) fn polled(&mut self, runner: Name, asked: Tick, polled: Option<Polled>) {
+    pub(crate) fn polled(&mut self, runner: Name, asked: Tick, polled: Option<PollReply>) {
         let Some(probe) = self.probes.get_mut(&runner) else {
             return;
         };
@@ -203,21 +207,21 @@
         let Some(polled) = polled else {
             probe.failures += 1;
             if probe.failures >= MOST_SILENT {
-                self.tell(&runner, Seen::default());
+                self.tell(&runner, UpstreamStatus::default());
             }
             return;
         };
         probe.failures = 0;
         let (running, leaving) = (polled.running, polled.leaving);
-        self.ledger_event(&runner, Happens::Reported { asked, report: polled.report });
+        self.ledger_event(&runner, Happens::Reported { polled_at: asked, report: polled.report });
         let seen = self.seen_from_ledger(&runner, running, leaving);
         self.tell(&runner, seen);
     }
 
     /// What routers need to know of a runner.
-    fn seen_from_ledger(&self, runner: &Name, running: u32, leaving: bool) -> Seen {
+    fn seen_from_ledger(&self, runner: &Name, running: u32, leaving: bool) -> UpstreamStatus {
         let Some(ledger) = self.ledgers.get(runner) else {
-            return Seen::default();
+            return UpstreamStatus::default();
         };
         let mut entries = BTreeMap::new();
         for (name, held) in ledger.report().iter().flat_map(|r| &r.entries) {
@@ -233,11 +237,17 @@
                 entries.insert(name.clone(), RoutePhase::Closing);
             }
         }
-        Seen { entries, running, leaving, reachable: true, reserved: ledger.reserved() }
+        UpstreamStatus {
+            entries,
+            running,
+            leaving,
+            reachable: true,
+            reserved: ledger.reserved_bytes(),
+        }
     }
 
     /// Tells the own router and, when it matters, the peers.
-    fn tell(&mut self, runner: &Name, seen: Seen) {
+    fn tell(&mut self, runner: &Name, seen: UpstreamStatus) {
         let probe: &mut Probe = self.probes.entry(runner.clone()).or_default();
         let news = probe
             .told
@@ -245,17 +255,18 @@
             .is_none_or(|(old, at)| differs(old, &seen) || self.now.since(*at) >= TELL_AGAIN);
         if news {
             probe.told = Some((seen.clone(), self.now));
-            self.broadcast(&Frame::Seen { runner: runner.clone(), seen: seen.clone() });
+            self.broadcast(&Frame::RunnerStatus { runner: runner.clone(), status: seen.clone() });
         }
         self.saw(runner.clone(), seen);
     }
 
-    pub(crate) fn saw(&mut self, runner: Name, seen: Seen) {
+    pub(crate) fn saw(&mut self, runner: Name, seen: UpstreamStatus) {
         if !self.ledgers.contains_key(&runner) {
             return;
         }
         self.seen.insert(runner.clone(), seen.clone());
-        let actions = self.router.handle(self.now, Route::Seen { upstream: runner, seen });
+        let actions =
+            self.router.handle(self.now, Route::Status { upstream: runner, status: seen });
         self.route_actions(actions);
     }
 
@@ -289,15 +300,15 @@
                 ));
                 self.out.push(Action::Order(runner.clone(), url, order));
             }
-            Do::NeedTerm(term) => {
+            Do::RaiseTerm(term) => {
                 let group = group_of(runner, self.options.groups);
-                self.group_event(group, GroupHappens::Heard { term, holder: None });
+                self.group_event(group, GroupHappens::TermAnnounced { term, holder: None });
             }
-            Do::GiveUp => self.log(format!("event=steward-outranked runner={runner}")),
+            Do::StepDown => self.log(format!("event=steward-outranked runner={runner}")),
         }
     }
 
-    pub(crate) fn runner_read(&mut self, runner: Name, value: Option<Option<Stored>>) {
+    pub(crate) fn runner_read(&mut self, runner: Name, value: Option<Option<StoredValue>>) {
         let Some(term) = self.terms.get(&runner).copied() else {
             return;
         };
@@ -309,7 +320,7 @@
         let version = value.as_ref().map_or(0, |s| s.version);
         self.versions.insert(Key::Runner(runner.clone()), version);
         let record = value.and_then(parse_runner);
-        self.ledger_event(&runner, Happens::Took { term, record });
+        self.ledger_event(&runner, Happens::LeadershipAcquired { term, record });
         self.note_ended(&runner);
     }
 
@@ -328,12 +339,12 @@
     pub(crate) fn runner_written(
         &mut self,
         runner: Name,
-        result: Option<Result<u64, Option<Stored>>>,
+        result: Option<Result<u64, Option<StoredValue>>>,
     ) {
         let key = Key::Runner(runner.clone());
-        let writing = self.ledgers.get(&runner).and_then(|l| l.writing());
+        let writing = self.ledgers.get(&runner).and_then(|l| l.pending_write());
         match result {
-            None => self.ledger_event(&runner, Happens::WriteLost),
+            None => self.ledger_event(&runner, Happens::WriteUnconfirmed),
             Some(Ok(version)) => {
                 self.versions.insert(key, version);
                 if let Some(seq) = writing {
@@ -343,37 +354,37 @@
             Some(Err(stored)) => {
                 self.versions.insert(key, stored.as_ref().map_or(0, |s| s.version));
                 let record = stored.and_then(parse_runner);
-                self.ledger_event(&runner, Happens::WriteRefused(record));
+                self.ledger_event(&runner, Happens::WriteConflict(record));
             }
         }
     }
 
-    pub(crate) fn fenced(&mut self, runner: Name, epoch: Epoch, fenced: Fenced) {
+    pub(crate) fn fenced(&mut self, runner: Name, epoch: Epoch, fenced: FenceReply) {
         let event = match fenced {
-            Fenced::Accepted(report) => Happens::Fenced { epoch, report },
-            Fenced::Outranked(higher) => Happens::Outranked { of: epoch, epoch: higher },
-            Fenced::Lost => Happens::FenceLost { epoch },
+            FenceReply::Accepted(report) => Happens::Fenced { epoch, report },
+            FenceReply::StaleEpoch(higher) => Happens::StaleEpoch { sent: epoch, current: higher },
+            FenceReply::Unanswered => Happens::FenceUnanswered { epoch },
         };
         self.ledger_event(&runner, event);
     }
 
-    pub(crate) fn ordered(&mut self, runner: Name, of: Epoch, seq: u64, ordered: Ordered) {
+    pub(crate) fn ordered(&mut self, runner: Name, of: Epoch, seq: u64, ordered: OrderReply) {
         let event = match ordered {
-            Ordered::Answered(result, report) => Happens::Answered { seq, result, report },
-            Ordered::Outranked(epoch) => Happens::Outranked { of, epoch },
-            Ordered::Lost => {
+            OrderReply::Answered(result, report) => Happens::Answered { seq, result, report },
+            OrderReply::StaleEpoch(epoch) => Happens::StaleEpoch { sent: of, current: epoch },
+            OrderReply::Unanswered => {
                 self.log(format!("event=order-lost runner={runner} seq={seq}"));
-                Happens::OrderLost { seq }
+                Happens::OrderUnanswered { seq }
             }
         };
         self.ledger_event(&runner, event);
     }
 
-    pub(crate) fn want(&mut self, wanted: BTreeMap<Name, Wanted>) {
+    pub(crate) fn want(&mut self, wanted: BTreeMap<Name, DesiredEntries>) {
         for (runner, wanted) in wanted {
-            let known = self.ledgers.get(&runner).and_then(|l| l.wanted());
+            let known = self.ledgers.get(&runner).and_then(|l| l.desired());
             if known != Some(&wanted) {
-                self.ledger_event(&runner, Happens::Want(wanted));
+                self.ledger_event(&runner, Happens::Desired(wanted));
             }
         }
     }
@@ -387,18 +398,18 @@
 }
 
 /// Whether a report says something that routers should hear at once.
-fn differs(old: &Seen, new: &Seen) -> bool {
+fn differs(old: &UpstreamStatus, new: &UpstreamStatus) -> bool {
     let moved = old.running.abs_diff(new.running) > old.running / 4 + 1;
     let other =
         (old.leaving, old.reachable, old.reserved) != (new.leaving, new.reachable, new.reserved);
     moved || other || old.entries != new.entries
 }
 
-fn parse_group(stored: Stored) -> Option<vanetally_member::Stored> {
+fn parse_group(stored: StoredValue) -> Option<vanetally_member::VersionedRecord> {
     let record: GroupRecord = serde_json::from_slice(&stored.bytes).ok()?;
-    Some(vanetally_member::Stored { version: stored.version, record })
+    Some(vanetally_member::VersionedRecord { version: stored.version, record })
 }
 
-fn parse_runner(stored: Stored) -> Option<Record> {
+fn parse_runner(stored: StoredValue) -> Option<Record> {
     serde_json::from_slice(&stored.bytes).ok()
 }
--- a/crates/core/tests/decoders.rs
+++ b/crates/core/tests/decoders.rs
@@ -6,7 +6,7 @@
 use vanetally_core::Frame;
 use vanetally_ledger::{Order, Record as RunnerRecord, Report};
 use vanetally_link::peer::decode;
-use vanetally_member::Listed;
+use vanetally_member::ListedHost;
 use vanetally_types::{HostId, Selector};
 
 fn encode(frame: &Frame) -> Vec<u8> {
@@ -16,16 +16,20 @@
 }
 
 fn frames() -> Vec<Frame> {
-    let listed =
-        Listed { name: "a".into(), peer: "10.0.0.1:1".into(), domain: "d".into(), leaving: false };
+    let listed = ListedHost {
+        name: "a".into(),
+        link_addr: "10.0.0.1:1".into(),
+        domain: "d".into(),
+        leaving: false,
+    };
     let ticket = Ticket { entry: HostId::new("a", 7), number: 9 };
     vec![
         Frame::Ping { listed, config: 3, tables: 4 },
         Frame::PullConfig,
         Frame::Config(Default::default()),
         Frame::Demand([("m".into(), (1, 2))].into()),
-        Frame::Ask(ClaimRequest { id: Id(u128::MAX), deadline: 5, ticket: ticket.clone() }),
-        Frame::FinishSeen(ticket),
+        Frame::Claim(ClaimRequest { id: Id(u128::MAX), deadline: 5, ticket: ticket.clone() }),
+        Frame::FinishAck(ticket),
     ]
 }
 
--- a/crates/core/tests/pauses.rs
+++ b/crates/core/tests/pauses.rs
@@ -1,15 +1,15 @@
 //! A host that was paused does not take its own silence for that of others.
 
 use vanetally_core::{Action, Core, Event, Frame, Key, Options};
-use vanetally_member::Listed;
+use vanetally_member::ListedHost;
 use vanetally_types::{HostId, Tick};
 
 const START: Tick = Tick(1_000_000);
 const SUSPECT: u64 = 3_000;
 
-fn listed(name: &str) -> Listed {
+fn listed(name: &str) -> ListedHost {
     let peer = "10.0.0.1:1".into();
-    Listed { name: name.into(), peer, domain: "a".into(), leaving: false }
+    ListedHost { name: name.into(), link_addr: peer, domain: "a".into(), leaving: false }
 }
 
 fn ping(core: &mut Core, now: Tick) {
@@ -24,11 +24,11 @@
         listed: listed("a"),
         slots: 4,
         groups: 1,
-        poll: 500,
-        ping: 500,
-        suspect: SUSPECT,
-        horizon: 600_000,
-        queue: 10,
+        poll_ms: 500,
+        ping_ms: 500,
+        suspect_ms: SUSPECT,
+        horizon_ms: 600_000,
+        max_queued: 10,
     };
     let mut core = Core::new(START, options);
     core.handle(START, Event::Hosts(vec![listed("a"), listed("b")]));
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -28,7 +28,7 @@
     peer::{self, Links},
     platform::{HttpPlatform, Platform},
 };
-use vanetally_member::Listed;
+use vanetally_member::ListedHost;
 
 /// A running daemon.
 pub struct Daemon {
@@ -163,19 +163,19 @@
     let timing = &settings.timing;
     Options {
         me: board.me.clone(),
-        listed: Listed {
+        listed: ListedHost {
             name: settings.host.clone(),
-            peer: settings.peer.to_string().into(),
+            link_addr: settings.peer.to_string().into(),
             domain: settings.domain.clone(),
             leaving: false,
         },
         slots: SLOTS,
         groups: GROUPS,
-        poll: timing.poll.0,
-        ping: timing.ping.0,
-        suspect: timing.suspect.0,
-        horizon: timing.horizon.0,
-        queue: settings.limits.queue,
+        poll_ms: timing.poll.0,
+        ping_ms: timing.ping.0,
+        suspect_ms: timing.suspect.0,
+        horizon_ms: timing.horizon.0,
+        max_queued: settings.limits.queue,
     }
 }
 
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -13,7 +13,7 @@
     thread,
     time::Duration,
 };
-use vanetally_core::{Event, Fenced, Ordered, Polled};
+use vanetally_core::{Event, FenceReply, OrderReply, PollReply};
 use vanetally_ledger::{Epoch, Order, Refusal, Report};
 use vanetally_link::call::{Call, Caller};
 use vanetally_types::Name;
@@ -134,20 +134,20 @@
     fn poll(&self) -> Event {
         let asked = self.board.clock.now();
         let state = self.ask("GET", "/engine/state", Vec::new());
-        let polled = state.ok().filter(|(status, _)| *status == 200).map(|(_, s)| Polled {
+        let polled = state.ok().filter(|(status, _)| *status == 200).map(|(_, s)| PollReply {
             report: s.report,
             running: s.running + s.queued,
             leaving: s.leaving,
         });
-        Event::Polled { runner: self.runner.clone(), asked, polled }
+        Event::Polled { runner: self.runner.clone(), polled_at: asked, reply: polled }
     }
 
     fn fence(&self, epoch: Epoch) -> Event {
         let body = json!({"epoch": epoch}).to_string().into_bytes();
         let fenced = match self.ask("POST", "/engine/fence", body) {
-            Ok((200, state)) => Fenced::Accepted(state.report),
-            Ok((409, state)) => Fenced::Outranked(Epoch(state.report.epoch)),
-            _ => Fenced::Lost,
+            Ok((200, state)) => FenceReply::Accepted(state.report),
+            Ok((409, state)) => FenceReply::StaleEpoch(Epoch(state.report.epoch)),
+            _ => FenceReply::Unanswered,
         };
         Event::Fenced(self.runner.clone(), epoch, fenced)
     }
@@ -155,12 +155,12 @@
     fn order(&self, order: &Order) -> Event {
         let body = serde_json::to_vec(order).unwrap_or_default();
         let ordered = match self.ask("POST", "/engine/order", body) {
-            Ok((200 | 202, state)) => Ordered::Answered(Ok(()), state.report),
+            Ok((200 | 202, state)) => OrderReply::Answered(Ok(()), state.report),
             Ok((409, state)) => match state.refusal {
-                Some(Refusal::Stale) | None => Ordered::Outranked(Epoch(state.report.epoch)),
-                Some(refusal) => Ordered::Answered(Err(refusal), state.report),
+                Some(Refusal::Stale) | None => OrderReply::StaleEpoch(Epoch(state.report.epoch)),
+                Some(refusal) => OrderReply::Answered(Err(refusal), state.report),
             },
-            _ => Ordered::Lost,
+            _ => OrderReply::Unanswered,
         };
         Event::Ordered(self.runner.clone(), order.epoch, order.seq, ordered)
     }
--- a/crates/daemon/src/front.rs
+++ b/crates/daemon/src/front.rs
@@ -24,7 +24,7 @@
     call::Caller,
     http::{BodyError, Exchange, Reply},
 };
-use vanetally_route::{End, Request};
+use vanetally_route::{AttemptEnd, Request};
 use vanetally_types::{Name, Tick, Verdict, hash64};
 
 /// What an upstream is sent for a request.
@@ -187,7 +187,7 @@
             entries,
             rank,
             deadline,
-            once: once.is_some(),
+            once_only: once.is_some(),
             prefix,
         };
         let job = Job {
@@ -203,7 +203,7 @@
             fingerprint,
             closing: self.closing(),
         };
-        Ok(Admitted { job, arrival: Arrival { request, once }, class })
+        Ok(Admitted { job, arrival: Arrival { request, claim_id: once }, class })
     }
 
     fn body(&self, exchange: &mut Exchange) -> Result<Vec<u8>, Refusal> {
@@ -278,8 +278,12 @@
                     };
                     let outcome = attempt.run(exchange);
                     let sent = outcome.exchange.is_none();
-                    let event =
-                        Event::Ended { id: job.id, end: outcome.end, sent, answer: outcome.answer };
+                    let event = Event::Ended {
+                        id: job.id,
+                        end: outcome.end,
+                        response_started: sent,
+                        answer: outcome.answer,
+                    };
                     watch.over = sent;
                     if self.hub.send(Input::Core(event)).is_err() {
                         log::warn!("event=end-unreported request={}", job.id);
@@ -309,8 +313,8 @@
 impl Drop for Watch<'_> {
     fn drop(&mut self) {
         if !self.over {
-            let end = End::Failed(Verdict::MayHaveRun);
-            let event = Event::Ended { id: self.id, end, sent: true, answer: None };
+            let end = AttemptEnd::Failed(Verdict::MayHaveRun);
+            let event = Event::Ended { id: self.id, end, response_started: true, answer: None };
             // The loop may have ended before.
             let _ = self.hub.send(Input::Core(event));
         }
@@ -334,12 +338,12 @@
     "replayed".into()
 }
 
-fn end_code(end: End) -> &'static str {
+fn end_code(end: AttemptEnd) -> &'static str {
     match end {
-        End::Done => "ok",
-        End::Gone => "caller_gone",
-        End::Failed(_) => "stream_broken",
-        End::Refused | End::Dead => "upstream_unavailable",
+        AttemptEnd::Completed => "ok",
+        AttemptEnd::CallerGone => "caller_gone",
+        AttemptEnd::Failed(_) => "stream_broken",
+        AttemptEnd::Refused | AttemptEnd::Unreachable => "upstream_unavailable",
     }
 }
 
--- a/crates/daemon/src/hub.rs
+++ b/crates/daemon/src/hub.rs
@@ -15,7 +15,7 @@
 use vanetally_claim::Answer;
 use vanetally_core::{Action, Arrival, Core, Event, Refused};
 use vanetally_link::peer::{self, Links};
-use vanetally_route::End;
+use vanetally_route::AttemptEnd;
 use vanetally_types::Name;
 
 /// What other threads tell the loop.
@@ -115,8 +115,8 @@
 
     /// Passes an event on; an exchange that is over waits for no decision.
     fn ended(&mut self, event: Event, cx: CX![]) {
-        if let Event::Ended { id, end, sent, .. } = &event
-            && (*sent || matches!(end, End::Done | End::Gone))
+        if let Event::Ended { id, end, response_started: sent, .. } = &event
+            && (*sent || matches!(end, AttemptEnd::Completed | AttemptEnd::CallerGone))
         {
             self.waiting.remove(id);
         }
@@ -149,7 +149,7 @@
                 Ok(address) => self.hands.links.send(&to, address, &frame),
                 Err(_) => log::warn!("event=address-unreadable host={to} address={address}"),
             },
-            Action::InForce(revision) => self.hands.board.set_revision(revision),
+            Action::RevisionApplied(revision) => self.hands.board.set_revision(revision),
             Action::Log(line) => log::info!("{line} host={}", self.hands.board.settings.host),
             Action::Stopped => cx.stop(),
         }
--- a/crates/daemon/src/proxy.rs
+++ b/crates/daemon/src/proxy.rs
@@ -11,12 +11,12 @@
     call::{self, Call, Caller},
     http::{Exchange, Reply, Stream},
 };
-use vanetally_route::End;
+use vanetally_route::AttemptEnd;
 use vanetally_types::{Name, Verdict};
 
 /// How an attempt ended, and the exchange if the caller has no bytes yet.
 pub(crate) struct Outcome {
-    pub end: End,
+    pub end: AttemptEnd,
     pub exchange: Option<Exchange>,
     pub answer: Option<Arc<Answer>>,
 }
@@ -63,12 +63,13 @@
                     self.job.id,
                     e.verdict
                 );
-                let end = if e.dead { End::Dead } else { End::Failed(e.verdict) };
+                let end =
+                    if e.dead { AttemptEnd::Unreachable } else { AttemptEnd::Failed(e.verdict) };
                 return Outcome { end, exchange: Some(exchange), answer: None };
             }
         };
         if self.is_refusal(&answer) {
-            return Outcome { end: End::Refused, exchange: Some(exchange), answer: None };
+            return Outcome { end: AttemptEnd::Refused, exchange: Some(exchange), answer: None };
         }
         let events = header(&answer, "content-type").is_some_and(|k| k.contains("event-stream"));
         match (self.job.service, events) {
@@ -91,7 +92,7 @@
         let mut body = Vec::new();
         let read = answer.body.take(MOST_WHOLE).read_to_end(&mut body);
         if read.is_err() || status >= 500 {
-            let end = End::Failed(Verdict::MayHaveRun);
+            let end = AttemptEnd::Failed(Verdict::MayHaveRun);
             return Outcome { end, exchange: Some(exchange), answer: None };
         }
         self.finish_whole(status, &kind, Vec::new(), body, exchange)
@@ -111,7 +112,7 @@
         reply.headers.extend(headers);
         reply.headers.extend(self.job.closing.iter().cloned());
         exchange.answer(reply);
-        Outcome { end: End::Done, exchange: None, answer }
+        Outcome { end: AttemptEnd::Completed, exchange: None, answer }
     }
 
     /// The answer as kept for repeats of a once-only request, unless it is too large.
@@ -132,7 +133,7 @@
         let mut body = Vec::new();
         let read = answer.body.by_ref().take(SERVICE_WHOLE as u64).read_to_end(&mut body);
         if read.is_err() {
-            let end = End::Failed(Verdict::MayHaveRun);
+            let end = AttemptEnd::Failed(Verdict::MayHaveRun);
             return Outcome { end, exchange: Some(exchange), answer: None };
         }
         if body.len() < SERVICE_WHOLE {
@@ -145,7 +146,7 @@
         };
         telemetry::first_piece(self.host, self.started.elapsed().as_secs_f64());
         let end = pump(&mut answer.body, &mut stream, &body);
-        if end != End::Done {
+        if end != AttemptEnd::Completed {
             stream.abort();
         } else if stream.finish().is_err() {
             return gone();
@@ -161,23 +162,23 @@
 }
 
 /// Passes `first` and the rest of a body on.
-fn pump(body: &mut dyn Read, stream: &mut Stream, first: &[u8]) -> End {
+fn pump(body: &mut dyn Read, stream: &mut Stream, first: &[u8]) -> AttemptEnd {
     let mut piece = [0; PIECE];
     if stream.send(first).is_err() {
-        return End::Gone;
+        return AttemptEnd::CallerGone;
     }
     loop {
         match body.read(&mut piece) {
-            Ok(0) => return End::Done,
-            Ok(len) if stream.send(&piece[..len]).is_err() => return End::Gone,
+            Ok(0) => return AttemptEnd::Completed,
+            Ok(len) if stream.send(&piece[..len]).is_err() => return AttemptEnd::CallerGone,
             Ok(_) => {}
-            Err(_) => return End::Failed(Verdict::MayHaveRun),
+            Err(_) => return AttemptEnd::Failed(Verdict::MayHaveRun),
         }
     }
 }
 
 fn gone() -> Outcome {
-    Outcome { end: End::Gone, exchange: None, answer: None }
+    Outcome { end: AttemptEnd::CallerGone, exchange: None, answer: None }
 }
 
 fn header<'a>(answer: &'a call::Answer, name: &str) -> Option<&'a str> {
@@ -231,7 +232,7 @@
                     first = self.events.push(&piece[..len]);
                 }
                 _ => {
-                    let end = End::Failed(Verdict::MayHaveRun);
+                    let end = AttemptEnd::Failed(Verdict::MayHaveRun);
                     return Outcome { end, exchange: Some(exchange), answer: None };
                 }
             }
@@ -245,7 +246,7 @@
         telemetry::first_piece(self.attempt.host, self.attempt.started.elapsed().as_secs_f64());
         self.pass(&mut stream, &first);
         let end = self.pass_rest(answer, &mut stream);
-        let done = end == End::Done;
+        let done = end == AttemptEnd::Completed;
         let kept = done.then(|| self.attempt.keep(200, "text/event-stream", &self.copy)).flatten();
         if let Some(stream) = stream {
             // The last event tells whether the answer is whole; the caller may have gone since.
@@ -265,13 +266,13 @@
         }
     }
 
-    fn pass_rest(&mut self, answer: call::Answer, stream: &mut Option<Stream>) -> End {
+    fn pass_rest(&mut self, answer: call::Answer, stream: &mut Option<Stream>) -> AttemptEnd {
         let mut body = answer.body;
         let mut resumes = 0;
         loop {
             match self.pass_until(&mut *body, stream) {
-                Some(Stop::Done) => return End::Done,
-                None => return End::Gone,
+                Some(Stop::Done) => return AttemptEnd::Completed,
+                None => return AttemptEnd::CallerGone,
                 Some(Stop::Broken) => {}
             }
             self.events.discard();
@@ -328,7 +329,7 @@
     }
 
     /// Tells the caller that the stream is cut short.
-    fn break_off(&self, stream: &mut Option<Stream>) -> End {
+    fn break_off(&self, stream: &mut Option<Stream>) -> AttemptEnd {
         let mut refusal =
             Refusal::new(502, "stream_broken", "the upstream broke off; the answer is cut short");
         refusal.verdict = Verdict::MayHaveRun;
@@ -337,6 +338,6 @@
             // The caller may have gone.
             let _ = stream.send(event.as_bytes());
         }
-        End::Failed(Verdict::MayHaveRun)
+        AttemptEnd::Failed(Verdict::MayHaveRun)
     }
 }
--- a/crates/daemon/src/refusal.rs
+++ b/crates/daemon/src/refusal.rs
@@ -1,7 +1,7 @@
 //! Refusals as callers see them: an error object, a verdict, and when to come back.
 
 use serde_json::json;
-use vanetally_core::{Refused, Why};
+use vanetally_core::{RefusalReason, Refused};
 use vanetally_link::http::Reply;
 use vanetally_types::Verdict;
 
@@ -57,23 +57,27 @@
 
 impl From<Refused> for Refusal {
     fn from(refused: Refused) -> Self {
-        let (status, code, message) = match (refused.why, refused.verdict) {
-            (Why::DeadlineUnmeetable, _) => {
+        let (status, code, message) = match (refused.reason, refused.verdict) {
+            (RefusalReason::DeadlineUnmeetable, _) => {
                 (503, "deadline_unmeetable", "the queue is too long for this deadline")
             }
-            (Why::Overloaded, _) => (503, "overloaded", "too many requests wait"),
-            (Why::NoUpstream, _) => (503, "no_upstream", "nothing serves this target now"),
-            (Why::UpstreamFailed, Verdict::NotRun) => {
+            (RefusalReason::Overloaded, _) => (503, "overloaded", "too many requests wait"),
+            (RefusalReason::NoUpstream, _) => {
+                (503, "no_upstream", "nothing serves this target now")
+            }
+            (RefusalReason::UpstreamFailed, Verdict::NotRun) => {
                 (503, "upstream_unavailable", "no upstream took the request")
             }
-            (Why::UpstreamFailed, _) => {
+            (RefusalReason::UpstreamFailed, _) => {
                 (502, "upstream_failed", "the upstream broke off; the request may have run")
             }
-            (Why::AlreadyRan, _) => {
+            (RefusalReason::AlreadyRan, _) => {
                 (409, "already_ran", "a request with this id ran; its answer is not kept")
             }
-            (Why::IdUncertain, _) => (409, "id_uncertain", "a request with this id may have run"),
-            (Why::IdUndecided, _) => {
+            (RefusalReason::IdUncertain, _) => {
+                (409, "id_uncertain", "a request with this id may have run")
+            }
+            (RefusalReason::IdUndecided, _) => {
                 (503, "id_undecided", "it can't be decided now whether this id has run")
             }
         };
@@ -82,7 +86,7 @@
             code: code.into(),
             message: message.into(),
             verdict: refused.verdict,
-            retry_after: refused.retry_after,
+            retry_after: refused.retry_after_ms,
         }
     }
 }
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -11,7 +11,7 @@
     time::{Duration, Instant},
 };
 use vanetally_config::{Revision, keeper::Source};
-use vanetally_core::{Event, Key, Stored};
+use vanetally_core::{Event, Key, StoredValue};
 use vanetally_link::platform::{Error, Platform, Put, Value};
 use vanetally_types::hash64;
 
@@ -102,7 +102,7 @@
     match job {
         Job::Get(key) => {
             let value = attempt(breaker, || platform.get(&key.path()));
-            Event::Got(key, value.map(|v| v.map(stored)))
+            Event::KeyRead(key, value.map(|v| v.map(stored)))
         }
         Job::Put(key, base, bytes) => {
             let put = attempt(breaker, || platform.put(&key.path(), base, &bytes));
@@ -110,7 +110,7 @@
                 Put::Done(version) => Ok(version),
                 Put::Refused(value) => Err(value.map(stored)),
             });
-            Event::Put(key, result)
+            Event::KeyWritten(key, result)
         }
     }
 }
@@ -124,8 +124,8 @@
     result.map_err(|e| log::debug!("event=platform-failed error=\"{e}\"")).ok()
 }
 
-fn stored(value: Value) -> Stored {
-    Stored { version: value.version, bytes: value.bytes }
+fn stored(value: Value) -> StoredValue {
+    StoredValue { version: value.version, bytes: value.bytes }
 }
 
 /// Follows the list of hosts.
--- a/crates/ledger/src/choose.rs
+++ b/crates/ledger/src/choose.rs
@@ -1,7 +1,7 @@
 //! The choice of the next order.
 
 use crate::{
-    Action, Epoch, Held, Intent, Ledger, Op, Order, Phase, Standing,
+    Action, Epoch, HeldEntry, Intent, LeaderState, Ledger, Op, Order, Phase,
     machine::{MOST_OPEN, Sent},
 };
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
     /// Gives the next order, if one is due and allowed.
     pub(crate) fn step(&mut self, now: Tick, actions: &mut Vec<Action>) {
         let busy = !self.fence_due && (self.pending.is_some() || self.writing.is_some());
-        if busy || self.held_back || self.standing == Standing::Idle {
+        if busy || self.held_back || self.state == LeaderState::Idle {
             return;
         }
         if self.fence_due {
@@ -22,7 +22,7 @@
         if self.stale {
             return self.write(actions);
         }
-        if self.standing != Standing::Open || self.report.is_none() {
+        if self.state != LeaderState::Open || self.report.is_none() {
             return;
         }
         self.close_unwanted(now);
@@ -46,13 +46,13 @@
     }
 
     fn close_unwanted(&mut self, now: Tick) {
-        let (Some(report), Some(wanted)) = (&self.report, &self.wanted) else {
+        let (Some(report), Some(desired)) = (&self.report, &self.desired) else {
             return;
         };
         let unwanted = report
             .entries
             .iter()
-            .filter(|(name, held)| held.phase == Phase::Resident && !wanted.contains_key(*name));
+            .filter(|(name, held)| held.phase == Phase::Resident && !desired.contains_key(*name));
         for (name, _) in unwanted {
             self.closing.entry(name.clone()).or_insert(now);
         }
@@ -65,7 +65,7 @@
         let idle = |name: &Name| entries.get(name).is_some_and(|h| h.in_flight == 0);
         self.closing
             .iter()
-            .filter(|(_, since)| now.since(**since) >= self.spec.drain)
+            .filter(|(_, since)| now.since(**since) >= self.spec.drain_ms)
             .map(|(name, _)| name)
             .find(|name| idle(name) && !bases.contains(name) && self.may_repeat(name))
             .map(|name| Op::Unload { entry: name.clone() })
@@ -80,9 +80,9 @@
     fn next_load(&self) -> Option<Op> {
         let entries = &self.report.as_ref()?.entries;
         let resident =
-            |name: &Name| entries.get(name).is_some_and(|h: &Held| h.phase == Phase::Resident);
-        let held = self.held();
-        self.wanted
+            |name: &Name| entries.get(name).is_some_and(|h: &HeldEntry| h.phase == Phase::Resident);
+        let held = self.held_bytes();
+        self.desired
             .as_ref()?
             .iter()
             .filter(|(name, _)| !entries.contains_key(*name))
--- a/crates/ledger/src/event.rs
+++ b/crates/ledger/src/event.rs
@@ -6,23 +6,23 @@
 
 /// What the catalog says of the runner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Spec {
+pub struct RunnerSpec {
     /// Memory for entries.
     pub capacity: Bytes,
     /// Whether the runner checks epoch and sequence of orders.
     pub fenced: bool,
     /// The operator's bound on the life of an order once sent, in milliseconds.
-    pub order_life: Option<u64>,
+    pub order_ttl_ms: Option<u64>,
     /// Between telling routers that an entry closes and unloading it, in milliseconds.
-    pub drain: u64,
+    pub drain_ms: u64,
 }
 
 /// What the plan wants on the runner.
-pub type Wanted = BTreeMap<Name, Want>;
+pub type DesiredEntries = BTreeMap<Name, DesiredEntry>;
 
 /// An entry that the plan wants.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
-pub struct Want {
+pub struct DesiredEntry {
     /// Memory that it takes.
     pub bytes: Bytes,
     /// The entry that must be resident beside it.
@@ -34,14 +34,14 @@
 pub enum Event {
     /// This process became the runner's steward. `record` is the runner's written record, read
     /// after that; runners that check orders have none.
-    Took {
+    LeadershipAcquired {
         /// The stewardship's number.
         term: u64,
         /// The record as read.
         record: Option<Record>,
     },
     /// The stewardship ended or is in doubt.
-    Dropped,
+    LeadershipLost,
     /// The runner accepted the fence and told its state.
     Fenced {
         /// The epoch it accepted.
@@ -50,35 +50,35 @@
         report: Report,
     },
     /// A fence or an order was refused for a higher epoch at the runner.
-    Outranked {
+    StaleEpoch {
         /// The epoch that the fence or the order carried.
-        of: Epoch,
+        sent: Epoch,
         /// The runner's epoch.
-        epoch: Epoch,
+        current: Epoch,
     },
     /// The answer to a fence was lost.
-    FenceLost {
+    FenceUnanswered {
         /// The epoch that the fence carried.
         epoch: Epoch,
     },
     /// A poll was answered.
     Reported {
         /// When the poll was sent.
-        asked: Tick,
+        polled_at: Tick,
         /// The runner's state.
         report: Report,
     },
     /// What the plan wants from now on.
-    Want(Wanted),
+    Desired(DesiredEntries),
     /// The record with this sequence is written.
     Written {
         /// Its sequence.
         seq: u64,
     },
     /// It is unknown whether the record was written: the platform is out or its answer lost.
-    WriteLost,
+    WriteUnconfirmed,
     /// The record has been changed by somebody; here it is.
-    WriteRefused(Option<Record>),
+    WriteConflict(Option<Record>),
     /// The runner answered an order: done, or refused.
     Answered {
         /// The order's sequence.
@@ -89,7 +89,7 @@
         report: Report,
     },
     /// The answer to an order was lost: it may have been carried out, or still will be.
-    OrderLost {
+    OrderUnanswered {
         /// The order's sequence.
         seq: u64,
     },
@@ -102,16 +102,16 @@
 /// What the driver is to do.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Raise the runner's epoch; answer with `Fenced`, `Outranked` or `FenceLost`.
+    /// Raise the runner's epoch; answer with `Fenced`, `StaleEpoch` or `FenceUnanswered`.
     Fence(Epoch),
     /// Write the record by compare-and-swap on the version last seen.
     Write(Record),
-    /// Send the order, once only; answer with `Answered`, `Outranked` or `OrderLost`.
+    /// Send the order, once only; answer with `Answered`, `StaleEpoch` or `OrderUnanswered`.
     Send(Order),
     /// The stewardship needs a number above this one.
-    NeedTerm(u64),
+    RaiseTerm(u64),
     /// The record belongs to another stewardship: give this one up.
-    GiveUp,
+    StepDown,
 }
 
 /// Guards that the model check switches off one at a time to see that it notices.
@@ -146,7 +146,7 @@
 /// How far the stewardship of a runner has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum LeaderState {
     /// Somebody else's.
     Idle,
     /// Waiting for the fence or the first write.
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -14,8 +14,8 @@
 mod report;
 mod write;
 
-pub use event::{Action, Event, Guards, Spec, Standing, Want, Wanted};
+pub use event::{Action, DesiredEntries, DesiredEntry, Event, Guards, LeaderState, RunnerSpec};
 pub use fenced::Epoch;
 pub use intent::{Intent, Record};
 pub use machine::Ledger;
-pub use report::{Held, Op, Order, Phase, Refusal, Report};
+pub use report::{HeldEntry, Op, Order, Phase, Refusal, Report};
--- a/crates/ledger/src/machine.rs
+++ b/crates/ledger/src/machine.rs
@@ -1,7 +1,8 @@
 //! The state machine of one runner's steward.
 
 use crate::{
-    Action, Epoch, Event, Guards, Intent, Op, Record, Refusal, Report, Spec, Standing, Wanted,
+    Action, DesiredEntries, Epoch, Event, Guards, Intent, LeaderState, Op, Record, Refusal, Report,
+    RunnerSpec,
 };
 use std::collections::BTreeMap;
 use vanetally_types::{Bytes, HostId, Name, Tick};
@@ -28,9 +29,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
     pub(crate) me: HostId,
-    pub(crate) spec: Spec,
+    pub(crate) spec: RunnerSpec,
     pub(crate) guards: Guards,
-    pub(crate) standing: Standing,
+    pub(crate) state: LeaderState,
     pub(crate) term: u64,
     pub(crate) epoch: Epoch,
     pub(crate) seq: u64,
@@ -39,7 +40,7 @@
     pub(crate) settled: Tick,
     pub(crate) pending: Option<Sent>,
     /// What the plan wants; nothing is ordered before the first plan.
-    pub(crate) wanted: Option<Wanted>,
+    pub(crate) desired: Option<DesiredEntries>,
     /// Entries that get no new requests, and since when.
     pub(crate) closing: BTreeMap<Name, Tick>,
     pub(crate) open: BTreeMap<u64, Intent>,
@@ -55,19 +56,19 @@
 
 impl Ledger {
     /// The ledger of a runner that nobody has taken yet.
-    pub fn new(me: HostId, spec: Spec, guards: Guards) -> Self {
+    pub fn new(me: HostId, spec: RunnerSpec, guards: Guards) -> Self {
         Self {
             me,
             spec,
             guards,
-            standing: Standing::Idle,
+            state: LeaderState::Idle,
             term: 0,
             epoch: Epoch::default(),
             seq: 0,
             report: None,
             settled: Tick::default(),
             pending: None,
-            wanted: None,
+            desired: None,
             closing: BTreeMap::new(),
             open: BTreeMap::new(),
             quiet: BTreeMap::new(),
@@ -84,19 +85,19 @@
     }
 
     /// How far the stewardship has come.
-    pub fn standing(&self) -> Standing {
-        self.standing
+    pub fn state(&self) -> LeaderState {
+        self.state
     }
 
     /// What the plan last wanted.
-    pub fn wanted(&self) -> Option<&Wanted> {
-        self.wanted.as_ref()
+    pub fn desired(&self) -> Option<&DesiredEntries> {
+        self.desired.as_ref()
     }
 
     /// Memory that entries outside of the report may take.
-    pub fn reserved(&self) -> Bytes {
+    pub fn reserved_bytes(&self) -> Bytes {
         let reported = self.report.iter().flat_map(|r| r.entries.values());
-        self.held() - reported.map(|h| h.bytes).sum::<Bytes>()
+        self.held_bytes() - reported.map(|h| h.bytes).sum::<Bytes>()
     }
 
     /// Orders that may be under way to a runner that does not check.
@@ -110,7 +111,7 @@
     }
 
     /// The sequence of the record that is being written.
-    pub fn writing(&self) -> Option<u64> {
+    pub fn pending_write(&self) -> Option<u64> {
         self.writing.as_ref().map(|record| record.seq)
     }
 
@@ -120,12 +121,12 @@
     }
 
     /// Changes what the catalog says of the runner.
-    pub fn set_spec(&mut self, spec: Spec) {
+    pub fn set_spec(&mut self, spec: RunnerSpec) {
         self.spec = spec;
     }
 
     /// Memory that is or may become taken, each entry counted once.
-    pub fn held(&self) -> Bytes {
+    pub fn held_bytes(&self) -> Bytes {
         let mut held: BTreeMap<&Name, Bytes> = BTreeMap::new();
         for (name, entry) in self.report.iter().flat_map(|r| &r.entries) {
             held.insert(name, entry.bytes);
@@ -150,37 +151,37 @@
 
     fn apply(&mut self, now: Tick, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Took { term, record } => self.take(term, record, actions),
-            Event::Dropped => self.drop_all(),
+            Event::LeadershipAcquired { term, record } => self.take(term, record, actions),
+            Event::LeadershipLost => self.drop_all(),
             Event::Fenced { epoch, report } => self.fenced(now, epoch, report),
-            Event::Outranked { of, epoch } => self.outranked(of, epoch, actions),
-            Event::FenceLost { epoch } => self.fence_lost(epoch),
-            Event::Reported { asked, report } => self.reported(asked, report),
-            Event::Want(wanted) => self.want(wanted),
+            Event::StaleEpoch { sent, current } => self.outranked(sent, current, actions),
+            Event::FenceUnanswered { epoch } => self.fence_lost(epoch),
+            Event::Reported { polled_at, report } => self.reported(polled_at, report),
+            Event::Desired(desired) => self.want(desired),
             Event::Written { seq } => self.written(now, seq, actions),
-            Event::WriteLost => self.write_lost(),
-            Event::WriteRefused(record) => self.write_refused(now, record, actions),
+            Event::WriteUnconfirmed => self.write_lost(),
+            Event::WriteConflict(record) => self.write_refused(now, record, actions),
             Event::Answered { seq, result, report } => self.answered(now, seq, result, report),
-            Event::OrderLost { seq } => self.order_lost(now, seq),
+            Event::OrderUnanswered { seq } => self.order_lost(now, seq),
             Event::Ended(host) => self.ended(now, &host),
             Event::Tick => self.held_back = false,
         }
     }
 
     fn take(&mut self, term: u64, record: Option<Record>, actions: &mut Vec<Action>) {
-        if self.standing != Standing::Idle && term <= self.term {
+        if self.state != LeaderState::Idle && term <= self.term {
             return;
         }
         self.drop_all();
         self.term = term;
-        self.standing = Standing::Opening;
+        self.state = LeaderState::Opening;
         if self.spec.fenced {
             self.epoch = Epoch::first(term);
             self.fence_due = true;
             return;
         }
         if record.as_ref().is_some_and(|r| r.term > term) {
-            actions.push(Action::NeedTerm(record.map_or(0, |r| r.term)));
+            actions.push(Action::RaiseTerm(record.map_or(0, |r| r.term)));
             return;
         }
         self.seq = record.as_ref().map_or(0, |r| r.seq);
@@ -189,7 +190,7 @@
     }
 
     pub(crate) fn drop_all(&mut self) {
-        self.standing = Standing::Idle;
+        self.state = LeaderState::Idle;
         self.pending = None;
         self.closing.clear();
         self.open.clear();
@@ -201,10 +202,10 @@
     }
 
     fn fenced(&mut self, now: Tick, epoch: Epoch, report: Report) {
-        if self.standing != Standing::Opening || epoch != self.epoch {
+        if self.state != LeaderState::Opening || epoch != self.epoch {
             return;
         }
-        self.standing = Standing::Open;
+        self.state = LeaderState::Open;
         self.seq = report.seq;
         self.pending = None;
         self.settled = now;
@@ -212,16 +213,16 @@
     }
 
     fn refence(&mut self) {
-        if self.standing == Standing::Idle || !self.spec.fenced {
+        if self.state == LeaderState::Idle || !self.spec.fenced {
             return;
         }
-        self.standing = Standing::Opening;
+        self.state = LeaderState::Opening;
         self.epoch = self.epoch.next();
         self.fence_due = true;
     }
 
     fn fence_lost(&mut self, epoch: Epoch) {
-        if self.standing == Standing::Opening && epoch == self.epoch {
+        if self.state == LeaderState::Opening && epoch == self.epoch {
             self.held_back = true;
             self.refence();
         }
@@ -229,26 +230,26 @@
 
     /// An answer to an earlier fence or order is late and says nothing of the present one.
     fn outranked(&mut self, of: Epoch, epoch: Epoch, actions: &mut Vec<Action>) {
-        if self.standing == Standing::Idle || of != self.epoch {
+        if self.state == LeaderState::Idle || of != self.epoch {
             return;
         }
         if epoch.term() > self.term {
             self.drop_all();
-            actions.push(Action::NeedTerm(epoch.term()));
+            actions.push(Action::RaiseTerm(epoch.term()));
             return;
         }
         self.epoch = self.epoch.max(epoch);
         self.refence();
     }
 
-    fn reported(&mut self, asked: Tick, report: Report) {
-        if self.guards.report_order && asked <= self.settled {
+    fn reported(&mut self, polled_at: Tick, report: Report) {
+        if self.guards.report_order && polled_at <= self.settled {
             return;
         }
         let restarted = self.report.as_ref().is_some_and(|r| r.incarnation != report.incarnation);
-        let forgot = self.standing == Standing::Open && report.epoch != self.epoch.0;
-        self.observe(asked, report.incarnation);
-        if self.spec.fenced && (restarted || forgot) && self.standing == Standing::Open {
+        let forgot = self.state == LeaderState::Open && report.epoch != self.epoch.0;
+        self.observe(polled_at, report.incarnation);
+        if self.spec.fenced && (restarted || forgot) && self.state == LeaderState::Open {
             self.report = Some(report);
             return self.refence();
         }
@@ -259,10 +260,10 @@
     }
 
     /// Notes the runner's incarnation for intents whose sender is quiet.
-    fn observe(&mut self, asked: Tick, incarnation: u64) {
+    fn observe(&mut self, polled_at: Tick, incarnation: u64) {
         let open = &mut self.open;
         self.quiet.retain(|seq, quiet| match quiet.incarnation {
-            None if asked > quiet.since => {
+            None if polled_at > quiet.since => {
                 quiet.incarnation = Some(incarnation);
                 true
             }
@@ -275,9 +276,9 @@
         });
     }
 
-    fn want(&mut self, wanted: Wanted) {
-        self.closing.retain(|name, _| !wanted.contains_key(name));
-        self.wanted = Some(wanted);
+    fn want(&mut self, desired: DesiredEntries) {
+        self.closing.retain(|name, _| !desired.contains_key(name));
+        self.desired = Some(desired);
     }
 
     fn answered(&mut self, now: Tick, seq: u64, result: Result<(), Refusal>, report: Report) {
@@ -326,7 +327,7 @@
                 self.open.remove(&seq);
             }
         }
-        let Some(life) = self.spec.order_life else {
+        let Some(life) = self.spec.order_ttl_ms else {
             return;
         };
         let over: Vec<u64> = self
--- a/crates/ledger/src/report.rs
+++ b/crates/ledger/src/report.rs
@@ -19,7 +19,7 @@
 
 /// An entry on a runner, as the runner reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
-pub struct Held {
+pub struct HeldEntry {
     /// Where it stands.
     pub phase: Phase,
     /// Memory that it takes.
@@ -41,7 +41,7 @@
     /// The last order carried out under that epoch.
     pub seq: u64,
     /// What takes memory.
-    pub entries: BTreeMap<Name, Held>,
+    pub entries: BTreeMap<Name, HeldEntry>,
 }
 
 /// What an order does.
--- a/crates/ledger/src/write.rs
+++ b/crates/ledger/src/write.rs
@@ -1,6 +1,6 @@
 //! The written record of a runner that does not check orders, from the writer's side.
 
-use crate::{Action, Epoch, Ledger, Order, Record, Standing};
+use crate::{Action, Epoch, LeaderState, Ledger, Order, Record};
 use vanetally_types::Tick;
 
 impl Ledger {
@@ -22,12 +22,12 @@
             return;
         }
         self.writing = None;
-        if self.standing == Standing::Opening {
+        if self.state == LeaderState::Opening {
             // What was seen before may lack an earlier steward's last order.
             self.settled = now;
             self.report = None;
         }
-        self.standing = Standing::Open;
+        self.state = LeaderState::Open;
         let Some(sent) = &self.pending else { return };
         if sent.seq == seq {
             let order = Order { epoch: Epoch::first(self.term), seq, op: sent.op.clone() };
@@ -70,7 +70,7 @@
             }
             Some(_) => {
                 self.drop_all();
-                actions.push(Action::GiveUp);
+                actions.push(Action::StepDown);
             }
         }
     }
--- a/crates/member/src/group.rs
+++ b/crates/member/src/group.rs
@@ -26,7 +26,7 @@
 
 /// A record with the version that the platform gave it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Stored {
+pub struct VersionedRecord {
     /// The platform's version.
     pub version: u64,
     /// The record.
@@ -42,18 +42,18 @@
         holder_serves: bool,
     },
     /// The record as read.
-    Read(Option<Stored>),
+    Read(Option<VersionedRecord>),
     /// The last write took effect.
-    Wrote {
+    Written {
         /// The platform's version.
         version: u64,
     },
     /// It is unknown whether the last write took effect.
-    WriteLost,
+    WriteUnconfirmed,
     /// The last write did not take effect; this is the record.
-    WriteRefused(Option<Stored>),
+    WriteConflict(Option<VersionedRecord>),
     /// A runner or a peer knows a term at least this high.
-    Heard {
+    TermAnnounced {
         /// The term.
         term: u64,
         /// Its holder, where known.
@@ -76,9 +76,9 @@
         record: Record,
     },
     /// This host is the steward under this term.
-    Took(u64),
+    LeadershipAcquired(u64),
     /// This host is not the steward any more.
-    Dropped,
+    LeadershipLost,
 }
 
 /// Whether this host is the steward.
@@ -95,10 +95,10 @@
 
 /// One group's stewardship as one host sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Group {
+pub struct GroupLeadership {
     me: HostId,
     role: Role,
-    stored: Option<Stored>,
+    stored: Option<VersionedRecord>,
     writing: Option<Record>,
     reading: bool,
     /// The highest term known anywhere.
@@ -107,7 +107,7 @@
     holder: Option<HostId>,
 }
 
-impl Group {
+impl GroupLeadership {
     /// A stewardship of which nothing is known yet.
     pub fn new(me: HostId) -> Self {
         Self {
@@ -127,7 +127,7 @@
     }
 
     /// The highest term known and its holder.
-    pub fn head(&self) -> (u64, Option<&HostId>) {
+    pub fn known_leader(&self) -> (u64, Option<&HostId>) {
         (self.highest, self.holder.as_ref())
     }
 
@@ -137,10 +137,10 @@
         match event {
             Event::Claim { holder_serves } => self.claim(holder_serves, &mut out),
             Event::Read(stored) => self.read(stored, &mut out),
-            Event::Wrote { version } => self.wrote(version, &mut out),
-            Event::WriteLost => self.write_lost(&mut out),
-            Event::WriteRefused(stored) => self.write_refused(stored, &mut out),
-            Event::Heard { term, holder } => self.heard(term, holder, &mut out),
+            Event::Written { version } => self.wrote(version, &mut out),
+            Event::WriteUnconfirmed => self.write_lost(&mut out),
+            Event::WriteConflict(stored) => self.write_refused(stored, &mut out),
+            Event::TermAnnounced { term, holder } => self.heard(term, holder, &mut out),
             Event::Release => self.release(&mut out),
         }
         out
@@ -155,7 +155,7 @@
         }
     }
 
-    fn read(&mut self, stored: Option<Stored>, out: &mut Vec<Action>) {
+    fn read(&mut self, stored: Option<VersionedRecord>, out: &mut Vec<Action>) {
         if !std::mem::take(&mut self.reading) || self.writing.is_some() {
             return;
         }
@@ -196,12 +196,12 @@
         let Some(record) = self.writing.take() else {
             return;
         };
-        let stored = Stored { version, record };
+        let stored = VersionedRecord { version, record };
         self.settle(stored, out);
     }
 
     /// This host's own record stands.
-    fn settle(&mut self, stored: Stored, out: &mut Vec<Action>) {
+    fn settle(&mut self, stored: VersionedRecord, out: &mut Vec<Action>) {
         let record = stored.record.clone();
         self.stored = Some(stored);
         if record.released {
@@ -210,10 +210,10 @@
         }
         self.holder = Some(self.me.clone());
         self.role = Role::Holder;
-        out.push(Action::Took(record.term));
+        out.push(Action::LeadershipAcquired(record.term));
     }
 
-    fn write_refused(&mut self, stored: Option<Stored>, out: &mut Vec<Action>) {
+    fn write_refused(&mut self, stored: Option<VersionedRecord>, out: &mut Vec<Action>) {
         let Some(wrote) = self.writing.take() else {
             return;
         };
@@ -233,7 +233,7 @@
         let held = self.role != Role::Other;
         self.role = Role::Other;
         if held {
-            out.push(Action::Dropped);
+            out.push(Action::LeadershipLost);
         }
     }
 
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -5,5 +5,5 @@
 mod group;
 mod members;
 
-pub use group::{Action, Event, Group, Record, Role, Stored, group_of};
-pub use members::{Listed, Members, Peer};
+pub use group::{Action, Event, GroupLeadership, Record, Role, VersionedRecord, group_of};
+pub use members::{ListedHost, Members, Peer};
--- a/crates/member/src/members.rs
+++ b/crates/member/src/members.rs
@@ -9,11 +9,12 @@
 
 /// A host in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedHost {
     /// Its name.
     pub name: Name,
     /// Where its links are accepted, `IP:PORT`.
-    pub peer: Name,
+    #[serde(rename = "peer")]
+    pub link_addr: Name,
     /// Its failure domain.
     pub domain: Name,
     /// Whether the platform is taking it away.
@@ -25,15 +26,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Peer {
     /// As listed; kept after the list drops the host.
-    pub listed: Listed,
+    pub listed: ListedHost,
     /// Whether the platform's list has it now.
-    pub present: bool,
+    pub is_listed: bool,
     /// The highest incarnation that spoke.
     pub incarnation: Option<u64>,
     /// When it last spoke.
-    pub heard: Option<Tick>,
+    pub last_seen: Option<Tick>,
     /// When this host first knew of it.
-    pub since: Tick,
+    pub known_since: Tick,
     /// Whether it said that it is leaving.
     pub leaving: bool,
 }
@@ -59,7 +60,7 @@
     }
 
     /// States that this host is leaving.
-    pub fn leave(&mut self) {
+    pub fn set_leaving(&mut self) {
         self.leaving = true;
     }
 
@@ -70,17 +71,17 @@
 
     /// This process was paused: that peers have not been heard says nothing of them. They get the
     /// time to speak again before they are suspected.
-    pub fn resume(&mut self, now: Tick) {
+    pub fn reset_timeouts(&mut self, now: Tick) {
         for peer in self.peers.values_mut() {
-            peer.since = now;
-            peer.heard = peer.heard.map(|_| now);
+            peer.known_since = now;
+            peer.last_seen = peer.last_seen.map(|_| now);
         }
     }
 
     /// Takes the platform's list.
-    pub fn listed(&mut self, now: Tick, list: Vec<Listed>) {
+    pub fn update_list(&mut self, now: Tick, list: Vec<ListedHost>) {
         for peer in self.peers.values_mut() {
-            peer.present = false;
+            peer.is_listed = false;
         }
         for host in list {
             if host.name == self.me.name {
@@ -88,32 +89,33 @@
             }
             let peer = self.peers.entry(host.name.clone()).or_insert_with(|| Peer {
                 listed: host.clone(),
-                present: true,
+                is_listed: true,
                 incarnation: None,
-                heard: None,
-                since: now,
+                last_seen: None,
+                known_since: now,
                 leaving: false,
             });
-            peer.present = true;
+            peer.is_listed = true;
             peer.listed = host;
         }
         let suspect = self.suspect;
-        self.peers
-            .retain(|_, p| p.present || p.heard.is_some_and(|h| now.since(h) < 100 * suspect));
+        self.peers.retain(|_, p| {
+            p.is_listed || p.last_seen.is_some_and(|h| now.since(h) < 100 * suspect)
+        });
     }
 
     /// A host spoke. Returns the earlier incarnation that this proves to have ended.
-    pub fn heard(&mut self, now: Tick, host: Listed, incarnation: u64) -> Option<HostId> {
+    pub fn record_ping(&mut self, now: Tick, host: ListedHost, incarnation: u64) -> Option<HostId> {
         if host.name == self.me.name {
             return None;
         }
         let name = host.name.clone();
         let peer = self.peers.entry(name.clone()).or_insert_with(|| Peer {
             listed: host.clone(),
-            present: false,
+            is_listed: false,
             incarnation: None,
-            heard: None,
-            since: now,
+            last_seen: None,
+            known_since: now,
             leaving: false,
         });
         if peer.incarnation.is_some_and(|old| old > incarnation) {
@@ -121,35 +123,35 @@
         }
         let ended = peer.incarnation.filter(|old| *old < incarnation);
         peer.incarnation = Some(incarnation);
-        peer.heard = Some(now);
+        peer.last_seen = Some(now);
         peer.leaving = host.leaving;
         ended.map(|old| HostId::new(name, old))
     }
 
     /// Whether the host may be given duties: it speaks, or has not had the time to, and is not
     /// leaving.
-    pub fn is_alive(&self, now: Tick, name: &str) -> bool {
+    pub fn is_host_eligible(&self, now: Tick, name: &str) -> bool {
         if *name == *self.me.name {
             return !self.leaving;
         }
-        self.peers.get(name).is_some_and(|p| self.peer_alive(now, p))
+        self.peers.get(name).is_some_and(|p| self.peer_eligible(now, p))
     }
 
-    fn peer_alive(&self, now: Tick, peer: &Peer) -> bool {
-        if peer.leaving || (peer.present && peer.listed.leaving) {
+    fn peer_eligible(&self, now: Tick, peer: &Peer) -> bool {
+        if peer.leaving || (peer.is_listed && peer.listed.leaving) {
             return false;
         }
-        let last = peer.heard.unwrap_or(peer.since);
+        let last = peer.last_seen.unwrap_or(peer.known_since);
         now.since(last) < self.suspect
     }
 
     /// Whether exactly this process may be given duties.
-    pub fn is_current(&self, now: Tick, host: &HostId) -> bool {
+    pub fn is_process_eligible(&self, now: Tick, host: &HostId) -> bool {
         if *host == self.me {
             return !self.leaving;
         }
         let known = self.peers.get(&host.name).and_then(|p| p.incarnation);
-        self.is_alive(now, &host.name) && known.is_none_or(|i| i <= host.incarnation)
+        self.is_host_eligible(now, &host.name) && known.is_none_or(|i| i <= host.incarnation)
     }
 
     /// Whether exactly this process speaks now, leaving or not.
@@ -158,15 +160,15 @@
             return true;
         }
         self.peers.get(&host.name).is_some_and(|p| {
-            let last = p.heard.unwrap_or(p.since);
+            let last = p.last_seen.unwrap_or(p.known_since);
             let known = p.incarnation.is_none_or(|i| i <= host.incarnation);
             known && now.since(last) < self.suspect
         })
     }
 
     /// The hosts that may be given duties, this one included.
-    pub fn alive(&self, now: Tick) -> Vec<Name> {
-        let others = self.peers.values().filter(|p| self.peer_alive(now, p));
+    pub fn eligible_hosts(&self, now: Tick) -> Vec<Name> {
+        let others = self.peers.values().filter(|p| self.peer_eligible(now, p));
         let mut names: Vec<Name> = others.map(|p| p.listed.name.clone()).collect();
         if !self.leaving {
             names.push(self.me.name.clone());
@@ -176,7 +178,7 @@
     }
 
     /// The process that runs on the host `name` now, once it has spoken.
-    pub fn current(&self, name: &str) -> Option<HostId> {
+    pub fn current_process(&self, name: &str) -> Option<HostId> {
         if *name == *self.me.name {
             return Some(self.me.clone());
         }
@@ -186,6 +188,6 @@
 
     /// Whether the process is proved to have ended by a later one on the same host.
     pub fn has_ended(&self, host: &HostId) -> bool {
-        self.current(&host.name).is_some_and(|now| host.is_superseded_by(&now))
+        self.current_process(&host.name).is_some_and(|now| host.is_superseded_by(&now))
     }
 }
--- a/crates/route/src/index.rs
+++ b/crates/route/src/index.rs
@@ -1,6 +1,6 @@
 //! The upstreams of a router, found by name or by what they serve.
 
-use crate::{Phase, Replica, Seen, Upstream};
+use crate::{Phase, Replica, Upstream, UpstreamStatus};
 use std::collections::{BTreeMap, HashMap};
 use vanetally_types::{Name, Tick};
 
@@ -49,23 +49,23 @@
     }
 
     /// Takes a report on the replica `name`.
-    pub fn report(&mut self, now: Tick, name: &Name, seen: Seen) {
+    pub fn report(&mut self, now: Tick, name: &Name, status: UpstreamStatus) {
         let Some(replica) = self.replicas.get_mut(name) else { return };
-        if replica.seen.entries == seen.entries {
-            return replica.report(now, seen);
+        if replica.status.entries == status.entries {
+            return replica.report(now, status);
         }
-        for entry in replica.seen.entries.keys() {
+        for entry in replica.status.entries.keys() {
             if let Some(names) = self.ready.get_mut(entry) {
                 names.retain(|n| n != name);
             }
         }
-        replica.report(now, seen);
+        replica.report(now, status);
         enlist(&mut self.ready, replica);
     }
 }
 
 fn enlist(ready: &mut HashMap<Name, Vec<Name>>, replica: &Replica) {
-    for (entry, phase) in &replica.seen.entries {
+    for (entry, phase) in &replica.status.entries {
         if *phase == Phase::Ready {
             ready.entry(entry.clone()).or_default().push(replica.upstream.name.clone());
         }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -3,15 +3,15 @@
 //! [`Router`] is a state machine without clock, sockets or random numbers.
 #![deny(missing_docs, unsafe_code)]
 
-mod budget;
 mod choose;
 mod index;
 mod queue;
 mod replica;
+mod retry_budget;
 mod router;
-mod work;
+mod service_time;
 
-pub use budget::Budget;
-pub use replica::{Phase, Replica, Seen, Upstream};
-pub use router::{Action, Arrived, End, Event, Options, Reason, Refusal, Request, Router};
-pub use work::Work;
+pub use replica::{Phase, Replica, Upstream, UpstreamStatus};
+pub use retry_budget::RetryBudget;
+pub use router::{Action, Arrivals, AttemptEnd, Event, Options, Reason, Refusal, Request, Router};
+pub use service_time::ServiceTime;
--- a/crates/route/src/replica.rs
+++ b/crates/route/src/replica.rs
@@ -33,7 +33,7 @@
 
 /// What the poller of an upstream saw last; it lags.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct UpstreamStatus {
     /// Entries in its memory.
     pub entries: BTreeMap<Name, Phase>,
     /// Requests that it runs or has queued.
@@ -52,9 +52,9 @@
     /// What the catalog says.
     pub upstream: Upstream,
     /// What was last reported.
-    pub seen: Seen,
+    pub status: UpstreamStatus,
     /// When that report arrived.
-    pub seen_at: Tick,
+    pub status_at: Tick,
     /// Own requests in flight when that report arrived.
     own_then: u32,
     /// Own requests in flight now.
@@ -85,8 +85,8 @@
     pub fn new(now: Tick, upstream: Upstream) -> Self {
         Self {
             upstream,
-            seen: Seen::default(),
-            seen_at: Tick::default(),
+            status: UpstreamStatus::default(),
+            status_at: Tick::default(),
             own_then: 0,
             own: 0,
             failures: 0,
@@ -97,16 +97,16 @@
     }
 
     /// Takes a report.
-    pub fn report(&mut self, now: Tick, seen: Seen) {
+    pub fn report(&mut self, now: Tick, status: UpstreamStatus) {
         self.own_then = self.own;
-        self.seen = seen;
-        self.seen_at = now;
+        self.status = status;
+        self.status_at = now;
     }
 
     /// Requests that are probably there: own ones, and others' by the discounted report.
     pub fn estimate(&self, now: Tick) -> f64 {
-        let others = f64::from(self.seen.running.saturating_sub(self.own_then));
-        let age = now.since(self.seen_at).min(REPORT_LIFE) as f64;
+        let others = f64::from(self.status.running.saturating_sub(self.own_then));
+        let age = now.since(self.status_at).min(REPORT_LIFE) as f64;
         f64::from(self.own) + others * (1.0 - age / REPORT_LIFE as f64)
     }
 
@@ -124,12 +124,12 @@
 
     /// Whether new work may be sent at all.
     pub fn takes_work(&self) -> bool {
-        !self.upstream.leaving && !self.seen.leaving
+        !self.upstream.leaving && !self.status.leaving
     }
 
     /// Whether `entry` can be served.
     pub fn serves(&self, entry: &Name) -> bool {
-        self.takes_work() && self.seen.entries.get(entry) == Some(&Phase::Ready)
+        self.takes_work() && self.status.entries.get(entry) == Some(&Phase::Ready)
     }
 
     /// A request ended well.
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/retry_budget.rs
@@ -2,7 +2,7 @@
 
 /// A bucket that requests fill and retries empty.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     tokens: f64,
 }
 
@@ -12,20 +12,20 @@
 /// Most retries saved up.
 const MOST: f64 = 10.0;
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
         Self { tokens: MOST }
     }
 }
 
-impl Budget {
+impl RetryBudget {
     /// A request arrived.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.tokens = (self.tokens + SHARE).min(MOST);
     }
 
     /// Whether a retry is allowed; takes it from the budget.
-    pub fn spend(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,7 +1,7 @@
 //! The router's state machine.
 
 use crate::{
-    Budget, Replica, Seen, Upstream, Work,
+    Replica, RetryBudget, ServiceTime, Upstream, UpstreamStatus,
     choose::{Wish, choose},
     index::Index,
     queue::{Key, Queue},
@@ -28,24 +28,24 @@
     /// When its answer is worth nothing any more.
     pub deadline: Tick,
     /// Whether it must not run twice.
-    pub once: bool,
+    pub once_only: bool,
     /// Hash of the prompt's beginning; 0 for none.
     pub prefix: u64,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     /// With a whole answer.
-    Done,
+    Completed,
     /// Refused for load, for a missing entry or for leaving: not run.
     Refused,
     /// Nobody answered at the address: not run.
-    Dead,
+    Unreachable,
     /// Broken off; the verdict tells what is known.
     Failed(Verdict),
     /// The caller has gone.
-    Gone,
+    CallerGone,
 }
 
 /// What happens to a router.
@@ -58,18 +58,18 @@
         /// The request.
         id: u64,
         /// How.
-        end: End,
+        end: AttemptEnd,
         /// Whether the caller has bytes of an answer.
-        sent: bool,
+        response_started: bool,
     },
     /// The declared upstreams.
     Upstreams(Vec<Upstream>),
     /// A report on an upstream.
-    Seen {
+    Status {
         /// Its name.
         upstream: Name,
         /// The report.
-        seen: Seen,
+        status: UpstreamStatus,
     },
     /// Time passes.
     Tick,
@@ -79,13 +79,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// The deadline can't be met by the present queue.
-    Late,
+    DeadlineUnmeetable,
     /// Too many requests wait.
-    Full,
+    QueueFull,
     /// No upstream has it, and none will in time.
-    Nowhere,
+    NoUpstream,
     /// The upstreams failed, and no retry is allowed.
-    Failed,
+    UpstreamFailed,
 }
 
 /// A final refusal.
@@ -96,7 +96,7 @@
     /// Whether the request may have run.
     pub verdict: Verdict,
     /// When it may be tried again, in milliseconds.
-    pub retry_after: u64,
+    pub retry_after_ms: u64,
 }
 
 /// What the driver is to do.
@@ -128,7 +128,7 @@
     /// The failure domain of this host.
     pub domain: Name,
     /// Most requests waiting.
-    pub queue: usize,
+    pub max_queued: usize,
 }
 
 /// An attempt under way.
@@ -156,11 +156,11 @@
 
 /// What of a target arrived since it was last asked.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Arrived {
+pub struct Arrivals {
     /// Requests.
     pub count: u32,
     /// Milliseconds of slots that they will probably take.
-    pub work: f64,
+    pub slot_ms: f64,
 }
 
 /// Most attempts for one request.
@@ -181,9 +181,9 @@
     running: BTreeMap<u64, Running>,
     /// Earlier attempts of requests that wait again.
     tried: BTreeMap<u64, Tried>,
-    work: BTreeMap<Name, Work>,
-    arrived: BTreeMap<Name, Arrived>,
-    budget: Budget,
+    work: BTreeMap<Name, ServiceTime>,
+    arrivals: BTreeMap<Name, Arrivals>,
+    budget: RetryBudget,
 }
 
 impl Router {
@@ -196,8 +196,8 @@
             running: BTreeMap::new(),
             tried: BTreeMap::new(),
             work: BTreeMap::new(),
-            arrived: BTreeMap::new(),
-            budget: Budget::default(),
+            arrivals: BTreeMap::new(),
+            budget: RetryBudget::default(),
         }
     }
 
@@ -212,13 +212,13 @@
     }
 
     /// How long requests of `target` keep a slot busy.
-    pub fn work(&self, target: &str) -> Work {
+    pub fn service_time(&self, target: &str) -> ServiceTime {
         self.work.get(target).copied().unwrap_or_default()
     }
 
     /// What has arrived since this was last called, by target.
-    pub fn take_arrived(&mut self) -> BTreeMap<Name, Arrived> {
-        std::mem::take(&mut self.arrived)
+    pub fn take_arrivals(&mut self) -> BTreeMap<Name, Arrivals> {
+        std::mem::take(&mut self.arrivals)
     }
 
     /// Takes an event and says what to do.
@@ -226,9 +226,11 @@
         let mut out = Vec::new();
         match event {
             Event::Arrive(request) => self.arrive(now, request, &mut out),
-            Event::Ended { id, end, sent } => self.ended(now, id, end, sent, &mut out),
+            Event::Ended { id, end, response_started } => {
+                self.ended(now, id, end, response_started, &mut out)
+            }
             Event::Upstreams(upstreams) => self.replicas.declare(now, upstreams),
-            Event::Seen { upstream, seen } => self.replicas.report(now, &upstream, seen),
+            Event::Status { upstream, status } => self.replicas.report(now, &upstream, status),
             Event::Tick => self.expire(now, &mut out),
         }
         self.dispatch(now, &mut out);
@@ -236,36 +238,36 @@
     }
 
     fn arrive(&mut self, now: Tick, request: Request, out: &mut Vec<Action>) {
-        self.budget.earn();
-        let work = self.work(&request.target);
-        let arrived = self.arrived.entry(request.target.clone()).or_default();
-        arrived.count += 1;
-        arrived.work += work.millis;
+        self.budget.deposit();
+        let work = self.service_time(&request.target);
+        let arrivals = self.arrivals.entry(request.target.clone()).or_default();
+        arrivals.count += 1;
+        arrivals.slot_ms += work.mean_ms;
         if let Some(refusal) = self.judge(now, &request) {
             return out.push(Action::Refuse { id: request.id, refusal });
         }
         self.queue.push(request);
-        if self.queue.len() > self.options.queue
+        if self.queue.len() > self.options.max_queued
             && let Some((target, key)) = self.queue.last()
         {
-            self.refuse_queued(now, &target, key, Reason::Full, out);
+            self.refuse_queued(now, &target, key, Reason::QueueFull, out);
         }
     }
 
     /// Why `request` can't be served in time; `None` if it probably can.
     fn judge(&self, now: Tick, request: &Request) -> Option<Refusal> {
-        let work = self.work(&request.target).millis;
+        let work = self.service_time(&request.target).mean_ms;
         let wait = self.wait(now, request);
         let left = request.deadline.since(now) as f64;
         let refuse = |reason, millis: f64| {
-            let retry_after = (millis as u64).max(LEAST_RETRY);
-            Some(Refusal { reason, verdict: Verdict::NotRun, retry_after })
+            let retry_after_ms = (millis as u64).max(LEAST_RETRY);
+            Some(Refusal { reason, verdict: Verdict::NotRun, retry_after_ms })
         };
         match wait {
-            None if left < LOAD_MILLIS as f64 => refuse(Reason::Nowhere, LOAD_MILLIS as f64),
+            None if left < LOAD_MILLIS as f64 => refuse(Reason::NoUpstream, LOAD_MILLIS as f64),
             None => None,
             Some(wait) if wait > 0.0 && wait + work > left => {
-                refuse(Reason::Late, wait + work - left)
+                refuse(Reason::DeadlineUnmeetable, wait + work - left)
             }
             Some(_) => None,
         }
@@ -284,7 +286,7 @@
         let slots: f64 = serving.iter().map(|r| f64::from(r.upstream.slots)).sum();
         let there: f64 = serving.iter().map(|r| r.estimate(now)).sum();
         let ahead = self.queue.ahead(&request.target, request.rank, request.deadline) as f64;
-        let work = self.work(&request.target).millis;
+        let work = self.service_time(&request.target).mean_ms;
         Some(((there + ahead + 1.0 - slots).max(0.0)) * work / slots.max(1.0))
     }
 
@@ -300,20 +302,20 @@
             return;
         };
         let wait = self.wait(now, &request).unwrap_or(LOAD_MILLIS as f64);
-        let retry_after = (wait as u64).max(LEAST_RETRY);
+        let retry_after_ms = (wait as u64).max(LEAST_RETRY);
         let verdict = self.tried.remove(&request.id).map_or(Verdict::NotRun, |t| t.verdict);
-        let refusal = Refusal { reason, verdict, retry_after };
+        let refusal = Refusal { reason, verdict, retry_after_ms };
         out.push(Action::Refuse { id: request.id, refusal });
     }
 
     /// Refuses requests whose deadline can't be met any more.
     fn expire(&mut self, now: Tick, out: &mut Vec<Action>) {
         let hopeless = |r: &Request| {
-            let work = self.work(&r.target).millis;
+            let work = self.service_time(&r.target).mean_ms;
             (r.deadline.since(now) as f64) < work * 0.5
         };
         for (target, key) in self.queue.find(hopeless) {
-            self.refuse_queued(now, &target, key, Reason::Late, out);
+            self.refuse_queued(now, &target, key, Reason::DeadlineUnmeetable, out);
         }
     }
 
@@ -358,30 +360,37 @@
         true
     }
 
-    fn ended(&mut self, now: Tick, id: u64, end: End, sent: bool, out: &mut Vec<Action>) {
+    fn ended(
+        &mut self,
+        now: Tick,
+        id: u64,
+        end: AttemptEnd,
+        response_started: bool,
+        out: &mut Vec<Action>,
+    ) {
         let Some(running) = self.running.remove(&id) else {
             return self.cancel_queued(id);
         };
         if let Some(replica) = self.replicas.get_mut(&running.upstream) {
             replica.own = replica.own.saturating_sub(1);
             match end {
-                End::Done => replica.succeeded(),
-                End::Refused => replica.refused(now, BUSY_MILLIS),
-                End::Dead => replica.failed(now, true),
-                End::Failed(_) => replica.failed(now, false),
-                End::Gone => {}
+                AttemptEnd::Completed => replica.succeeded(),
+                AttemptEnd::Refused => replica.refused(now, BUSY_MILLIS),
+                AttemptEnd::Unreachable => replica.failed(now, true),
+                AttemptEnd::Failed(_) => replica.failed(now, false),
+                AttemptEnd::CallerGone => {}
             }
         }
         let verdict = match end {
-            End::Done => {
+            AttemptEnd::Completed => {
                 let work = self.work.entry(running.request.target.clone()).or_default();
                 return work.learn(now.since(running.since) as f64);
             }
-            End::Gone => return,
-            End::Refused | End::Dead => Verdict::NotRun,
-            End::Failed(verdict) => verdict,
+            AttemptEnd::CallerGone => return,
+            AttemptEnd::Refused | AttemptEnd::Unreachable => Verdict::NotRun,
+            AttemptEnd::Failed(verdict) => verdict,
         };
-        if !sent {
+        if !response_started {
             self.retry(now, running, verdict, out);
         }
     }
@@ -399,21 +408,25 @@
         let mut tried = running.tried;
         tried.verdict = tried.verdict.max(verdict);
         let allowed =
-            verdict == Verdict::NotRun || (verdict == Verdict::MayHaveRun && !request.once);
+            verdict == Verdict::NotRun || (verdict == Verdict::MayHaveRun && !request.once_only);
         let id = request.id;
         if allowed
             && running.tried.count < MOST_ATTEMPTS
             && request.deadline > now
-            && self.budget.spend()
+            && self.budget.withdraw()
         {
             self.tried.insert(id, tried);
             return self.queue.push(request);
         }
         let wait = self.wait(now, &request).unwrap_or(LOAD_MILLIS as f64);
-        let retry_after = (wait as u64).max(LEAST_RETRY);
+        let retry_after_ms = (wait as u64).max(LEAST_RETRY);
         out.push(Action::Refuse {
             id,
-            refusal: Refusal { reason: Reason::Failed, verdict: tried.verdict, retry_after },
+            refusal: Refusal {
+                reason: Reason::UpstreamFailed,
+                verdict: tried.verdict,
+                retry_after_ms,
+            },
         });
     }
 }
--- a/crates/route/src/work.rs
+++ b/crates/route/src/service_time.rs
@@ -2,11 +2,11 @@
 
 /// Averages over the last requests of one target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Work {
+pub struct ServiceTime {
     /// Milliseconds of a slot for one request.
-    pub millis: f64,
+    pub mean_ms: f64,
     /// Requests that ended, up to a bound.
-    seen: f64,
+    samples: f64,
 }
 
 /// Assumed until the first request has ended.
@@ -15,16 +15,16 @@
 /// How many requests the average looks back.
 const WINDOW: f64 = 50.0;
 
-impl Default for Work {
+impl Default for ServiceTime {
     fn default() -> Self {
-        Self { millis: GUESS_MILLIS, seen: 0.0 }
+        Self { mean_ms: GUESS_MILLIS, samples: 0.0 }
     }
 }
 
-impl Work {
+impl ServiceTime {
     /// A request took `millis`.
     pub fn learn(&mut self, millis: f64) {
-        self.seen = (self.seen + 1.0).min(WINDOW);
-        self.millis += (millis - self.millis) / self.seen;
+        self.samples = (self.samples + 1.0).min(WINDOW);
+        self.mean_ms += (millis - self.mean_ms) / self.samples;
     }
 }
--- a/crates/route/tests/verdicts.rs
+++ b/crates/route/tests/verdicts.rs
@@ -1,14 +1,14 @@
 //! What a refused request is told.
 
 use vanetally_route::{
-    Action, End, Event, Options, Phase, Reason, Request, Router, Seen, Upstream,
+    Action, AttemptEnd, Event, Options, Phase, Reason, Request, Router, Upstream, UpstreamStatus,
 };
 use vanetally_types::{Name, Tick, Verdict};
 
 const NOW: Tick = Tick(10_000);
 
 fn router(upstreams: &[&str]) -> Router {
-    let mut router = Router::new(Options { domain: "a".into(), queue: 10 });
+    let mut router = Router::new(Options { domain: "a".into(), max_queued: 10 });
     let upstream = |name: &&str| Upstream {
         name: (*name).into(),
         url: "http://10.0.0.1:1".into(),
@@ -18,17 +18,17 @@
     };
     router.handle(NOW, Event::Upstreams(upstreams.iter().map(upstream).collect()));
     for name in upstreams {
-        let seen = Seen {
+        let status = UpstreamStatus {
             entries: [("m@v1".into(), Phase::Ready)].into(),
             reachable: true,
-            ..Seen::default()
+            ..UpstreamStatus::default()
         };
-        router.handle(NOW, Event::Seen { upstream: (*name).into(), seen });
+        router.handle(NOW, Event::Status { upstream: (*name).into(), status });
     }
     router
 }
 
-fn request(id: u64, once: bool) -> Request {
+fn request(id: u64, once_only: bool) -> Request {
     Request {
         id,
         caller: "desk".into(),
@@ -36,13 +36,13 @@
         entries: vec![Name::from("m@v1")],
         rank: 0,
         deadline: NOW + 60_000,
-        once,
+        once_only,
         prefix: 0,
     }
 }
 
-fn ended(router: &mut Router, end: End) -> Vec<Action> {
-    router.handle(NOW, Event::Ended { id: 1, end, sent: false })
+fn ended(router: &mut Router, end: AttemptEnd) -> Vec<Action> {
+    router.handle(NOW, Event::Ended { id: 1, end, response_started: false })
 }
 
 fn verdict(actions: &[Action]) -> Option<Verdict> {
@@ -57,12 +57,12 @@
     // The first attempt may have run; that the second did not says nothing of the first.
     let mut router = router(&["r1", "r2"]);
     router.handle(NOW, Event::Arrive(request(1, false)));
-    let again = ended(&mut router, End::Failed(Verdict::MayHaveRun));
+    let again = ended(&mut router, AttemptEnd::Failed(Verdict::MayHaveRun));
     assert!(matches!(again[..], [Action::Call { .. }]), "{again:?}");
-    let mut last = ended(&mut router, End::Dead);
+    let mut last = ended(&mut router, AttemptEnd::Unreachable);
     while verdict(&last).is_none() {
         assert!(matches!(last[..], [Action::Call { .. }]), "{last:?}");
-        last = ended(&mut router, End::Dead);
+        last = ended(&mut router, AttemptEnd::Unreachable);
     }
     assert_eq!(verdict(&last), Some(Verdict::MayHaveRun));
 }
@@ -71,8 +71,8 @@
 fn queued_failure() {
     let mut router = router(&["r1"]);
     router.handle(NOW, Event::Arrive(request(1, false)));
-    ended(&mut router, End::Failed(Verdict::MayHaveRun));
-    router.handle(NOW, Event::Ended { id: 1, end: End::Refused, sent: false });
+    ended(&mut router, AttemptEnd::Failed(Verdict::MayHaveRun));
+    router.handle(NOW, Event::Ended { id: 1, end: AttemptEnd::Refused, response_started: false });
     let late = router.handle(NOW + 60_000, Event::Tick);
     assert_eq!(verdict(&late), Some(Verdict::MayHaveRun));
 }
@@ -81,7 +81,7 @@
 fn once_failure() {
     let mut router = router(&["r1", "r2"]);
     router.handle(NOW, Event::Arrive(request(1, true)));
-    let refused = ended(&mut router, End::Failed(Verdict::MayHaveRun));
+    let refused = ended(&mut router, AttemptEnd::Failed(Verdict::MayHaveRun));
     assert_eq!(verdict(&refused), Some(Verdict::MayHaveRun), "no second attempt");
 }
 
@@ -89,7 +89,7 @@
 fn dead_upstream() {
     let mut router = router(&["r1", "r2"]);
     router.handle(NOW, Event::Arrive(request(1, true)));
-    let again = ended(&mut router, End::Dead);
+    let again = ended(&mut router, AttemptEnd::Unreachable);
     assert!(matches!(again[..], [Action::Call { .. }]), "not run: another upstream may");
 }
 
@@ -100,8 +100,8 @@
     soon.deadline = NOW + 2_000;
     let refused = router.handle(NOW, Event::Arrive(soon));
     let [Action::Refuse { refusal, .. }] = &refused[..] else { panic!("{refused:?}") };
-    assert_eq!((refusal.reason, refusal.verdict), (Reason::Nowhere, Verdict::NotRun));
-    assert!(refusal.retry_after > 0);
+    assert_eq!((refusal.reason, refusal.verdict), (Reason::NoUpstream, Verdict::NotRun));
+    assert!(refusal.retry_after_ms > 0);
 }
 
 #[test]
@@ -118,7 +118,10 @@
             actions.iter().find(|a| matches!(a, Action::Call { .. })).cloned()
         {
             calls += 1;
-            actions = router.handle(now, Event::Ended { id, end: End::Dead, sent: false });
+            actions = router.handle(
+                now,
+                Event::Ended { id, end: AttemptEnd::Unreachable, response_started: false },
+            );
         }
     }
     let amplification = f64::from(calls) / requests as f64;
--- a/crates/standin/src/memory.rs
+++ b/crates/standin/src/memory.rs
@@ -1,6 +1,6 @@
 //! An engine's memory: what takes it, and whether it was ever overcommitted.
 
-use vanetally_ledger::{Held, Op, Phase, Refusal, Report};
+use vanetally_ledger::{HeldEntry, Op, Phase, Refusal, Report};
 use vanetally_types::{Bytes, Name};
 
 /// Entries and the fence.
@@ -67,7 +67,7 @@
             return Err(Refusal::Missing);
         }
         let base = base.cloned();
-        let held = Held { phase: Phase::Loading, bytes, in_flight: 0, base };
+        let held = HeldEntry { phase: Phase::Loading, bytes, in_flight: 0, base };
         entries.insert(entry.clone(), held);
         self.moves.0 += 1;
         let taken: Bytes = entries.values().map(|h| h.bytes).sum();
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -13,7 +13,7 @@
     time::{Duration, Instant},
 };
 use vanetally_link::http::{Exchange, Options, Reply, Server, Stopper};
-use vanetally_member::Listed;
+use vanetally_member::ListedHost;
 
 const MOST_VALUE: u64 = 1_000_000;
 const MOST_WAIT: u64 = 60_000;
@@ -61,7 +61,7 @@
     version: u64,
     leases: BTreeMap<u64, (Instant, Duration)>,
     /// The list with the time from which each state of it is visible.
-    hosts: Vec<(Instant, Vec<Listed>)>,
+    hosts: Vec<(Instant, Vec<ListedHost>)>,
     counts: Counts,
     writes: Bucket,
     reads: Bucket,
@@ -243,7 +243,7 @@
 
     fn set_hosts(&self, exchange: &mut Exchange) -> Reply {
         let body = exchange.body(MOST_VALUE).unwrap_or_default();
-        match serde_json::from_slice::<Vec<Listed>>(&body) {
+        match serde_json::from_slice::<Vec<ListedHost>>(&body) {
             Ok(list) => {
                 self.lock().hosts.push((Instant::now(), list));
                 Reply::new(200, "text/plain", "set\n")
