--- a/crates/check/src/revocation.rs
+++ b/crates/check/src/revocation.rs
@@ -120,8 +120,8 @@
     fn word(&self) -> SourceStatus {
         SourceStatus {
             host: "reader".into(),
-            life: 1,
-            stated: self.now,
+            incarnation: 1,
+            written_at: self.now,
             age_ms: self.reader.freshness.age_ms(self.now),
             version: self.reader.version,
         }
--- a/crates/fanout/src/candidate.rs
+++ b/crates/fanout/src/candidate.rs
@@ -1,43 +1,43 @@
-//! In which order hosts pass on what lies in the store.
+//! The order in which hosts are preferred as sources of store data.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 use vanetally_types::{Name, hash64, rendezvous_rank};
 
-/// A host that may pass on what lies in the store.
+/// A host that may forward store data to others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The host.
     pub host: Name,
     /// Its failure domain.
     pub domain: Name,
-    /// Its share of a processor, in percent.
+    /// The host's share of a processor, in percent.
     pub capacity: u32,
 }
 
-/// From whom a host should hear.
+/// The source that the order of hosts assigns to a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Parent {
-    /// From the store itself.
+    /// The store itself.
     Store,
-    /// From another host.
+    /// Another host.
     Host(Name),
 }
 
-/// Up to this many hosts, each one reads the store and is an aggregator of its own.
+/// Maximum number of hosts of which each one reads the store itself and acts as an aggregator.
 pub const MAX_DIRECT_READERS: usize = 12;
 
-/// Whether hosts are a fleet, in which some read the store for the others.
+/// Whether the hosts form a fleet, in which some read the store for the others.
 ///
-/// A fleet stays one until few of its hosts are left: when the store drops the keys of half of its hosts at
-/// once, the rest would otherwise all turn to it in the same moment.
+/// A fleet remains one until only half of [`MAX_DIRECT_READERS`] are left. Otherwise, when the store drops the keys of
+/// half of the hosts at once, all the others would start to read it at the same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Fleet {
     pub is_fleet: bool,
 }
 
 impl Fleet {
-    /// So many hosts live.
-    pub(crate) fn review(&mut self, hosts: usize) {
+    /// Updates the state for `hosts` live hosts.
+    pub(crate) fn update(&mut self, hosts: usize) {
         if hosts > MAX_DIRECT_READERS {
             self.is_fleet = true;
         } else if hosts <= MAX_DIRECT_READERS / 2 {
@@ -46,11 +46,11 @@
     }
 }
 
-/// Key of the choice among the aggregators of all failure domains.
+/// Hash key for the choice of the root among the aggregators of all failure domains.
 const ROOT_KEY: &[u8] = b"root";
 
-/// The aggregators among `candidates`: all where they are few, otherwise the first in the order of each
-/// failure domain.
+/// Returns the aggregators among `candidates`: all of them if they are few, otherwise the first host of each failure
+/// domain.
 pub fn aggregators<'a>(candidates: impl IntoIterator<Item = &'a Candidate>) -> Vec<&'a Name> {
     let candidates: Vec<&Candidate> = candidates.into_iter().collect();
     if candidates.len() <= MAX_DIRECT_READERS {
@@ -59,7 +59,7 @@
     firsts(candidates)
 }
 
-/// The first host in the order of each failure domain.
+/// Returns the first host in the order of each failure domain.
 pub(crate) fn firsts<'a>(candidates: impl IntoIterator<Item = &'a Candidate>) -> Vec<&'a Name> {
     let mut domains: BTreeMap<&Name, Vec<&Candidate>> = BTreeMap::new();
     for candidate in candidates {
@@ -68,7 +68,7 @@
     domains.into_iter().filter_map(|(domain, hosts)| first(domain.as_bytes(), &hosts)).collect()
 }
 
-/// The first host of each failure domain that reads the store for all of them.
+/// Returns the root: the one among the first hosts of the failure domains that reads the store for all.
 pub fn root<'a>(candidates: impl IntoIterator<Item = &'a Candidate>) -> Option<&'a Name> {
     let candidates: Vec<&Candidate> = candidates.into_iter().collect();
     let aggregators = firsts(candidates.iter().copied());
@@ -77,16 +77,16 @@
     first(ROOT_KEY, &hosts)
 }
 
-/// From whom `me` in `domain`, a host of a fleet, should hear, if only `candidates` may be asked.
+/// Returns the source of `me` in `domain`, a host of a fleet, if only `candidates` are available.
 pub(crate) fn parent<'a>(
     me: &Name,
     domain: &Name,
     candidates: impl IntoIterator<Item = &'a Candidate>,
 ) -> Parent {
     let candidates: Vec<&Candidate> = candidates.into_iter().collect();
-    let near = candidates.iter().copied().filter(|candidate| candidate.domain == *domain);
-    let near: Vec<&Candidate> = near.collect();
-    match first(domain.as_bytes(), &near) {
+    let same_domain = candidates.iter().copied().filter(|candidate| candidate.domain == *domain);
+    let same_domain: Vec<&Candidate> = same_domain.collect();
+    match first(domain.as_bytes(), &same_domain) {
         Some(host) if host != me => Parent::Host(host.clone()),
         _ => match root(candidates) {
             Some(root) if root != me => Parent::Host(root.clone()),
@@ -95,27 +95,29 @@
     }
 }
 
-/// How many of `candidates` in `domain` come before `me`, as a share of all of them.
-pub(crate) fn place<'a>(
+/// Returns the share of `candidates` in `domain` that come before `me` in the order.
+pub(crate) fn relative_rank<'a>(
     me: &Name,
     domain: &Name,
     candidates: impl IntoIterator<Item = &'a Candidate>,
 ) -> f64 {
-    let near: Vec<&Candidate> =
+    let same_domain: Vec<&Candidate> =
         candidates.into_iter().filter(|candidate| candidate.domain == *domain).collect();
-    let order = order(domain.as_bytes(), &near);
+    let order = ranked(domain.as_bytes(), &same_domain);
     let before = order.iter().position(|host| *host == me).unwrap_or(order.len());
     before as f64 / order.len().max(1) as f64
 }
 
+/// Returns the first of `hosts` in the order for `key`.
 fn first<'a>(key: &[u8], hosts: &[&'a Candidate]) -> Option<&'a Name> {
-    let most = hosts.iter().map(|host| host.capacity).max()?;
-    let strong = hosts.iter().filter(|host| host.capacity == most).map(|host| &host.host);
-    rendezvous_rank(hash64(key), strong).first().copied()
+    let max_capacity = hosts.iter().map(|host| host.capacity).max()?;
+    let strongest =
+        hosts.iter().filter(|host| host.capacity == max_capacity).map(|host| &host.host);
+    rendezvous_rank(hash64(key), strongest).first().copied()
 }
 
-/// The hosts with the largest capacity first; among equals their names decide.
-fn order<'a>(key: &[u8], hosts: &[&'a Candidate]) -> Vec<&'a Name> {
+/// Returns `hosts` by descending capacity, those of equal capacity in the order of a hash of their names and `key`.
+fn ranked<'a>(key: &[u8], hosts: &[&'a Candidate]) -> Vec<&'a Name> {
     let capacity: BTreeMap<&Name, u32> =
         hosts.iter().map(|host| (&host.host, host.capacity)).collect();
     let mut order = rendezvous_rank(hash64(key), hosts.iter().map(|host| &host.host));
--- a/crates/fanout/src/event.rs
+++ b/crates/fanout/src/event.rs
@@ -1,80 +1,80 @@
-//! What goes into the choice of a source and what comes out.
+//! Inputs and outputs of the source selection.
 
 use crate::{Candidate, Path};
 use std::collections::BTreeSet;
 use vanetally_types::Name;
 
-/// Where a host reads what lies in the store.
+/// Where a host reads store data from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// Nowhere yet: it looks for a host to hear from.
+    /// No source yet: the host is looking for another host to subscribe to.
     Searching,
-    /// It watches the store.
+    /// The store itself, which the host watches.
     Store,
-    /// Another host passes on what it knows.
+    /// Another host, which forwards what it knows.
     Host(Name),
 }
 
-/// Something that happened.
+/// An input of the source selection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The hosts that live, this one included.
+    /// The live hosts, this one included.
     Candidates(Vec<Candidate>),
-    /// A host that others hear from told how it stands.
+    /// A host that others subscribe to sent its status.
     Status {
         /// The host.
         from: Name,
-        /// Milliseconds since the store last confirmed what it passes on; none if it never did.
+        /// Milliseconds since the store last confirmed the host's data; `None` if it never did.
         age_ms: Option<u64>,
-        /// Whether it is about to stop.
+        /// Whether the host is about to stop.
         is_leaving: bool,
     },
-    /// By way of whom a host hears from the store, the one that reads it first; told with what it says.
+    /// A host sent the path of its data, along with its status.
     Path {
         /// The host.
         from: Name,
-        /// The marks of the hosts, itself included; empty if it does not say.
+        /// The hosts from the reader of the store to the sender, both included; empty if the sender does not state it.
         path: Path,
     },
-    /// All that a host knows was taken over.
+    /// A complete copy of another host's data was received and applied.
     Synced {
         /// The host.
         from: Name,
-        /// Milliseconds since the store last confirmed it; none if it never did.
+        /// Milliseconds since the store last confirmed the data; `None` if it never did.
         age_ms: Option<u64>,
     },
-    /// Something that the source passed on is missing.
+    /// Changes that the source forwarded did not arrive.
     ChangesMissed,
-    /// Milliseconds since the store last confirmed what this host reads there; none if it never did.
+    /// Milliseconds since the store last confirmed what this host reads there; `None` if it never did.
     StoreConfirmed(Option<u64>),
-    /// The store answered a probe, or did not.
+    /// Whether the store answered a probe.
     Probed(bool),
-    /// The hosts that hear from this one.
+    /// The hosts that subscribe to this one.
     Subscribers(BTreeSet<Name>),
-    /// This host did not run for a while, though it is not told so: what others said meanwhile comes now.
+    /// This host did not run for a while; messages sent to it meanwhile are still to be processed.
     Stalled,
     /// Time passed.
     Tick,
 }
 
-/// What has to be done.
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask a host for what is new to this one, and for changes from then on.
+    /// Ask a host for everything newer than what this host knows, and for all later changes.
     Subscribe(Name),
-    /// Tell a host that its messages are needed no more.
+    /// Cancel the subscription to a host.
     Unsubscribe(Name),
-    /// Read the list of hosts, however old.
+    /// Read the list of hosts from the store; a stale list will do.
     ListHosts,
-    /// Read something small from the store, to see whether it answers.
+    /// Read a small value from the store to find out whether it answers.
     Probe,
-    /// Tell all hosts how this one stands: it reads the store, while those before it in the order can't.
+    /// Send this host's status to all hosts: it reads the store, while those before it in the order cannot.
     Announce,
-    /// From now on this is the source.
+    /// Use this source from now on.
     Switch {
-        /// The source.
+        /// The new source.
         to: Source,
-        /// Why the earlier one was left.
+        /// Why the previous source was left.
         reason: Reason,
     },
 }
@@ -82,20 +82,20 @@
 /// Why a source was left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The new one comes first in the order of hosts.
+    /// The new source comes first in the order of hosts.
     Order,
-    /// The earlier one fell silent.
+    /// The previous source stopped sending.
     Silent,
-    /// The earlier one's word was too old.
+    /// The data of the previous source was stale.
     Stale,
-    /// The earlier one stops.
+    /// The previous source is stopping.
     Leaving,
-    /// Nobody answered in time.
+    /// No other host answered in time.
     NoAnswer,
 }
 
 impl Reason {
-    /// The word for the log.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Order => "order",
--- a/crates/fanout/src/freshness.rs
+++ b/crates/fanout/src/freshness.rs
@@ -1,112 +1,120 @@
-//! Up to which moment the configuration in force is certainly the newest.
+//! The latest time at which the configuration in force was certainly the newest.
 //!
-//! A host that reads the store counts from the sending of the question that the store answered. A host that hears
-//! from another one is told how old that one's knowledge is; but a word may have been on its way for any time. So it
-//! asks the other host for its clock: the answer can't have been written before the question was sent. From then on
-//! each word, which states when it was written by the same clock, is counted on this host's own clock, at worst as
-//! older than it is.
+//! For a host that reads the store, this is the time when it sent the last call that the store answered. A host that
+//! reads from another host receives the age of that host's configuration, but the message may have been delayed by any
+//! time. So it requests the other host's clock: the reply cannot have been written before the request was sent. With
+//! that, it converts the time stamp of each later status message to its own clock, and never counts a status as newer
+//! than it is.
 
 use vanetally_types::{Name, Tick};
 
-/// One life of a host's process.
+/// Identifies one run of a host's process.
 pub type HostIncarnation = u64;
 
-/// What one host knows.
+/// Tracks how recently one host's configuration was confirmed as the newest.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Freshness {
-    confirmed: Option<Tick>,
+    confirmed_at: Option<Tick>,
     clock: Option<SourceClock>,
-    /// When the source was last asked for its clock.
-    asked: Option<(Name, Tick)>,
+    /// The source whose clock was last requested, and when.
+    clock_request: Option<(Name, Tick)>,
 }
 
-/// The clock of another host: when it showed `stated`, this host's showed `asked` or more.
+/// The clock of another host: when it showed `remote_time`, this host's clock showed `local_time` or later.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SourceClock {
     host: Name,
-    life: HostIncarnation,
-    asked: Tick,
-    stated: Tick,
+    incarnation: HostIncarnation,
+    local_time: Tick,
+    remote_time: Tick,
 }
 
 impl SourceClock {
-    /// The least that this host's clock showed when the other's showed `stated`.
-    fn own_time(&self, stated: Tick) -> Tick {
-        self.asked + stated.since(self.stated) - self.stated.since(stated)
+    /// Returns the earliest time that this host's clock can have shown when the other's showed `remote_time`.
+    fn to_local(&self, remote_time: Tick) -> Tick {
+        self.local_time + remote_time.since(self.remote_time) - self.remote_time.since(remote_time)
     }
 }
 
-/// A word of a host that passes on what it knows.
+/// The status of a host that forwards store data.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SourceStatus {
     /// The host.
     pub host: Name,
-    /// The life of its process.
-    pub life: HostIncarnation,
-    /// When it was written, by that host's clock.
-    pub stated: Tick,
-    /// Milliseconds since the host's configuration was certainly the newest; none if that is not known.
+    /// The incarnation of its process.
+    pub incarnation: HostIncarnation,
+    /// When the status was written, by that host's clock.
+    pub written_at: Tick,
+    /// Milliseconds since the host's configuration was certainly the newest; `None` if unknown.
     pub age_ms: Option<u64>,
     /// The version of that configuration.
     pub version: u64,
 }
 
-/// The source's clock is asked for this often, in milliseconds: an answer that took long makes all words older by as
-/// much, until a quicker one comes.
-const ASK_MS: u64 = 2_000;
+/// Interval between requests for the source's clock. A slow reply makes every status count as older by its delay until a
+/// faster one arrives.
+const CLOCK_REQUEST_MS: u64 = 2_000;
 
 impl Freshness {
-    /// The store answered a question that was sent at `asked`, and what it told is in force.
-    pub fn record_read(&mut self, asked: Tick) {
-        self.confirmed = self.confirmed.max(Some(asked));
+    /// Records that the store answered a call sent at `sent` and that the configuration it returned is in force.
+    pub fn record_read(&mut self, sent: Tick) {
+        self.confirmed_at = self.confirmed_at.max(Some(sent));
     }
 
-    /// When the configuration in force was certainly the newest.
+    /// Returns the latest time at which the configuration in force was certainly the newest.
     pub fn confirmed_at(&self) -> Option<Tick> {
-        self.confirmed
+        self.confirmed_at
     }
 
-    /// Milliseconds since then, for others.
+    /// Returns the milliseconds since [`Self::confirmed_at`], to be sent to other hosts.
     pub fn age_ms(&self, now: Tick) -> Option<u64> {
-        self.confirmed.map(|at| now.since(at))
+        self.confirmed_at.map(|at| now.since(at))
     }
 
-    /// Whether to ask `source` for its clock now; takes it as asked.
-    pub fn should_ask_clock(&mut self, now: Tick, source: &Name) -> bool {
-        let is_recent = |(host, at): &(Name, Tick)| host == source && now.since(*at) < ASK_MS;
-        if self.asked.as_ref().is_some_and(is_recent) {
+    /// Whether to request the clock of `source` now; records the request if so.
+    pub fn should_request_clock(&mut self, now: Tick, source: &Name) -> bool {
+        let is_recent =
+            |(host, at): &(Name, Tick)| host == source && now.since(*at) < CLOCK_REQUEST_MS;
+        if self.clock_request.as_ref().is_some_and(is_recent) {
             return false;
         }
-        self.asked = Some((source.clone(), now));
+        self.clock_request = Some((source.clone(), now));
         true
     }
 
-    /// A host answered with its clock, and a word, to the question that was sent at `asked`.
-    pub fn record_clock(&mut self, asked: Tick, word: &SourceStatus, own_version: u64) {
-        let new =
-            SourceClock { host: word.host.clone(), life: word.life, asked, stated: word.stated };
-        let is_same = |old: &&SourceClock| old.host == new.host && old.life == new.life;
-        let is_worse = self
+    /// Records a host's clock and status, received in reply to a request that was sent at `requested`.
+    pub fn record_clock(&mut self, requested: Tick, status: &SourceStatus, own_version: u64) {
+        let new = SourceClock {
+            host: status.host.clone(),
+            incarnation: status.incarnation,
+            local_time: requested,
+            remote_time: status.written_at,
+        };
+        let is_same =
+            |old: &&SourceClock| old.host == new.host && old.incarnation == new.incarnation;
+        let is_less_precise = self
             .clock
             .as_ref()
             .filter(is_same)
-            .is_some_and(|old| old.own_time(new.stated) >= new.asked);
-        if !is_worse {
+            .is_some_and(|old| old.to_local(new.remote_time) >= new.local_time);
+        if !is_less_precise {
             self.clock = Some(new);
         }
-        self.record_status(word, own_version);
+        self.record_status(status, own_version);
     }
 
-    /// The source told how it stands.
-    pub fn record_status(&mut self, word: &SourceStatus, own_version: u64) {
+    /// Records a status message of the source.
+    pub fn record_status(&mut self, status: &SourceStatus, own_version: u64) {
         let clock = self.clock.as_ref();
-        let clock = clock.filter(|clock| clock.host == word.host && clock.life == word.life);
-        let (Some(clock), Some(age_ms)) = (clock, word.age_ms) else {
+        let clock = clock
+            .filter(|clock| clock.host == status.host && clock.incarnation == status.incarnation);
+        let (Some(clock), Some(age_ms)) = (clock, status.age_ms) else {
             return;
         };
-        // What is newer here was in force after the moment that the word is about.
-        if own_version >= word.version {
-            self.confirmed = self.confirmed.max(Some(clock.own_time(word.stated) - age_ms));
+        // A newer version here was still the newest at the time that the status refers to.
+        if own_version >= status.version {
+            self.confirmed_at =
+                self.confirmed_at.max(Some(clock.to_local(status.written_at) - age_ms));
         }
     }
 }
--- a/crates/fanout/src/lib.rs
+++ b/crates/fanout/src/lib.rs
@@ -1,10 +1,12 @@
-//! Which hosts follow the store for the others of their failure domain, and gather their loads.
+//! Distribution of store data from host to host, and aggregation of the hosts' loads.
 //!
-//! In a large deployment one host, the root, watches the store and passes on what it reads to one host
-//! of each failure domain, the aggregator, and that one to the others, which report their load to it and
-//! hear the sum of all. The calls to the store and the messages of a host do not grow with the number of
-//! hosts. No agreement is needed: any host may be asked, and one that is passes on what it knows and how
-//! old that is. State machines only: no clock, no socket.
+//! In a large deployment one host, the root, watches the store and forwards what it reads to one host
+//! of each failure domain, the aggregator. The aggregator forwards it to the other hosts of its domain,
+//! which report their load to the aggregator and receive the total. The number of store calls and the
+//! number of messages per host do not grow with the number of hosts. No consensus is needed: any host
+//! accepts subscriptions, and then forwards what it knows together with the age of that data.
+//!
+//! The crate holds state machines only: the caller supplies the time and does all I/O.
 #![deny(missing_docs, unsafe_code)]
 
 mod candidate;
--- a/crates/fanout/src/mirror.rs
+++ b/crates/fanout/src/mirror.rs
@@ -1,139 +1,142 @@
-//! What lies in the store under one prefix, as far as this host knows.
+//! A host's copy of the keys under one prefix of the store.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use vanetally_ports::{Change, Item, Revision};
 use vanetally_types::Name;
 
-/// Changes that can't be applied: something before them is missing, or they are of another era.
+/// Changes cannot be applied: earlier changes are missing, or they belong to another era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gap;
 
-/// The keys of one prefix at one revision, all of its era.
+/// The keys under one prefix at one revision, all from that revision's era.
 #[derive(Clone, Debug, Default)]
 pub struct Mirror {
     items: BTreeMap<Name, Item>,
-    /// None until all keys were read once.
-    at: Option<Revision>,
-    /// No older reading may be taken: the last reading, or the last change since.
+    /// `None` until all keys were read once.
+    revision: Option<Revision>,
+    /// The last full read, or the last change since; an older read is not applied.
     newest: Revision,
-    /// Keys that went, oldest first.
-    gone: VecDeque<(Revision, Name)>,
-    /// All keys that went after this are among them.
-    gone_since: Revision,
+    /// Deleted keys, oldest first.
+    deleted: VecDeque<(Revision, Name)>,
+    /// `deleted` holds all keys that were deleted after this revision.
+    deleted_since: Revision,
 }
 
-/// Keys that went and are remembered, to tell other hosts what has changed.
-const MOST_GONE: usize = 4_096;
+/// Maximum number of deleted keys kept to compute differences for other hosts.
+const MAX_DELETED: usize = 4_096;
 
 impl Mirror {
-    /// The revision up to which all changes are known.
+    /// Returns the revision up to which all changes are known.
     pub fn revision(&self) -> Option<Revision> {
-        self.at
+        self.revision
     }
 
-    /// Whether something is missing of what was told up to `told`.
-    pub fn is_behind(&self, told: Revision) -> bool {
-        self.at.is_none_or(|at| at < told)
+    /// Whether changes up to `announced` are missing.
+    pub fn is_behind(&self, announced: Revision) -> bool {
+        self.revision.is_none_or(|known| known < announced)
     }
 
-    /// Whether `key` is there.
+    /// Whether `key` exists.
     pub fn contains(&self, key: &str) -> bool {
         self.items.contains_key(key)
     }
 
-    /// All keys.
+    /// Returns all keys with their values.
     pub fn items(&self) -> impl Iterator<Item = &Item> {
         self.items.values()
     }
 
-    /// All keys were read at `at`, or somewhat later. A reading older than what is known is not
-    /// taken; tells whether it was.
+    /// Replaces all keys by those of a full read at `at` or slightly later.
+    ///
+    /// A read older than the known state is not applied; returns whether it was applied.
     pub fn try_replace(&mut self, at: Revision, items: &[Item]) -> bool {
         if at < self.newest {
             return false;
         }
         self.newest = at;
         if self.is_same_era(at) {
-            self.note_unlisted(at, items);
+            self.record_unlisted(at, items);
         } else {
-            self.gone.clear();
-            self.gone_since = at;
+            self.deleted.clear();
+            self.deleted_since = at;
         }
         self.items = items.iter().map(|item| (item.key.clone(), item.clone())).collect();
-        // Nothing changed between this reading and what is known: that stays known.
-        self.at = self.at.max(Some(at));
+        // No key changed between this read and the known revision: the higher one remains.
+        self.revision = self.revision.max(Some(at));
         true
     }
 
-    /// Whether a reading at `at` goes on with what is known: both are of one era, so that what differs can be told.
+    /// Whether `at` belongs to the known era, so that a difference can be computed.
     pub fn is_same_era(&self, at: Revision) -> bool {
-        self.at.is_some_and(|known| known.era == at.era)
+        self.revision.is_some_and(|known| known.era == at.era)
     }
 
-    /// Nothing beyond what is known changed up to `at`.
+    /// Records that no key changed between the known revision and `at`.
     pub fn advance(&mut self, at: Revision) {
         if self.is_same_era(at) {
-            self.at = self.at.max(Some(at));
+            self.revision = self.revision.max(Some(at));
         }
     }
 
-    /// What changed after `have`, for a host that knows everything up to there; `None` if what went since
-    /// then is not remembered, `have` is of another era, or nothing was read.
+    /// Returns the changes after `have`, for a host that knows everything up to that revision.
+    ///
+    /// Returns `None` if deletions since then are no longer kept, `have` belongs to another era, or nothing was read.
     pub fn changes_since(&self, have: Revision) -> Option<Vec<Change>> {
-        if !self.is_same_era(have) || have < self.gone_since {
+        if !self.is_same_era(have) || have < self.deleted_since {
             return None;
         }
-        let gone = self.gone.iter().filter(|(revision, _)| *revision > have);
-        let gone = gone.filter(|(_, key)| !self.items.contains_key(key));
-        let gone =
-            gone.map(|(revision, key)| Change::Deleted { key: key.clone(), revision: *revision });
+        let deleted = self.deleted.iter().filter(|(revision, _)| *revision > have);
+        let deleted = deleted.filter(|(_, key)| !self.items.contains_key(key));
+        let deleted =
+            deleted.map(|(revision, key)| Change::Deleted { key: key.clone(), revision: *revision });
         let put = self.items.values().filter(|item| item.revision > have);
-        Some(gone.chain(put.cloned().map(Change::Put)).collect())
+        Some(deleted.chain(put.cloned().map(Change::Put)).collect())
     }
 
-    fn note_unlisted(&mut self, at: Revision, items: &[Item]) {
+    /// Records the known keys that `items`, a full read at `at`, does not hold as deleted.
+    fn record_unlisted(&mut self, at: Revision, items: &[Item]) {
         let listed: BTreeSet<&Name> = items.iter().map(|item| &item.key).collect();
-        let gone: Vec<Name> =
+        let unlisted: Vec<Name> =
             self.items.keys().filter(|key| !listed.contains(key)).cloned().collect();
-        gone.into_iter().for_each(|key| self.note_gone(at, key));
+        unlisted.into_iter().for_each(|key| self.record_deleted(at, key));
     }
 
-    fn note_gone(&mut self, revision: Revision, key: Name) {
-        self.gone.push_back((revision, key));
-        if self.gone.len() > MOST_GONE
-            && let Some((revision, _)) = self.gone.pop_front()
+    fn record_deleted(&mut self, revision: Revision, key: Name) {
+        self.deleted.push_back((revision, key));
+        if self.deleted.len() > MAX_DELETED
+            && let Some((revision, _)) = self.deleted.pop_front()
         {
-            self.gone_since = self.gone_since.max(revision);
+            self.deleted_since = self.deleted_since.max(revision);
         }
     }
 
-    /// What a reading at `at`, of the era that is known, changes: keys that are new, were written since, or have gone.
+    /// Returns the changes that a full read at `at` of the known era brings: added, rewritten and deleted keys.
     pub fn changes_to(&self, at: Revision, items: &[Item]) -> Vec<Change> {
         let is_newer = |item: &&Item| {
             self.items.get(&item.key).is_none_or(|known| known.revision < item.revision)
         };
         let listed: BTreeSet<&Name> = items.iter().map(|item| &item.key).collect();
-        let gone = self.items.keys().filter(|key| !listed.contains(key));
-        let gone = gone.map(|key| Change::Deleted { key: key.clone(), revision: at });
-        gone.chain(items.iter().filter(is_newer).cloned().map(Change::Put)).collect()
+        let deleted = self.items.keys().filter(|key| !listed.contains(key));
+        let deleted = deleted.map(|key| Change::Deleted { key: key.clone(), revision: at });
+        deleted.chain(items.iter().filter(is_newer).cloned().map(Change::Put)).collect()
     }
 
-    /// The changes after `after` and up to `at`; gives back those that are news here.
+    /// Applies the changes after `after` and up to `at`; returns those that were not known before.
     ///
     /// # Errors
-    /// If changes before them are missing, or they are of another era.
+    /// Returns [`Gap`] if earlier changes are missing, or if the changes belong to another era.
     pub fn try_apply(
         &mut self,
         after: Revision,
         at: Revision,
         changes: Vec<Change>,
     ) -> Result<Vec<Change>, Gap> {
-        let known = self.at.ok_or(Gap)?;
+        let known = self.revision.ok_or(Gap)?;
         if known < after || !self.is_same_era(after) || !self.is_same_era(at) {
             return Err(Gap);
         }
-        let news: Vec<Change> = changes.into_iter().filter(|change| self.is_news(change)).collect();
-        for change in &news {
+        let new: Vec<Change> = changes.into_iter().filter(|change| self.is_new(change)).collect();
+        for change in &new {
             self.newest = self.newest.max(change.revision());
             match change {
                 Change::Put(item) => {
@@ -141,19 +144,22 @@
                 }
                 Change::Deleted { key, revision } => {
                     if self.items.remove(key).is_some() {
-                        self.note_gone(*revision, key.clone());
+                        self.record_deleted(*revision, key.clone());
                     }
                 }
             }
         }
-        self.at = Some(known.max(at));
-        Ok(news)
+        self.revision = Some(known.max(at));
+        Ok(new)
     }
 
-    /// Pages of a reading are no snapshot: they may hold changes beyond its revision.
-    fn is_news(&self, change: &Change) -> bool {
+    /// Whether `change` is not known yet.
+    ///
+    /// A full read in several pages is not an atomic snapshot, so a key may already hold a change beyond the read's
+    /// revision.
+    fn is_new(&self, change: &Change) -> bool {
         let revision = change.revision();
-        let is_later = self.at.is_none_or(|at| revision > at);
+        let is_later = self.revision.is_none_or(|known| revision > known);
         is_later && self.items.get(change.key()).is_none_or(|item| item.revision < revision)
     }
 }
--- a/crates/fanout/src/pack.rs
+++ b/crates/fanout/src/pack.rs
@@ -1,50 +1,56 @@
-//! Large messages between hosts, compressed.
+//! Compression of large messages between hosts.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::io;
 use zstd::bulk;
 
-/// Bytes that were compressed.
+/// A compressed byte string.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packed {
-    /// How many they are.
+    /// Number of bytes before compression.
     size: usize,
     compressed: Bytes,
 }
 
-/// Effort of the compression: keys of a thousand upstreams are much alike, and hosts that pass them on to
-/// many others may have a tenth of a processor and 20 Mbit/s.
+/// Compression level. The keys of a thousand upstreams are so similar that the lowest level suffices, and a host that
+/// forwards them to many others may have a tenth of a processor and 20 Mbit/s.
 const LEVEL: i32 = 1;
-/// Largest value that is unpacked, in bytes: the keys of some ten thousand upstreams.
-const MOST_SIZE: usize = 16 << 20;
+/// Maximum size of an unpacked value: the keys of about ten thousand upstreams.
+const MAX_UNPACKED_BYTES: usize = 16 << 20;
 
 impl Packed {
     /// Compresses `bytes`.
     ///
     /// # Errors
-    /// If they can't be compressed.
+    /// Fails if the compressor fails.
     pub fn try_from_bytes(bytes: &[u8]) -> io::Result<Self> {
         let compressed = bulk::compress(bytes, LEVEL)?.into();
         Ok(Self { size: bytes.len(), compressed })
     }
 
-    /// The bytes as they were.
+    /// Returns the original bytes.
     ///
     /// # Errors
-    /// If they are too many, or something else came out.
+    /// Fails if the stated size is over the limit or differs from the unpacked size, or if the data is corrupt.
     pub fn try_unpack(&self) -> io::Result<Vec<u8>> {
-        if self.size > MOST_SIZE {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "too many bytes"));
+        if self.size > MAX_UNPACKED_BYTES {
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "stated size is over the limit",
+            ));
         }
         let bytes = bulk::decompress(&self.compressed, self.size)?;
         if bytes.len() != self.size {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "the size differs"));
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "unpacked size differs from the stated size",
+            ));
         }
         Ok(bytes)
     }
 
-    /// Bytes after the compression.
+    /// Returns the compressed size in bytes.
     pub fn packed_len(&self) -> usize {
         self.compressed.len()
     }
--- a/crates/fanout/src/path.rs
+++ b/crates/fanout/src/path.rs
@@ -1,21 +1,22 @@
-//! By way of whom a host hears from the store.
+//! The chain of hosts through which store data reaches a host.
 //!
-//! Hosts that hear from each other in a circle know nothing new and take each other for fresh until all is stale. So
-//! each one tells the way that its knowledge takes, and none turns to a host whose way leads through itself.
+//! Hosts that subscribe to each other in a cycle receive nothing new, yet consider each other fresh until all of them
+//! are stale. So each host announces the path of its data, and no host subscribes to one whose path contains itself.
 
 use vanetally_types::{Name, hash64};
 
-/// Stands for a host: a name in four bytes, since each word of each host carries some. Two of 400 hosts share one in
-/// 1 of 50,000 deployments, and then pass each other over.
+/// Short id of a host on a path: a 32-bit hash of its name, since every status message carries a path.
+///
+/// With 400 hosts the chance that any two share an id is about 1 in 50,000. Such hosts never use each other as source.
 pub type Hop = u32;
 
-/// The marks of the hosts on the way, the reader of the store first.
+/// The hosts on a path, starting with the one that reads the store.
 pub type Path = Vec<Hop>;
 
-/// Hosts on a way, at most: longer ones are not taken.
-pub(crate) const MOST_HOSTS: usize = 8;
+/// Maximum number of hosts on an accepted path.
+pub(crate) const MAX_HOPS: usize = 8;
 
-/// The mark of a host.
+/// Returns the id of `host` on a path.
 pub fn hop(host: &Name) -> Hop {
     hash64(host.as_bytes()) as Hop
 }
--- a/crates/fanout/src/pull.rs
+++ b/crates/fanout/src/pull.rs
@@ -1,37 +1,36 @@
-//! When to ask another host for what it holds in a newer version.
+//! When to request a newer version of a value from another host.
 
 use vanetally_types::{Name, Tick};
 
-/// What was asked for and has not come yet.
+/// The pending request for a newer version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pull {
-    asked: Option<(Name, Tick)>,
+    pending: Option<(Name, Tick)>,
 }
 
-/// A whole value on a slow link takes as long: asking the same host again would only slow it down, in
-/// milliseconds.
-const AGAIN_MS: u64 = 1_500;
-/// Another host is asked after this long, in milliseconds: a patch takes a tenth of it, and the first
-/// one may be cut off.
-const OTHER_MS: u64 = 400;
+/// Time before the same host is asked again. The transfer of a whole value over a slow link takes this long, and a
+/// second request would only slow it down.
+const SAME_HOST_RETRY_MS: u64 = 1_500;
+/// Time before another host is asked: ten times as long as a patch takes. The first host may be unreachable.
+const OTHER_HOST_RETRY_MS: u64 = 400;
 
 impl Pull {
-    /// The host `of` holds a newer version than this one; tells whether to ask for it now, and takes
-    /// it as asked. What is under way is waited for, however many versions follow: the answer brings
-    /// the newest one.
-    pub fn should_request(&mut self, now: Tick, of: &Name) -> bool {
-        let is_under_way = self.asked.as_ref().is_some_and(|(host, at)| {
-            let limit = if host == of { AGAIN_MS } else { OTHER_MS };
+    /// Whether to request the value now from `from`, which has a newer version; records the request if so.
+    ///
+    /// While a request is pending no other is sent, however many versions follow: the response holds the newest one.
+    pub fn should_request(&mut self, now: Tick, from: &Name) -> bool {
+        let is_pending = self.pending.as_ref().is_some_and(|(host, at)| {
+            let limit = if host == from { SAME_HOST_RETRY_MS } else { OTHER_HOST_RETRY_MS };
             now.since(*at) < limit
         });
-        if !is_under_way {
-            self.asked = Some((of.clone(), now));
+        if !is_pending {
+            self.pending = Some((from.clone(), now));
         }
-        !is_under_way
+        !is_pending
     }
 
-    /// What was asked for came: the next version may be asked for at once.
+    /// Records that the value was received: the next version may be requested at once.
     pub fn received(&mut self) {
-        self.asked = None;
+        self.pending = None;
     }
 }
--- a/crates/fanout/src/source_state.rs
+++ b/crates/fanout/src/source_state.rs
@@ -1,108 +1,105 @@
-//! What a host knows of the one that it hears from, or asked to hear from.
+//! What a host knows about its source, and about the host that it asked to become its source.
 
 use vanetally_types::{Name, Tick};
 
-/// Where a host stands with its source.
+/// The current source of a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum State {
-    /// A host is looked for.
-    Starting(Search),
-    /// The store is read since then; when it last confirmed what is known, if it did.
+pub(crate) enum SourceState {
+    /// The host is looking for another host to subscribe to.
+    Searching(Search),
+    /// The host reads the store since `since`; `confirmed` is when the store last confirmed the data.
     Store {
         since: Tick,
         confirmed: Option<Tick>,
     },
-    Host(Heard),
+    Host(HostSource),
 }
 
 /// The search of a host that starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Search {
     pub since: Tick,
-    /// Until then all hosts may be starting: the list may lack most of them.
-    pub settled: Tick,
-    /// When the list of hosts was last asked for.
-    pub surveyed: Option<Tick>,
+    /// Until then all hosts may be starting, and the list may lack most of them.
+    pub settles_at: Tick,
+    /// When the list of hosts was last requested.
+    pub last_listing: Option<Tick>,
 }
 
-/// The host that this one hears from.
+/// The host that is the current source.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Heard {
+pub(crate) struct HostSource {
     pub host: Name,
-    /// When it last said something.
-    pub at: Tick,
-    /// How old its word was then.
+    /// When it last sent its status.
+    pub last_status: Tick,
+    /// The age of its data at that time.
     pub age_ms: Option<u64>,
-    /// Since when it is silent.
-    pub lost: Option<Tick>,
+    /// When it was found to be silent.
+    pub silent_since: Option<Tick>,
     pub is_leaving: bool,
 }
 
-impl Heard {
+impl HostSource {
     pub(crate) fn is_stale(&self, now: Tick) -> bool {
-        self.age_ms.is_none_or(|age| age + now.since(self.at) > STALE_MS)
+        self.age_ms.is_none_or(|age| age + now.since(self.last_status) > STALE_MS)
     }
 }
 
-/// How a host whose source is stale looked by itself whether the store answers it.
+/// The store probes of a host that has waited in vain for the hosts before it in the order to replace a stale source.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Looks {
-    /// The last look.
-    pub at: Option<Tick>,
+pub(crate) struct FallbackProbes {
+    pub last: Option<Tick>,
     pub count: u32,
-    /// When the store answered one of the later looks.
+    /// When the store first answered; the answer to the very first probe does not count.
     pub answered: Option<Tick>,
 }
 
-/// A subscription that was asked for.
+/// A subscription that was requested and has not brought the data yet.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct PendingSubscription {
     pub host: Name,
-    pub at: Tick,
-    /// How often it was repeated.
-    pub repeats: u32,
-    /// Whether the host has said something since: its answer may be on its way.
-    pub is_alive: bool,
-    /// Whether what it told was too old to be taken.
-    pub is_refused: bool,
+    pub requested: Tick,
+    pub retries: u32,
+    /// Whether the host has sent its status since: the data may be on its way.
+    pub has_status: bool,
+    /// Whether the data that it sent was rejected as too old.
+    pub is_rejected: bool,
 }
 
-impl Asked {
+impl PendingSubscription {
     pub(crate) fn new(now: Tick, host: Name) -> Self {
-        Self { host, at: now, repeats: 0, is_alive: false, is_refused: false }
+        Self { host, requested: now, retries: 0, has_status: false, is_rejected: false }
     }
 
-    /// Whether the host, which knew nothing newer, should have read the store by now.
-    pub(crate) fn is_silent_since_refused(&self, now: Tick) -> bool {
-        now.since(self.at) >= REFUSED_MS
+    /// Whether the host, whose data was too old, should have read the store by now.
+    pub(crate) fn is_overdue_after_rejection(&self, now: Tick) -> bool {
+        now.since(self.requested) >= REJECTED_TIMEOUT_MS
     }
 
-    /// Whether the host should have answered.
-    pub(crate) fn is_silent(&self, now: Tick) -> bool {
-        let limit = if self.is_alive { ANSWER_MS } else { WORD_MS };
-        now.since(self.at) >= limit
+    /// Whether the host should have answered by now.
+    pub(crate) fn is_overdue(&self, now: Tick) -> bool {
+        let limit = if self.has_status { SYNC_TIMEOUT_MS } else { STATUS_TIMEOUT_MS };
+        now.since(self.requested) >= limit
     }
 }
 
-/// What the store confirmed longer ago than this is stale, in milliseconds: readers ask it twice in this
-/// time.
+/// Age above which data is stale: readers call the store twice in this time.
 pub(crate) const STALE_MS: u64 = 1_100;
-/// A host that comes next in the order notices a stale source when the others do, asks the store and reads it within a
-/// tenth of a second; one that told nothing newer for this long can't, in milliseconds.
-const REFUSED_MS: u64 = 300;
-/// While there is no source, a host that says nothing for this long is passed over, in milliseconds: its
-/// first word takes a few, of a busy host a tenth of a second.
-const WORD_MS: u64 = 250;
-/// The same for one that has said something: all that it knows takes a tenth of a second on a slow link,
-/// and many may ask at once.
-const ANSWER_MS: u64 = 1_500;
+/// Time after which a host that sent nothing newer is given up. The next host in the order notices a stale source at
+/// the same time as the others, and probes and reads the store within a tenth of a second.
+const REJECTED_TIMEOUT_MS: u64 = 300;
+/// Time after which a host that sent nothing is given up while there is no source. Its first status normally arrives
+/// within a few milliseconds, within a tenth of a second if it is busy.
+const STATUS_TIMEOUT_MS: u64 = 250;
+/// Time after which a host that sent its status but no data is given up. All of the data takes a tenth of a second on a
+/// slow link, and many hosts may request it at once.
+const SYNC_TIMEOUT_MS: u64 = 1_500;
 
-/// Whether a word is too old to rest on.
-pub(crate) fn is_old(age_ms: Option<u64>) -> bool {
+/// Whether data of this age is too old for its sender to become the source.
+pub(crate) fn is_too_old(age_ms: Option<u64>) -> bool {
     age_ms.is_none_or(|age| age > STALE_MS)
 }
 
-/// Whether the store, read since then, has not confirmed for long what is known.
+/// Whether the store, which is read since `since`, has not confirmed the data for too long.
 pub(crate) fn is_unconfirmed(now: Tick, since: Tick, confirmed: Option<Tick>) -> bool {
     now.since(confirmed.unwrap_or(since)) > STALE_MS
 }
--- a/crates/fanout/src/spacing.rs
+++ b/crates/fanout/src/spacing.rs
@@ -1,58 +1,62 @@
-//! How often a host tells many others what is large.
+//! Intervals between the large messages that a host regularly sends to many others.
 
 use vanetally_types::Tick;
 
-/// Keeps what a host tells regularly to a share of its own link.
+/// Limits regular messages to a share of the host's own link.
 ///
-/// The sum of 100 engines' loads to 24 hosts ten times a second is nine of the ten megabits that a weak host's link
-/// carries. With nothing else under way it passed; one large configuration beside it, and hosts took their
-/// aggregator for silent from then on.
+/// The load total of 100 engines, 4.5 KB, for 24 hosts ten times a second takes nine of the ten megabits of a weak
+/// host's link. Any other large message, such as a new configuration, then delays the totals so far that the receivers consider their
+/// aggregator silent.
 #[derive(Clone, Debug)]
 pub struct Spacing {
-    /// Bytes in a millisecond that may be used; none if the link's size is not known.
-    per_ms: Option<f64>,
-    due: Tick,
+    /// Bytes per millisecond that may be used; `None` if the link's capacity is not known.
+    bytes_per_ms: Option<f64>,
+    next_due: Tick,
 }
 
-/// Share of a host's own link that regular messages may take.
-const SHARE: f64 = 0.2;
+/// Share of a host's own link that regular messages may use.
+const LINK_SHARE: f64 = 0.2;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// Milliseconds between two words of an aggregator, and between two reports to it, where it has time enough.
-const LEAST_MS: f64 = 100.0;
-/// Hosts that an aggregator with half of a processor can hear and tell that often: each takes it half a millisecond
-/// of a processor a turn (they heard its word 4 ms after each other where it had 0.12 of one).
-const HALF_FANOUT: f64 = 30.0;
-const HALF: f64 = 50.0;
-/// Longest pause, in milliseconds: two words are lost before a source that lives is taken for silent.
-const MOST_MS: f64 = 250.0;
-
-/// Milliseconds between two words of an aggregator with `capacity` percent of a processor, 0 if that is not known,
-/// to `hosts` hosts, and between two of their reports to it.
+/// Minimum interval between two status messages of an aggregator, and between two reports to it.
+const MIN_INTERVAL_MS: f64 = 100.0;
+/// Number of hosts that an aggregator with half of a processor can serve at the minimum interval: each host takes it
+/// half a millisecond of processor time per interval, which is 4 ms where it has 0.12 of a processor.
+const REFERENCE_FANOUT: f64 = 30.0;
+/// Share of a processor, in percent, to which [`REFERENCE_FANOUT`] refers.
+const REFERENCE_CAPACITY: f64 = 50.0;
+/// Maximum interval between status messages: two in a row may be lost before a live source is considered silent.
+const MAX_INTERVAL_MS: f64 = 250.0;
+
+/// Returns the milliseconds between two status messages of an aggregator to `hosts` hosts, and between two of their
+/// reports to it.
+///
+/// `capacity` is the aggregator's share of a processor in percent, 0 if unknown.
 pub fn status_interval_ms(hosts: usize, capacity: u32) -> u64 {
-    let share = if capacity == 0 { HALF } else { f64::from(capacity) };
-    let turns = hosts as f64 / (HALF_FANOUT * share / HALF);
-    let ms = LEAST_MS * turns.max(1.0);
-    // More hosts than fit into the longest pause are told as often as an aggregator with half of a processor could.
-    let most = MOST_MS.max(LEAST_MS * hosts as f64 / HALF_FANOUT);
-    ms.min(most) as u64
+    let share = if capacity == 0 { REFERENCE_CAPACITY } else { f64::from(capacity) };
+    let scale = hosts as f64 / (REFERENCE_FANOUT * share / REFERENCE_CAPACITY);
+    let ms = MIN_INTERVAL_MS * scale.max(1.0);
+    // If there are too many hosts for the maximum interval, the interval is that of an aggregator with half of a
+    // processor.
+    let max_ms = MAX_INTERVAL_MS.max(MIN_INTERVAL_MS * hosts as f64 / REFERENCE_FANOUT);
+    ms.min(max_ms) as u64
 }
 
 impl Spacing {
-    /// For a link that carries `link_bytes` a second, if that is known.
+    /// Creates the limit for a link of `link_bytes` bytes per second; `None` if its capacity is not known.
     pub fn new(link_bytes: Option<u64>) -> Self {
-        let per_ms = link_bytes.map(|bytes| bytes as f64 * SHARE / MILLIS_PER_SECOND);
-        Self { per_ms: per_ms.filter(|bytes| *bytes > 0.0), due: Tick(0) }
+        let bytes_per_ms = link_bytes.map(|bytes| bytes as f64 * LINK_SHARE / MILLIS_PER_SECOND);
+        Self { bytes_per_ms: bytes_per_ms.filter(|bytes| *bytes > 0.0), next_due: Tick(0) }
     }
 
     /// Whether the next message may be sent.
     pub fn is_due(&self, now: Tick) -> bool {
-        now >= self.due
+        now >= self.next_due
     }
 
-    /// So many bytes were sent, to all hosts together.
+    /// Records that `bytes` bytes were sent, to all hosts together.
     pub fn record_sent(&mut self, now: Tick, bytes: usize) {
-        let pause_ms = self.per_ms.map_or(0.0, |per_ms| bytes as f64 / per_ms);
-        self.due = now + pause_ms as u64;
+        let pause_ms = self.bytes_per_ms.map_or(0.0, |per_ms| bytes as f64 / per_ms);
+        self.next_due = now + pause_ms as u64;
     }
 }
--- a/crates/fanout/src/timeouts.rs
+++ b/crates/fanout/src/timeouts.rs
@@ -1,44 +1,48 @@
-//! What time brings: sources that fall silent or stale are left, those that come first in the order are asked.
+//! The time-driven part of the source selection: replaces silent and stale sources and subscribes to the host that comes
+//! first in the order.
 
 use crate::{
     Action, Reason, SourceSelector,
-    candidate::{Parent, place},
+    candidate::{Parent, relative_rank},
     source_selector::{OFFER_MS, SILENT_MS, SUSPECT_MS},
-    source_state::{Asked, Heard, Looks, Search, State, is_unconfirmed},
+    source_state::{
+        FallbackProbes, HostSource, PendingSubscription, Search, SourceState, is_unconfirmed,
+    },
 };
 use vanetally_types::{Name, Tick};
 
-/// A subscription that brought nothing is asked for again after this long, in milliseconds, and after
-/// twice as long each time: its answer is large, and may be on its way on a slow link.
-const ASK_MS: u64 = 500;
-/// Most doublings.
-const MOST_DOUBLINGS: u32 = 4;
-/// Without a source for this long the first hosts in the order read the store, in milliseconds.
-const FIRST_ALONE_MS: u64 = 450;
-/// Share of the hosts of a failure domain that count as first.
+/// Time after which an unanswered subscription is first retried; it doubles with each retry, since the response is large
+/// and may still be in transit on a slow link.
+const RETRY_MS: u64 = 500;
+/// Maximum number of times that [`RETRY_MS`] is doubled.
+const MAX_DOUBLINGS: u32 = 4;
+/// Time without a source after which the first hosts in the order read the store.
+const FIRST_SEARCH_MS: u64 = 450;
+/// Share of the hosts of a failure domain that count as the first in the order.
 const FIRST_SHARE: f64 = 0.05;
-/// The same for the others, and how much longer the last one looks: by then they have found one of those
-/// that read it. Together with `SILENT_MS` this stays below two seconds, the shortest time that deployments
-/// allow for a change to be followed.
-const ALONE_MS: u64 = 900;
-const SPREAD_MS: f64 = 400.0;
-/// Between two readings of the list of hosts, in milliseconds.
-const SURVEY_MS: u64 = 200;
-/// A host whose source is stale waits this long for those before it in the order, in milliseconds: one of them has
-/// found that the store answers it within a fifth of a second, one more costs as much again.
-const STALE_ALONE_MS: u64 = 400;
-/// The same for the last of a failure domain, beyond that: what one host finds, the others hear within 30 ms, so that
-/// few look in vain. All of this lies within a third of three seconds, the shortest time that deployments of so
-/// many hosts allow for a change.
+/// Time without a source after which the other hosts read the store. By then they have normally found one of the first
+/// hosts. With `SEARCH_SPREAD_MS` and `SILENT_MS` it stays below two seconds, the shortest time that deployments allow
+/// for a change to take effect.
+const SEARCH_MS: u64 = 900;
+/// Additional search time of the last host of a failure domain.
+const SEARCH_SPREAD_MS: f64 = 400.0;
+/// Interval between reads of the list of hosts.
+const LIST_INTERVAL_MS: u64 = 200;
+/// Time that a host with a stale source waits for the hosts before it in the order. A host before it finds out within a
+/// fifth of a second whether the store answers it, and the next one takes as long again.
+const STALE_WAIT_MS: u64 = 400;
+/// Additional wait of the last host of a failure domain. The others learn within 30 ms that a host reads the store, so
+/// few of them probe it needlessly. Both waits together take less than a third of three seconds, the shortest time that
+/// deployments of this size allow for a change.
 const STALE_SPREAD_MS: f64 = 500.0;
-/// Between two looks of a host by itself, in milliseconds, half as long for the first of a failure domain and half as much
-/// again for the last: those that look at the same moment when the store returns would all read it. While the store is
-/// away for all, 370 hosts look 74 times a second, fewer times than they renew their leases (123).
-const LOOK_MS: u64 = 6_000;
-/// When the store returns for all, the words of the host that reads it are with all others after this long, in
-/// milliseconds: three hops, a tenth of a second each.
-const RETURN_MS: u64 = 400;
-/// Between two probes of the store, in milliseconds.
+/// Mean interval between two fallback probes of a host. It ranges from half of this for the first host of a failure
+/// domain to one and a half for the last, since all hosts that probe at the same time when the store returns would read
+/// it. While the store is away, 370 hosts send 74 probes a second, less than their 123 lease renewals.
+const FALLBACK_PROBE_MS: u64 = 6_000;
+/// Time within which the status of the host that reads the store reaches all others after the store's return: three hops
+/// of a tenth of a second each.
+const PROPAGATION_MS: u64 = 400;
+/// Interval between the probes of the host that is next in the order.
 const PROBE_MS: u64 = 500;
 
 impl SourceSelector {
@@ -46,192 +50,201 @@
         let suspects = self.suspects.len();
         self.suspects.retain(|_, until| now < *until);
         if self.suspects.len() < suspects {
-            self.parents.clear();
+            self.parent_cache.clear();
         }
         match self.state.clone() {
-            State::Starting(search) => self.start(now, search, actions),
-            _ if now < self.respite => {}
-            State::Store { since, confirmed } => {
+            SourceState::Searching(search) => self.continue_search(now, search, actions),
+            _ if now < self.grace_until => {}
+            SourceState::Store { since, confirmed } => {
                 let is_stale = is_unconfirmed(now, since, confirmed);
-                self.review_store(now, is_stale, actions);
+                self.check_store(now, is_stale, actions);
             }
-            State::Host(heard) => self.review_host(now, heard, actions),
+            SourceState::Host(current) => self.check_host(now, current, actions),
         }
     }
 
-    fn start(&mut self, now: Tick, search: Search, actions: &mut Vec<Action>) {
-        let is_list_whole = self.is_fleet() || now >= search.settled;
-        if !self.candidates.is_empty() && is_list_whole {
+    fn continue_search(&mut self, now: Tick, search: Search, actions: &mut Vec<Action>) {
+        let is_list_complete = self.is_fleet() || now >= search.settles_at;
+        if !self.candidates.is_empty() && is_list_complete {
             match self.parent(None) {
-                Parent::Store => return self.read_store(now, Reason::Order, actions),
-                Parent::Host(host) => self.ask_next(now, host, actions),
+                Parent::Store => return self.switch_to_store(now, Reason::Order, actions),
+                Parent::Host(host) => self.subscribe_next(now, host, actions),
             }
         }
-        if now.since(search.since) > self.alone_ms() {
-            return self.read_store(now, Reason::NoAnswer, actions);
+        if now.since(search.since) > self.search_limit_ms() {
+            return self.switch_to_store(now, Reason::NoAnswer, actions);
         }
-        if search.surveyed.is_none_or(|at| now.since(at) >= SURVEY_MS) {
-            self.state = State::Starting(Search { surveyed: Some(now), ..search });
+        if search.last_listing.is_none_or(|at| now.since(at) >= LIST_INTERVAL_MS) {
+            self.state = SourceState::Searching(Search { last_listing: Some(now), ..search });
             actions.push(Action::ListHosts);
         }
     }
 
-    /// How long this host looks for another one before it reads the store, in milliseconds.
-    fn alone_ms(&self) -> u64 {
-        let place = place(&self.me, &self.domain, self.usable(None));
-        if place < FIRST_SHARE { FIRST_ALONE_MS } else { ALONE_MS + (place * SPREAD_MS) as u64 }
+    /// Returns how long this host searches for another host before it reads the store, in milliseconds.
+    fn search_limit_ms(&self) -> u64 {
+        let rank = relative_rank(&self.me, &self.domain, self.usable(None));
+        if rank < FIRST_SHARE {
+            FIRST_SEARCH_MS
+        } else {
+            SEARCH_MS + (rank * SEARCH_SPREAD_MS) as u64
+        }
     }
 
-    fn review_store(&mut self, now: Tick, is_stale: bool, actions: &mut Vec<Action>) {
-        // Whoever can't read the store hears from one that can, if there is one.
+    fn check_store(&mut self, now: Tick, is_stale: bool, actions: &mut Vec<Action>) {
+        // A host that cannot read the store subscribes to one that can, if there is one.
         if is_stale {
-            self.pass_over(now);
-            if self.is_alone(now) && self.take_offer(now, actions) {
+            self.drop_overdue(now);
+            if self.is_wait_over(now) && self.take_offer(now, actions) {
                 return;
             }
         }
         let me = self.me.clone();
-        let but = is_stale.then_some(&me);
-        // One that asked to hear from this host may have found another: its way tells.
-        if let Parent::Host(host) = self.parent(but)
+        let excluded = is_stale.then_some(&me);
+        // A subscriber of this host may have found another source; its path then shows that.
+        if let Parent::Host(host) = self.parent(excluded)
             && (is_stale || !self.subscribers.contains(&host))
         {
-            self.ask(now, host, actions);
+            self.subscribe(now, host, actions);
         }
     }
 
-    fn review_host(&mut self, now: Tick, heard: Heard, actions: &mut Vec<Action>) {
-        if heard.lost.is_none() && now.since(heard.at) > SILENT_MS {
-            self.suspect(heard.host.clone(), now + SUSPECT_MS);
-            self.asked.take_if(|asked| asked.host == heard.host);
-            self.state = State::Host(Heard { lost: Some(now), ..heard });
+    fn check_host(&mut self, now: Tick, current: HostSource, actions: &mut Vec<Action>) {
+        if current.silent_since.is_none() && now.since(current.last_status) > SILENT_MS {
+            self.suspect(current.host.clone(), now + SUSPECT_MS);
+            self.pending.take_if(|pending| pending.host == current.host);
+            self.state = SourceState::Host(HostSource { silent_since: Some(now), ..current });
             return self.tick(now, actions);
         }
-        if let Some(lost) = heard.lost {
-            return self.replace_lost(now, lost, actions);
+        if let Some(silent_since) = current.silent_since {
+            return self.replace_silent(now, silent_since, actions);
         }
-        if !heard.is_stale(now) {
-            self.looks = Looks::default();
+        if !current.is_stale(now) {
+            self.fallback_probes = FallbackProbes::default();
         } else {
-            self.pass_over(now);
-            if self.is_alone(now) && self.help_itself(now, &heard.host, actions) {
+            self.drop_overdue(now);
+            if self.is_wait_over(now) && self.fall_back(now, &current.host, actions) {
                 return;
             }
         }
-        let but = heard.is_stale(now).then_some(&heard.host);
-        match self.parent(but) {
-            Parent::Host(host) if host == heard.host => {}
+        let excluded = current.is_stale(now).then_some(&current.host);
+        match self.parent(excluded) {
+            Parent::Host(host) if host == current.host => {}
             Parent::Host(host) if !self.subscribers.contains(&host) => {
-                self.ask(now, host, actions);
+                self.subscribe(now, host, actions);
             }
-            // Before it is read, the store has to show that it answers this host.
+            // This host reads the store only after it has answered a probe.
             Parent::Host(_) | Parent::Store => self.probe(now, actions),
         }
     }
 
-    /// Turns to a host that has said that it knows what is new, or to the store; tells whether it did.
-    fn help_itself(&mut self, now: Tick, stale: &Name, actions: &mut Vec<Action>) -> bool {
+    /// Subscribes to a host that offered newer data or switches to the store; returns whether it did either. Probes the
+    /// store otherwise.
+    fn fall_back(&mut self, now: Tick, stale: &Name, actions: &mut Vec<Action>) -> bool {
         if self.take_offer(now, actions) {
             return true;
         }
-        if self.looks.answered.is_some_and(|at| now.since(at) >= RETURN_MS) {
+        if self.fallback_probes.answered.is_some_and(|at| now.since(at) >= PROPAGATION_MS) {
             self.must_announce = true;
-            self.read_instead(now, Some(stale.clone()), actions);
+            self.replace_by_store(now, Some(stale.clone()), actions);
             return true;
         }
-        self.look(now, actions);
+        self.probe_fallback(now, actions);
         false
     }
 
-    /// The host that was asked in place of a stale source says nothing; or it knows nothing newer, and had the time to
-    /// read the store itself: it can't either.
-    fn pass_over(&mut self, now: Tick) {
-        let is_no_help = |asked: &mut Asked| match asked.is_refused {
-            true => asked.is_silent_since_refused(now),
-            false => asked.is_silent(now),
+    /// Drops the pending subscription that was to replace a stale source if it is overdue: the host does not answer, or
+    /// it had no newer data and evidently cannot read the store either.
+    fn drop_overdue(&mut self, now: Tick) {
+        let is_useless = |pending: &mut PendingSubscription| match pending.is_rejected {
+            true => pending.is_overdue_after_rejection(now),
+            false => pending.is_overdue(now),
         };
-        if let Some(asked) = self.asked.take_if(is_no_help) {
-            self.suspect(asked.host, now + SUSPECT_MS);
+        if let Some(pending) = self.pending.take_if(is_useless) {
+            self.suspect(pending.host, now + SUSPECT_MS);
         }
     }
 
-    /// Whether what this host knows has been stale for so long that it no longer waits for those before it in the
-    /// order.
-    pub(crate) fn is_alone(&self, now: Tick) -> bool {
-        let place = || place(&self.me, &self.domain, self.usable(None));
+    /// Whether this host's data has been stale for so long that it no longer waits for the hosts before it in the order.
+    pub(crate) fn is_wait_over(&self, now: Tick) -> bool {
+        let rank = || relative_rank(&self.me, &self.domain, self.usable(None));
         self.stale_ms(now).is_some_and(|ms| {
-            ms >= STALE_ALONE_MS && ms >= STALE_ALONE_MS + (place() * STALE_SPREAD_MS) as u64
+            ms >= STALE_WAIT_MS && ms >= STALE_WAIT_MS + (rank() * STALE_SPREAD_MS) as u64
         })
     }
 
-    /// Turns to a host that said unasked that it knows what is new; tells whether there is one.
+    /// Subscribes to the host that last announced fresh data unasked; returns whether there is one.
     fn take_offer(&mut self, now: Tick, actions: &mut Vec<Action>) -> bool {
         self.offer.take_if(|(_, at)| now.since(*at) > OFFER_MS);
         let Some((host, _)) = self.offer.clone() else {
             return false;
         };
-        self.ask(now, host, actions);
+        self.subscribe(now, host, actions);
         true
     }
 
-    /// Sees whether the store answers this host, whoever comes next in the order.
-    fn look(&mut self, now: Tick, actions: &mut Vec<Action>) {
-        let place = place(&self.me, &self.domain, self.usable(None));
-        let interval_ms = LOOK_MS / 2 + (place * LOOK_MS as f64) as u64;
-        if self.looks.at.is_none_or(|at| now.since(at) >= interval_ms) {
-            self.looks.at = Some(now);
-            self.looks.count += 1;
+    /// Probes the store whichever host is next in the order.
+    fn probe_fallback(&mut self, now: Tick, actions: &mut Vec<Action>) {
+        let rank = relative_rank(&self.me, &self.domain, self.usable(None));
+        let interval_ms = FALLBACK_PROBE_MS / 2 + (rank * FALLBACK_PROBE_MS as f64) as u64;
+        if self.fallback_probes.last.is_none_or(|at| now.since(at) >= interval_ms) {
+            self.fallback_probes.last = Some(now);
+            self.fallback_probes.count += 1;
             actions.push(Action::Probe);
         }
     }
 
-    fn replace_lost(&mut self, now: Tick, lost: Tick, actions: &mut Vec<Action>) {
+    fn replace_silent(&mut self, now: Tick, silent_since: Tick, actions: &mut Vec<Action>) {
         match self.parent(None) {
-            Parent::Store => self.read_store(now, Reason::Silent, actions),
+            Parent::Store => self.switch_to_store(now, Reason::Silent, actions),
             Parent::Host(host) if self.subscribers.contains(&host) => {
-                self.read_store(now, Reason::Silent, actions);
+                self.switch_to_store(now, Reason::Silent, actions);
             }
-            _ if now.since(lost) > self.alone_ms() => {
-                self.read_store(now, Reason::NoAnswer, actions)
+            _ if now.since(silent_since) > self.search_limit_ms() => {
+                self.switch_to_store(now, Reason::NoAnswer, actions)
             }
-            Parent::Host(host) => self.ask_next(now, host, actions),
+            Parent::Host(host) => self.subscribe_next(now, host, actions),
         }
     }
 
     fn probe(&mut self, now: Tick, actions: &mut Vec<Action>) {
-        if self.probed.is_none_or(|at| now.since(at) >= PROBE_MS) {
-            self.probed = Some(now);
+        if self.last_probe.is_none_or(|at| now.since(at) >= PROBE_MS) {
+            self.last_probe = Some(now);
             actions.push(Action::Probe);
         }
     }
 
-    /// Asks `host`, and the next one if it did not answer: there is no source to wait with.
-    fn ask_next(&mut self, now: Tick, host: Name, actions: &mut Vec<Action>) {
-        let silent = self.asked.take_if(|asked| asked.is_silent(now));
+    /// Subscribes to `host`, or to the next one if `host` did not answer: without a source there is no time to wait.
+    fn subscribe_next(&mut self, now: Tick, host: Name, actions: &mut Vec<Action>) {
+        let silent = self.pending.take_if(|pending| pending.is_overdue(now));
         let Some(silent) = silent else {
-            return self.ask(now, host, actions);
+            return self.subscribe(now, host, actions);
         };
-        // Where all start at once, it may not have listened yet.
-        let is_starting = matches!(self.state, State::Starting(_));
-        if is_starting && silent.repeats == 0 && silent.host == host {
-            self.asked = Some(Asked { repeats: 1, ..Asked::new(now, host.clone()) });
+        // If all hosts start at once, it may not have accepted connections yet.
+        let is_starting = matches!(self.state, SourceState::Searching(_));
+        if is_starting && silent.retries == 0 && silent.host == host {
+            self.pending = Some(PendingSubscription {
+                retries: 1,
+                ..PendingSubscription::new(now, host.clone())
+            });
             return actions.push(Action::Subscribe(host));
         }
         self.suspect(silent.host, now + SUSPECT_MS);
         if let Parent::Host(next) = self.parent(None) {
-            self.ask(now, next, actions);
+            self.subscribe(now, next, actions);
         }
     }
 
-    pub(crate) fn ask(&mut self, now: Tick, host: Name, actions: &mut Vec<Action>) {
-        let earlier = self.asked.as_ref().filter(|asked| asked.host == host);
-        let is_recent =
-            |asked: &&Asked| now.since(asked.at) < ASK_MS << asked.repeats.min(MOST_DOUBLINGS);
+    pub(crate) fn subscribe(&mut self, now: Tick, host: Name, actions: &mut Vec<Action>) {
+        let earlier = self.pending.as_ref().filter(|pending| pending.host == host);
+        let is_recent = |pending: &&PendingSubscription| {
+            now.since(pending.requested) < RETRY_MS << pending.retries.min(MAX_DOUBLINGS)
+        };
         if earlier.filter(is_recent).is_some() {
             return;
         }
-        let repeats = earlier.map_or(0, |asked| asked.repeats + 1);
-        self.asked = Some(Asked { repeats, ..Asked::new(now, host.clone()) });
+        let retries = earlier.map_or(0, |pending| pending.retries + 1);
+        self.pending =
+            Some(PendingSubscription { retries, ..PendingSubscription::new(now, host.clone()) });
         actions.push(Action::Subscribe(host));
     }
 }
--- a/crates/fanout/src/totals.rs
+++ b/crates/fanout/src/totals.rs
@@ -1,18 +1,19 @@
-//! Loads of many hosts, added up.
+//! The sum of the loads of many hosts.
 
 use std::collections::{BTreeMap, VecDeque};
 use vanetally_dispatch::{DemandRow, Digest, LimitRow, LoadRow};
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// Which of a host's reports a sum includes.
+/// Identifies the report of a host that a total includes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IncludedReport {
     /// The host.
     pub host: Name,
-    /// The number of its report.
+    /// The number of the report.
     pub number: u64,
 }
 
+/// A load report and when it was sent or received.
 #[derive(Clone, Debug)]
 struct Report {
     number: u64,
@@ -20,48 +21,49 @@
     at: Tick,
 }
 
-/// What this host reported, and what it heard of others.
+/// The loads that this host reported and those that it received from others.
 #[derive(Clone, Debug, Default)]
 pub struct Totals {
-    /// Own reports that a sum may yet include, oldest first.
-    sent: VecDeque<Report>,
+    /// This host's reports that a future total may include, oldest first.
+    own_reports: VecDeque<Report>,
     next_number: u64,
-    /// Hosts that report to this one.
+    /// Hosts that report to this one, with their last report.
     subscribers: BTreeMap<Name, Report>,
-    /// Aggregators that hear from this one what lies in the store, and when they last said so.
+    /// Aggregators that read store data from this host, and when they last confirmed it.
     listeners: BTreeMap<Name, Tick>,
-    /// Sums of other aggregators.
-    elsewhere: BTreeMap<Name, (Vec<LoadRow>, Tick)>,
+    /// Sums of other aggregators, and when they were received.
+    peer_sums: BTreeMap<Name, (Vec<LoadRow>, Tick)>,
+    /// Demand that was not forwarded yet.
     demand: Vec<DemandRow>,
 }
 
-/// Own reports that are remembered.
-const MOST_SENT: usize = 64;
-/// A subscriber that is silent for this long has left, in milliseconds.
-const SUBSCRIBER_MS: u64 = 2_000;
-/// Another aggregator's sum older than this is forgotten, in milliseconds.
-const ELSEWHERE_MS: u64 = 2_000;
+/// Maximum number of this host's reports kept.
+const MAX_OWN_REPORTS: usize = 64;
+/// Time without a message after which a subscriber or listener is dropped.
+const SUBSCRIBER_TIMEOUT_MS: u64 = 2_000;
+/// Time without an update after which another aggregator's sum is dropped.
+const PEER_SUM_TIMEOUT_MS: u64 = 2_000;
 
 impl Totals {
-    /// Numbers a report of this host before it is sent.
+    /// Records a report of this host before it is sent and returns its number.
     pub fn number_report(&mut self, now: Tick, digest: &Digest) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
-        self.sent.push_back(Report { number, loads: digest.loads.clone(), at: now });
-        if self.sent.len() > MOST_SENT {
-            self.sent.pop_front();
+        self.own_reports.push_back(Report { number, loads: digest.loads.clone(), at: now });
+        if self.own_reports.len() > MAX_OWN_REPORTS {
+            self.own_reports.pop_front();
         }
         number
     }
 
-    /// A host reported to this one.
+    /// Records a report of a subscriber.
     pub fn record_report(&mut self, now: Tick, host: Name, number: u64, digest: Digest) {
         self.add_demand(digest.demand);
         self.listeners.remove(&host);
         self.subscribers.insert(host, Report { number, loads: digest.loads, at: now });
     }
 
-    /// A host asked to hear from this one.
+    /// Adds a subscriber, or keeps it from being dropped.
     pub fn subscribe(&mut self, now: Tick, host: Name) {
         self.subscribers
             .entry(host)
@@ -69,46 +71,46 @@
             .at = now;
     }
 
-    /// An aggregator hears from this host.
+    /// Adds an aggregator that reads store data from this host.
     pub fn add_listener(&mut self, now: Tick, host: Name) {
         self.subscribers.remove(&host);
         self.listeners.insert(host, now);
     }
 
-    /// A host needs to hear no more.
+    /// Removes a subscriber or listener.
     pub fn unsubscribe(&mut self, host: &Name) {
         self.subscribers.remove(host);
         self.listeners.remove(host);
     }
 
-    /// The hosts that report to this one and hear from it.
+    /// Returns the hosts that report to this one and receive its messages.
     pub fn subscribers(&self) -> impl Iterator<Item = &Name> {
         self.subscribers.keys()
     }
 
-    /// The aggregators that hear from this host.
+    /// Returns the aggregators that read store data from this host.
     pub fn listeners(&self) -> impl Iterator<Item = &Name> {
         self.listeners.keys()
     }
 
-    /// Another aggregator told its sum.
+    /// Records the sum of another aggregator.
     pub fn record_sum(&mut self, now: Tick, from: Name, loads: Vec<LoadRow>) {
-        self.elsewhere.insert(from, (loads, now));
+        self.peer_sums.insert(from, (loads, now));
     }
 
-    /// The aggregators heard lately.
+    /// Returns the aggregators whose sums are known.
     pub fn peer_aggregators(&self) -> impl Iterator<Item = &Name> {
-        self.elsewhere.keys()
+        self.peer_sums.keys()
     }
 
-    /// Adds to the demand that was not passed on yet.
+    /// Adds to the demand that was not forwarded yet.
     pub fn add_demand(&mut self, rows: Vec<DemandRow>) {
         for row in rows {
-            let same = self.demand.iter_mut().find(|known| {
+            let matching = self.demand.iter_mut().find(|known| {
                 (&known.service, &known.model, &known.adapter)
                     == (&row.service, &row.model, &row.adapter)
             });
-            match same {
+            match matching {
                 Some(known) => {
                     known.arrived += row.arrived;
                     known.work_ms += row.work_ms;
@@ -118,31 +120,32 @@
         }
     }
 
-    /// The load of this host and its subscribers, and the demand since the last call.
+    /// Returns the load of this host and its subscribers, and takes the demand since the last call.
     pub fn take_local_sum(&mut self, own: &Digest) -> Digest {
         let reports = self.subscribers.values().map(|report| &report.loads);
-        let loads = add_up(reports.chain([&own.loads]));
+        let loads = sum_rows(reports.chain([&own.loads]));
         Digest { loads, demand: std::mem::take(&mut self.demand) }
     }
 
-    /// The load of all hosts, given that of this one and its subscribers; and which reports it
-    /// includes.
-    pub fn total(&self, own_sum: &Digest) -> (Vec<IncludedReport>, Vec<LoadRow>) {
-        let elsewhere = self.elsewhere.values().map(|(loads, _)| loads);
-        let loads = add_up(elsewhere.chain([&own_sum.loads]));
-        let reported = self
+    /// Returns the load of all hosts and the reports that it includes.
+    ///
+    /// `local_sum` is the load of this host and its subscribers.
+    pub fn total(&self, local_sum: &Digest) -> (Vec<IncludedReport>, Vec<LoadRow>) {
+        let peer_loads = self.peer_sums.values().map(|(loads, _)| loads);
+        let loads = sum_rows(peer_loads.chain([&local_sum.loads]));
+        let included = self
             .subscribers
             .iter()
             .map(|(host, report)| IncludedReport { host: host.clone(), number: report.number });
-        (reported.collect(), loads)
+        (included.collect(), loads)
     }
 
-    /// The load of all other hosts, given a sum that includes this host's report `number`.
+    /// Returns the load of all other hosts, given a total that includes this host's report `number`.
     pub fn without_own(&mut self, number: u64, mut total: Vec<LoadRow>) -> Vec<LoadRow> {
-        while self.sent.front().is_some_and(|report| report.number < number) {
-            self.sent.pop_front();
+        while self.own_reports.front().is_some_and(|report| report.number < number) {
+            self.own_reports.pop_front();
         }
-        let Some(own) = self.sent.front().filter(|report| report.number == number) else {
+        let Some(own) = self.own_reports.front().filter(|report| report.number == number) else {
             return total;
         };
         let own: BTreeMap<&Incarnation, &LoadRow> =
@@ -156,25 +159,28 @@
         total
     }
 
-    /// Forgets hosts that fell silent; gives back their names.
+    /// Drops hosts that no longer send messages; returns their names.
     pub fn forget_silent(&mut self, now: Tick) -> Vec<Name> {
         let is_silent = |at: Tick, limit: u64| now.since(at) > limit;
         let subscribers = self.subscribers.iter();
-        let left = subscribers.filter(|(_, report)| is_silent(report.at, SUBSCRIBER_MS));
-        let elsewhere = self.elsewhere.iter();
-        let gone = elsewhere.filter(|(_, (_, at))| is_silent(*at, ELSEWHERE_MS));
-        let left = left.map(|(host, _)| host);
-        let silent: Vec<Name> = left.chain(gone.map(|(host, _)| host)).cloned().collect();
-        self.listeners.retain(|_, at| !is_silent(*at, SUBSCRIBER_MS));
+        let silent_subscribers =
+            subscribers.filter(|(_, report)| is_silent(report.at, SUBSCRIBER_TIMEOUT_MS));
+        let peers = self.peer_sums.iter();
+        let silent_peers = peers.filter(|(_, (_, at))| is_silent(*at, PEER_SUM_TIMEOUT_MS));
+        let silent_subscribers = silent_subscribers.map(|(host, _)| host);
+        let silent: Vec<Name> =
+            silent_subscribers.chain(silent_peers.map(|(host, _)| host)).cloned().collect();
+        self.listeners.retain(|_, at| !is_silent(*at, SUBSCRIBER_TIMEOUT_MS));
         for host in &silent {
             self.subscribers.remove(host);
-            self.elsewhere.remove(host);
+            self.peer_sums.remove(host);
         }
         silent
     }
 }
 
-fn add_up<'a>(parts: impl Iterator<Item = &'a Vec<LoadRow>>) -> Vec<LoadRow> {
+/// Adds up the rows of each upstream.
+fn sum_rows<'a>(parts: impl Iterator<Item = &'a Vec<LoadRow>>) -> Vec<LoadRow> {
     let mut sums: BTreeMap<Incarnation, LoadRow> = BTreeMap::new();
     for row in parts.flatten() {
         match sums.get_mut(&row.upstream) {
--- a/crates/fanout/tests/freshness.rs
+++ b/crates/fanout/tests/freshness.rs
@@ -6,15 +6,15 @@
 
 const START: Tick = Tick(1_000_000);
 
-fn word(life: u64, stated: Tick, age_ms: u64, version: u64) -> SourceStatus {
-    SourceStatus { host: "source".into(), life, stated, age_ms: Some(age_ms), version }
+fn status(incarnation: u64, written_at: Tick, age_ms: u64, version: u64) -> SourceStatus {
+    SourceStatus { host: "source".into(), incarnation, written_at, age_ms: Some(age_ms), version }
 }
 
 /// A host whose clock shows `ahead` more than the source's, and which has asked for it within `trip_ms`.
 fn follower(ahead: u64, trip_ms: u64) -> Freshness {
     let mut freshness = Freshness::default();
     let stated = START + trip_ms;
-    freshness.record_clock(START + ahead, &word(1, stated, 0, 5), 5);
+    freshness.record_clock(START + ahead, &status(1, stated, 0, 5), 5);
     freshness
 }
 
@@ -33,53 +33,53 @@
 #[test]
 fn delayed_word() {
     let mut freshness = follower(3_000, 2);
-    freshness.record_status(&word(1, START + 1_000, 100, 5), 5);
+    freshness.record_status(&status(1, START + 1_000, 100, 5), 5);
     assert_eq!(freshness.confirmed_at(), Some(START + 3_000 + 1_000 - 100 - 2));
 }
 
 #[test]
 fn slow_question() {
     let mut freshness = follower(0, 900);
-    freshness.record_status(&word(1, START + 1_000, 0, 5), 5);
+    freshness.record_status(&status(1, START + 1_000, 0, 5), 5);
     assert_eq!(freshness.confirmed_at(), Some(START + 100), "older by what the question took");
-    freshness.record_clock(START + 2_000, &word(1, START + 2_003, 0, 5), 5);
-    freshness.record_status(&word(1, START + 2_500, 0, 5), 5);
+    freshness.record_clock(START + 2_000, &status(1, START + 2_003, 0, 5), 5);
+    freshness.record_status(&status(1, START + 2_500, 0, 5), 5);
     assert_eq!(freshness.confirmed_at(), Some(START + 2_497), "a quicker one says more");
-    freshness.record_clock(START + 4_000, &word(1, START + 5_000, 0, 5), 5);
-    freshness.record_status(&word(1, START + 6_000, 0, 5), 5);
+    freshness.record_clock(START + 4_000, &status(1, START + 5_000, 0, 5), 5);
+    freshness.record_status(&status(1, START + 6_000, 0, 5), 5);
     assert_eq!(freshness.confirmed_at(), Some(START + 5_997), "a slower one changes nothing");
 }
 
 #[test]
 fn older_configuration() {
     let mut freshness = follower(0, 0);
-    freshness.record_status(&word(1, START + 1_000, 0, 6), 5);
+    freshness.record_status(&status(1, START + 1_000, 0, 6), 5);
     assert_eq!(freshness.confirmed_at(), Some(START), "the source knows a newer one");
-    freshness.record_status(&word(1, START + 1_200, 0, 6), 6);
+    freshness.record_status(&status(1, START + 1_200, 0, 6), 6);
     assert_eq!(freshness.confirmed_at(), Some(START + 1_200));
 }
 
 #[test]
 fn restarted_source() {
     let mut freshness = follower(0, 0);
-    freshness.record_status(&word(2, START + 60_000, 0, 5), 5);
+    freshness.record_status(&status(2, START + 60_000, 0, 5), 5);
     assert_eq!(freshness.confirmed_at(), Some(START), "its clock began anew");
 }
 
 #[test]
 fn source_that_knows_nothing() {
     let mut freshness = follower(0, 0);
-    freshness.record_status(&SourceStatus { age_ms: None, ..word(1, START + 500, 0, 5) }, 5);
+    freshness.record_status(&SourceStatus { age_ms: None, ..status(1, START + 500, 0, 5) }, 5);
     assert_eq!(freshness.confirmed_at(), Some(START));
 }
 
 #[test]
 fn asked_now_and_then() {
     let mut freshness = Freshness::default();
-    assert!(freshness.should_ask_clock(START, &"a".into()));
-    assert!(!freshness.should_ask_clock(START + 100, &"a".into()));
-    assert!(freshness.should_ask_clock(START + 200, &"b".into()), "another source");
-    assert!(freshness.should_ask_clock(START + 2_300, &"b".into()));
+    assert!(freshness.should_request_clock(START, &"a".into()));
+    assert!(!freshness.should_request_clock(START + 100, &"a".into()));
+    assert!(freshness.should_request_clock(START + 200, &"b".into()), "another source");
+    assert!(freshness.should_request_clock(START + 2_300, &"b".into()));
 }
 
 /// Two hosts in a row below one that reads the store; clocks differ, questions and words take any time.
@@ -128,17 +128,17 @@
                     now = now + to;
                     let stated = now + clocks[host - 1];
                     let age_ms = hosts[host - 1].age_ms(stated);
-                    let word = SourceStatus { age_ms, ..word(1, stated, 0, 5) };
+                    let status = SourceStatus { age_ms, ..status(1, stated, 0, 5) };
                     now = now + back;
-                    hosts[host].record_clock(asked, &word, 5);
+                    hosts[host].record_clock(asked, &status, 5);
                 }
                 Step::Tell(host, late) => {
                     let written = history.iter().rev().find(|(at, _)| now.since(*at) >= late);
                     if let Some((at, known)) = written {
                         let stated = *at + clocks[host - 1];
                         let age_ms = known[host - 1].map(|confirmed| stated.since(confirmed));
-                        let word = SourceStatus { age_ms, ..word(1, stated, 0, 5) };
-                        hosts[host].record_status(&word, 5);
+                        let status = SourceStatus { age_ms, ..status(1, stated, 0, 5) };
+                        hosts[host].record_status(&status, 5);
                     }
                 }
             }
--- a/crates/gateway/src/confirmation.rs
+++ b/crates/gateway/src/confirmation.rs
@@ -33,7 +33,7 @@
             return;
         };
         let asked = self.clock.now();
-        if self.freshness.borrow_mut().should_ask_clock(asked, &host) {
+        if self.freshness.borrow_mut().should_request_clock(asked, &host) {
             self.send(&host, &PeerMessage::AskClock { asked });
         }
     }
@@ -92,8 +92,8 @@
 fn freshness_report(host: &Name, status: ConfigurationStatus) -> SourceStatus {
     SourceStatus {
         host: host.clone(),
-        life: status.incarnation,
-        stated: status.stated,
+        incarnation: status.incarnation,
+        written_at: status.stated,
         age_ms: status.age_ms,
         version: status.version,
     }
