--- a/crates/fanout/tests/aggregators.rs
+++ b/crates/fanout/tests/aggregators.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn few_all() {
+fn few_hosts_all_aggregators() {
     let hosts = candidates(&[("a", MAX_DIRECT_READERS / 2, 12), ("b", MAX_DIRECT_READERS / 2, 50)]);
     assert_eq!(aggregators(&hosts).len(), MAX_DIRECT_READERS);
 }
@@ -23,7 +23,7 @@
 #[rstest]
 #[case(&[("a", 23, 12), ("b", 18, 12), ("c", 24, 12)], 3)]
 #[case(&[("a", 300, 12), ("b", 1, 12)], 2)]
-fn one_each(#[case] domains: &[(&str, usize, u32)], #[case] expected: usize) {
+fn one_per_domain(#[case] domains: &[(&str, usize, u32)], #[case] expected: usize) {
     assert_eq!(aggregators(&candidates(domains)).len(), expected);
 }
 
--- a/crates/fanout/tests/fleet/mod.rs
+++ b/crates/fanout/tests/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! A whole fleet of choices of a source, without sockets: words, subscriptions and the store's answers between them.
+//! Simulates the source selection of a whole fleet, without sockets: status messages, subscriptions and the store's
+//! answers.
 // Not every test uses all of it.
 #![allow(dead_code, missing_docs)]
 
@@ -7,27 +8,30 @@
 use vanetally_types::{Name, Tick};
 
 pub const DOMAINS: usize = 5;
+/// Hosts per domain.
 pub const HOSTS: usize = 60;
-pub const STRONG: usize = 3;
+/// Hosts per domain with a high capacity.
+pub const STRONG_HOSTS: usize = 3;
 pub const START: u64 = 1_000_000;
 pub const TICK_MS: u64 = 20;
-pub const WORD_MS: u64 = 100;
-pub const WAY_MS: u64 = 2;
-/// Whoever does not report is heard no more after this long.
-pub const SUBSCRIBER_MS: u64 = 2_000;
+pub const STATUS_INTERVAL_MS: u64 = 100;
+/// Transit time of each message and each answer of the store.
+pub const TRANSIT_MS: u64 = 2;
+/// Time after which a subscriber that does not report is dropped.
+pub const SUBSCRIBER_TIMEOUT_MS: u64 = 2_000;
 
-/// One host: its choice of a source, and when the store last confirmed what it knows.
+/// One host: its source selection, and when the store last confirmed its data.
 pub struct Host {
-    pub follow: SourceSelector,
+    pub selector: SourceSelector,
     pub confirmed: Option<u64>,
-    /// Hosts that asked to hear from this one, and when.
+    /// Hosts that subscribed to this one, and when.
     pub subscribers: BTreeMap<Name, u64>,
     pub is_up: bool,
     pub reaches_store: bool,
 }
 
 pub enum Message {
-    Word { age_ms: Option<u64>, path: Path },
+    Status { age_ms: Option<u64>, path: Path },
     Subscribe,
     Sync { age_ms: Option<u64>, path: Path },
     Unsubscribe,
@@ -37,18 +41,20 @@
     pub now: u64,
     pub hosts: BTreeMap<Name, Host>,
     pub domains: BTreeMap<Name, Name>,
-    pub mail: Vec<(u64, Name, Name, Message)>,
+    /// Messages in transit: time of arrival, sender and receiver.
+    pub messages: Vec<(u64, Name, Name, Message)>,
+    /// Answers of the store in transit.
     pub answers: Vec<(u64, Name, Event)>,
     pub is_store_up: bool,
     /// Hosts whose keys the store lists.
     pub listed: BTreeSet<Name>,
-    /// Most hosts of one domain that read the store at one moment, since the last reset.
-    pub most_readers: usize,
-    /// Readings begun.
-    pub readings: usize,
-    /// Hosts that told all others that they read the store.
-    pub announced: usize,
-    /// Probes of the store, answered or not.
+    /// Maximum number of hosts of one domain that read the store at the same time, since the last reset.
+    pub max_readers: usize,
+    /// Number of switches to the store, each with a full read.
+    pub full_reads: usize,
+    /// Number of announcements by hosts that they read the store.
+    pub announcements: usize,
+    /// Number of probes of the store, answered or not.
     pub probes: usize,
 }
 
@@ -58,23 +64,23 @@
             now: START,
             hosts: BTreeMap::new(),
             domains: BTreeMap::new(),
-            mail: Vec::new(),
+            messages: Vec::new(),
             answers: Vec::new(),
             is_store_up: true,
             listed: BTreeSet::new(),
-            most_readers: 0,
-            readings: 0,
-            announced: 0,
+            max_readers: 0,
+            full_reads: 0,
+            announcements: 0,
             probes: 0,
         };
         for number in 0..DOMAINS * HOSTS {
             let (host, domain): (Name, Name) =
                 (format!("h{number}").into(), format!("z{}", number % DOMAINS).into());
-            let follow = SourceSelector::new(Tick(START), host.clone(), domain.clone(), false);
+            let selector = SourceSelector::new(Tick(START), host.clone(), domain.clone(), false);
             fleet.listed.insert(host.clone());
             fleet.domains.insert(host.clone(), domain);
             let one = Host {
-                follow,
+                selector,
                 confirmed: None,
                 subscribers: BTreeMap::new(),
                 is_up: true,
@@ -88,49 +94,50 @@
     pub fn candidates(&self) -> Vec<Candidate> {
         let candidates = self.listed.iter().map(|host| {
             let number: usize = host[1..].parse().unwrap();
-            let capacity = if number / DOMAINS < STRONG { 50 } else { 12 };
+            let capacity = if number / DOMAINS < STRONG_HOSTS { 50 } else { 12 };
             Candidate { host: host.clone(), domain: self.domains[host].clone(), capacity }
         });
         candidates.collect()
     }
 
-    pub fn tell_all(&mut self, event: impl Fn() -> Event) {
+    pub fn notify_all(&mut self, event: impl Fn() -> Event) {
         let hosts: Vec<Name> = self.hosts.keys().cloned().collect();
-        hosts.iter().for_each(|host| self.tell(host, event()));
+        hosts.iter().for_each(|host| self.notify(host, event()));
     }
 
-    pub fn tell(&mut self, host: &Name, event: Event) {
+    /// Passes an event to `host` and executes the resulting actions.
+    pub fn notify(&mut self, host: &Name, event: Event) {
         let Some(one) = self.hosts.get_mut(host).filter(|one| one.is_up) else {
             return;
         };
-        let actions = one.follow.handle(Tick(self.now), event);
-        actions.into_iter().for_each(|action| self.act(host, action));
+        let actions = one.selector.handle(Tick(self.now), event);
+        actions.into_iter().for_each(|action| self.execute(host, action));
     }
 
-    pub fn act(&mut self, host: &Name, action: Action) {
-        let send = |to: Name, message| (self.now + WAY_MS, host.clone(), to, message);
+    pub fn execute(&mut self, host: &Name, action: Action) {
+        let send = |to: Name, message| (self.now + TRANSIT_MS, host.clone(), to, message);
         match action {
-            Action::Subscribe(to) => self.mail.push(send(to, Message::Subscribe)),
-            Action::Unsubscribe(to) => self.mail.push(send(to, Message::Unsubscribe)),
+            Action::Subscribe(to) => self.messages.push(send(to, Message::Subscribe)),
+            Action::Unsubscribe(to) => self.messages.push(send(to, Message::Unsubscribe)),
             Action::ListHosts if self.can_read(host) => {
                 let listed = Event::Candidates(self.candidates());
-                self.answers.push((self.now + WAY_MS, host.clone(), listed));
+                self.answers.push((self.now + TRANSIT_MS, host.clone(), listed));
             }
             Action::Probe => {
                 self.probes += 1;
                 let answer = Event::Probed(self.can_read(host));
-                self.answers.push((self.now + WAY_MS, host.clone(), answer));
+                self.answers.push((self.now + TRANSIT_MS, host.clone(), answer));
             }
             Action::Announce => {
                 let (age_ms, path) = (self.age_ms(host), self.path(host));
                 let others = self.hosts.keys().filter(|other| *other != host);
-                let words: Vec<_> = others
-                    .map(|to| send(to.clone(), Message::Word { age_ms, path: path.clone() }))
+                let statuses: Vec<_> = others
+                    .map(|to| send(to.clone(), Message::Status { age_ms, path: path.clone() }))
                     .collect();
-                self.announced += 1;
-                self.mail.extend(words);
+                self.announcements += 1;
+                self.messages.extend(statuses);
             }
-            Action::Switch { to: Source::Store, .. } => self.readings += 1,
+            Action::Switch { to: Source::Store, .. } => self.full_reads += 1,
             Action::ListHosts | Action::Switch { .. } => {}
         }
     }
@@ -142,43 +149,44 @@
     pub fn deliver(&mut self) {
         let now = self.now;
         let (due, later) =
-            std::mem::take(&mut self.mail).into_iter().partition(|(at, ..)| *at <= now);
-        self.mail = later;
+            std::mem::take(&mut self.messages).into_iter().partition(|(at, ..)| *at <= now);
+        self.messages = later;
         for (_, from, to, message) in due {
             if self.hosts[&to].is_up && self.hosts[&from].is_up {
-                self.take(&from, &to, message);
+                self.receive(&from, &to, message);
             }
         }
         let (due, later) =
             std::mem::take(&mut self.answers).into_iter().partition(|(at, ..)| *at <= now);
         self.answers = later;
         let due: Vec<(u64, Name, Event)> = due;
-        due.into_iter().for_each(|(_, host, event)| self.tell(&host, event));
+        due.into_iter().for_each(|(_, host, event)| self.notify(&host, event));
     }
 
-    pub fn take(&mut self, from: &Name, to: &Name, message: Message) {
+    pub fn receive(&mut self, from: &Name, to: &Name, message: Message) {
         let now = self.now;
         match message {
-            Message::Word { age_ms, path } => {
-                self.tell(to, Event::Path { from: from.clone(), path });
-                self.hear(from, to, age_ms);
+            Message::Status { age_ms, path } => {
+                self.notify(to, Event::Path { from: from.clone(), path });
+                self.update_age(from, to, age_ms);
                 let from = from.clone();
-                self.tell(to, Event::Status { from, age_ms, is_leaving: false });
+                self.notify(to, Event::Status { from, age_ms, is_leaving: false });
             }
             Message::Sync { age_ms, path } => {
-                self.tell(to, Event::Path { from: from.clone(), path });
-                self.tell(to, Event::Synced { from: from.clone(), age_ms });
-                self.hear(from, to, age_ms);
+                self.notify(to, Event::Path { from: from.clone(), path });
+                self.notify(to, Event::Synced { from: from.clone(), age_ms });
+                self.update_age(from, to, age_ms);
             }
             Message::Subscribe => {
                 let (age_ms, path) = (self.age_ms(to), self.path(to));
                 let host = self.hosts.get_mut(to).unwrap();
                 host.subscribers.insert(from.clone(), now);
                 let subscribers = Event::Subscribers(host.subscribers.keys().cloned().collect());
-                self.tell(to, subscribers);
-                let mut answer =
-                    |message| self.mail.push((now + WAY_MS, to.clone(), from.clone(), message));
-                answer(Message::Word { age_ms, path: path.clone() });
+                self.notify(to, subscribers);
+                let mut answer = |message| {
+                    self.messages.push((now + TRANSIT_MS, to.clone(), from.clone(), message))
+                };
+                answer(Message::Status { age_ms, path: path.clone() });
                 if age_ms.is_some() {
                     answer(Message::Sync { age_ms, path });
                 }
@@ -187,31 +195,32 @@
                 let host = self.hosts.get_mut(to).unwrap();
                 host.subscribers.remove(from);
                 let subscribers = Event::Subscribers(host.subscribers.keys().cloned().collect());
-                self.tell(to, subscribers);
+                self.notify(to, subscribers);
             }
         }
     }
 
-    pub fn hear(&mut self, from: &Name, to: &Name, age_ms: Option<u64>) {
+    /// Updates what `to` knows if `from` is its source.
+    pub fn update_age(&mut self, from: &Name, to: &Name, age_ms: Option<u64>) {
         let now = self.now;
         let host = self.hosts.get_mut(to).unwrap();
-        if host.follow.source() == Source::Host(from.clone()) {
+        if host.selector.source() == Source::Host(from.clone()) {
             let confirmed = host.confirmed.max(age_ms.map(|age| now - age));
             self.confirm(to, confirmed);
         }
     }
 
-    /// What lies in the store was confirmed; for the first time, all that hear from the host get it.
+    /// Records when the store confirmed the data of `host`; the first time, sends the data to all subscribers.
     pub fn confirm(&mut self, host: &Name, confirmed: Option<u64>) {
         let one = self.hosts.get_mut(host).unwrap();
         let is_first = one.confirmed.is_none() && confirmed.is_some();
         one.confirmed = confirmed;
         if is_first {
             let age_ms = confirmed.map(|at| self.now - at);
-            let path = one.follow.path();
+            let path = one.selector.path();
             let message = || Message::Sync { age_ms, path: path.clone() };
-            let sync = |to: &Name| (self.now + WAY_MS, host.clone(), to.clone(), message());
-            self.mail.extend(one.subscribers.keys().map(sync));
+            let sync = |to: &Name| (self.now + TRANSIT_MS, host.clone(), to.clone(), message());
+            self.messages.extend(one.subscribers.keys().map(sync));
         }
     }
 
@@ -219,25 +228,26 @@
         self.hosts[host].confirmed.map(|at| self.now - at)
     }
 
-    /// Forgets hosts that asked to hear from `host` long ago and do not report to it; gives back the others.
-    pub fn forget_silent(&mut self, host: &Name) -> Vec<Name> {
+    /// Drops hosts that subscribed to `host` long ago and do not report to it; returns the others.
+    pub fn drop_silent(&mut self, host: &Name) -> Vec<Name> {
         let source = Source::Host(host.clone());
         let reports =
-            |one: &Name| self.hosts[one].is_up && self.hosts[one].follow.source() == source;
-        let asked = &self.hosts[host].subscribers;
-        let stays = |(one, at): &(&Name, &u64)| reports(one) || self.now - **at <= SUBSCRIBER_MS;
-        let stay: BTreeMap<Name, u64> =
-            asked.iter().filter(stays).map(|(one, at)| (one.clone(), *at)).collect();
-        let names: Vec<Name> = stay.keys().cloned().collect();
-        if stay.len() < asked.len() {
-            self.hosts.get_mut(host).unwrap().subscribers = stay;
-            self.tell(host, Event::Subscribers(names.iter().cloned().collect()));
+            |one: &Name| self.hosts[one].is_up && self.hosts[one].selector.source() == source;
+        let subscribers = &self.hosts[host].subscribers;
+        let is_kept =
+            |(one, at): &(&Name, &u64)| reports(one) || self.now - **at <= SUBSCRIBER_TIMEOUT_MS;
+        let kept: BTreeMap<Name, u64> =
+            subscribers.iter().filter(is_kept).map(|(one, at)| (one.clone(), *at)).collect();
+        let names: Vec<Name> = kept.keys().cloned().collect();
+        if kept.len() < subscribers.len() {
+            self.hosts.get_mut(host).unwrap().subscribers = kept;
+            self.notify(host, Event::Subscribers(names.iter().cloned().collect()));
         }
         names
     }
 
     pub fn path(&self, host: &Name) -> Path {
-        self.hosts[host].follow.path()
+        self.hosts[host].selector.path()
     }
 
     pub fn step(&mut self) {
@@ -245,74 +255,82 @@
         self.deliver();
         let hosts: Vec<Name> = self.hosts.keys().cloned().collect();
         for host in &hosts {
-            if self.hosts[host].follow.source() == Source::Store {
+            if self.hosts[host].selector.source() == Source::Store {
                 if self.can_read(host) {
                     self.confirm(host, Some(self.now));
                 }
                 let age_ms = self.age_ms(host);
-                self.tell(host, Event::StoreConfirmed(age_ms));
+                self.notify(host, Event::StoreConfirmed(age_ms));
             }
-            self.tell(host, Event::Tick);
-            if (self.now / TICK_MS).is_multiple_of(WORD_MS / TICK_MS) && self.hosts[host].is_up {
+            self.notify(host, Event::Tick);
+            if (self.now / TICK_MS).is_multiple_of(STATUS_INTERVAL_MS / TICK_MS)
+                && self.hosts[host].is_up
+            {
                 let (age_ms, path) = (self.age_ms(host), self.path(host));
-                for to in self.forget_silent(host) {
-                    let word = Message::Word { age_ms, path: path.clone() };
-                    self.mail.push((self.now + WAY_MS, host.clone(), to, word));
+                for to in self.drop_silent(host) {
+                    let status = Message::Status { age_ms, path: path.clone() };
+                    self.messages.push((self.now + TRANSIT_MS, host.clone(), to, status));
                 }
             }
         }
         let mut readers: BTreeMap<&Name, usize> = BTreeMap::new();
         for (host, one) in &self.hosts {
-            if one.is_up && one.follow.source() == Source::Store {
+            if one.is_up && one.selector.source() == Source::Store {
                 *readers.entry(&self.domains[host]).or_default() += 1;
             }
         }
-        self.most_readers = self.most_readers.max(readers.into_values().max().unwrap_or(0));
+        self.max_readers = self.max_readers.max(readers.into_values().max().unwrap_or(0));
     }
 
-    /// Plays so long; gives back the highest age of what a host knew meanwhile that can reach the store.
-    pub fn play(&mut self, millis: u64) -> u64 {
-        self.play_for(millis, |one| one.reaches_store)
+    /// Runs for `millis`; returns the maximum age that the data of a host that can reach the store had meanwhile.
+    pub fn run(&mut self, millis: u64) -> u64 {
+        self.run_counting(millis, |one| one.reaches_store)
     }
 
-    /// The same, of the hosts that `is_bound` and that run.
-    pub fn play_for(&mut self, millis: u64, is_bound: impl Fn(&Host) -> bool) -> u64 {
-        let mut oldest = 0;
+    /// Runs for `millis`; returns the maximum age that the data of running hosts that pass `is_counted` had meanwhile.
+    pub fn run_counting(&mut self, millis: u64, is_counted: impl Fn(&Host) -> bool) -> u64 {
+        let mut max_age_ms = 0;
         for _ in 0..millis / TICK_MS {
             self.step();
-            let bound = self.hosts.iter().filter(|(_, one)| one.is_up && is_bound(one));
-            let ages = bound.map(|(host, _)| self.age_ms(host).unwrap_or(u64::MAX));
-            oldest = oldest.max(ages.max().unwrap_or(0));
+            let counted = self.hosts.iter().filter(|(_, one)| one.is_up && is_counted(one));
+            let ages = counted.map(|(host, _)| self.age_ms(host).unwrap_or(u64::MAX));
+            max_age_ms = max_age_ms.max(ages.max().unwrap_or(0));
         }
-        oldest
+        max_age_ms
     }
 
-    /// A fleet in which every host has found its source.
+    /// Returns a fleet in which every host has found its source.
     pub fn settled() -> Self {
         let mut fleet = Self::new();
-        fleet.play(3_000);
-        assert!(fleet.play(100) < 500, "all know what is new");
-        fleet.most_readers = 0;
-        fleet.readings = 0;
+        fleet.run(3_000);
+        assert!(fleet.run(100) < 500, "all hosts are up to date");
+        fleet.max_readers = 0;
+        fleet.full_reads = 0;
         fleet
     }
 
+    /// Returns the only host that reads the store.
     pub fn root(&self) -> Name {
-        let is_reader = |one: &Host| one.is_up && one.follow.source() == Source::Store;
+        let is_reader = |one: &Host| one.is_up && one.selector.source() == Source::Store;
         let mut readers = self.hosts.iter().filter(|(_, one)| is_reader(one));
         let (root, _) = readers.next().unwrap();
-        assert!(readers.next().is_none(), "one reads for all");
+        assert!(readers.next().is_none(), "more than one host reads the store");
         root.clone()
     }
 
-    /// The aggregator of a domain that is not the root's.
+    /// Returns the aggregator of a domain other than the root's.
     pub fn aggregator(&self) -> Name {
         let root = self.root();
-        let hears_root = |one: &Host| one.follow.source() == Source::Host(root.clone());
-        let far = |host: &Name| self.domains[host] != self.domains[&root];
-        self.hosts.iter().find(|(host, one)| far(host) && hears_root(one)).unwrap().0.clone()
+        let reads_root = |one: &Host| one.selector.source() == Source::Host(root.clone());
+        let is_other_domain = |host: &Name| self.domains[host] != self.domains[&root];
+        self.hosts
+            .iter()
+            .find(|(host, one)| is_other_domain(host) && reads_root(one))
+            .unwrap()
+            .0
+            .clone()
     }
 }
 
-/// Hosts of a domain that may read the store at one moment: one in ten.
-pub const MOST_READERS: usize = HOSTS / 10;
+/// Maximum number of hosts of a domain that may read the store at the same time: one in ten.
+pub const MAX_READERS: usize = HOSTS / 10;
--- a/crates/fanout/tests/messages.rs
+++ b/crates/fanout/tests/messages.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other is read from bytes: whatever arrives, reading it ends in a value or in nothing.
+//! Decoding of messages between hosts: any bytes decode to a value or to `None`, without a panic.
 
 use proptest::prelude::*;
 use vanetally_dispatch::{Digest, LimitRow, LoadRow};
@@ -20,8 +20,8 @@
     Digest { loads: (0..4).map(row).collect(), demand: Vec::new() }
 }
 
-/// Reads `bytes` as all kinds of messages; only that it ends matters.
-fn read_all(bytes: &[u8]) {
+/// Decodes `bytes` as each kind of message; only a panic or a hang would be a failure.
+fn decode_all(bytes: &[u8]) {
     let _ = decode::<Digest>(bytes);
     let _ = decode::<Prompt>(bytes);
     let _ = decode::<SlotReply>(bytes);
@@ -34,32 +34,32 @@
 }
 
 #[test]
-fn there_and_back() {
+fn round_trip() {
     let bytes = encode(&digest()).unwrap();
     assert_eq!(decode::<Digest>(&bytes), Some(digest()));
 }
 
 #[test]
-fn cut_off_anywhere() {
+fn truncated_anywhere() {
     let bytes = encode(&digest()).unwrap();
     for end in 0..bytes.len() {
         assert_eq!(decode::<Digest>(&bytes[..end]), None, "the first {end} bytes");
     }
 }
 
-/// Lists and texts that state a length far beyond what follows take no memory for it.
+/// Lists and strings that state a length far beyond the data must not allocate that much.
 #[test]
-fn stated_lengths() {
+fn excessive_lengths() {
     for head in [0x9b_u8, 0xbb, 0x7b, 0x5b] {
         let mut bytes = vec![head];
         bytes.extend_from_slice(&u64::MAX.to_be_bytes());
-        read_all(&bytes);
+        decode_all(&bytes);
     }
 }
 
 #[test]
 fn deeply_nested() {
-    read_all(&vec![0x81; 100_000]);
+    decode_all(&vec![0x81; 100_000]);
 }
 
 proptest! {
@@ -71,15 +71,15 @@
     })]
 
     #[test]
-    fn any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
-        read_all(&bytes);
+    fn arbitrary_bytes(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
+        decode_all(&bytes);
     }
 
     #[test]
-    fn byte_over(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
+    fn byte_overwritten(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let mut bytes = encode(&digest()).unwrap();
         let at = at.index(bytes.len());
         bytes[at] = byte;
-        read_all(&bytes);
+        decode_all(&bytes);
     }
 }
--- a/crates/fanout/tests/mirror.rs
+++ b/crates/fanout/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! What a host knows of one prefix of the store.
+//! A host's copy of one prefix of the store.
 
 use vanetally_fanout::{Gap, Mirror};
 use vanetally_ports::{Change, Era, Item, Revision};
@@ -25,16 +25,16 @@
 fn changes_applied() {
     let mut mirror = read_at(5, &[item("a", 3)]);
     let changes = vec![Change::Put(item("b", 6)), gone("a", 7)];
-    let news = mirror
+    let new = mirror
         .try_apply(Revision::without_era(5), Revision::without_era(8), changes.clone())
         .unwrap();
-    assert_eq!(news, changes);
+    assert_eq!(new, changes);
     assert_eq!(keys(&mirror), ["b"]);
     assert_eq!(mirror.revision(), Some(Revision::without_era(8)));
 }
 
 #[test]
-fn gap_refused() {
+fn gap_rejected() {
     let mut mirror = read_at(5, &[]);
     let changes = vec![Change::Put(item("b", 9))];
     assert_eq!(
@@ -47,48 +47,48 @@
     );
 }
 
-/// Changes that are told twice, by two sources, are news once.
+/// Changes that two sources forward are returned as new only once.
 #[test]
-fn overlap_told_once() {
+fn overlap_returned_once() {
     let mut mirror = read_at(5, &[item("a", 3)]);
     mirror
         .try_apply(Revision::without_era(5), Revision::without_era(8), vec![gone("a", 7)])
         .unwrap();
     let late = vec![Change::Put(item("a", 6)), gone("a", 7), Change::Put(item("c", 9))];
-    let news = mirror.try_apply(Revision::without_era(4), Revision::without_era(9), late).unwrap();
-    assert_eq!(news, [Change::Put(item("c", 9))]);
+    let new = mirror.try_apply(Revision::without_era(4), Revision::without_era(9), late).unwrap();
+    assert_eq!(new, [Change::Put(item("c", 9))]);
     assert_eq!(keys(&mirror), ["c"]);
 }
 
-/// A reading older than what is known would bring back what has gone.
+/// A full read older than the known state would restore deleted keys.
 #[test]
-fn old_reading_refused() {
+fn old_read_rejected() {
     let mut mirror = read_at(5, &[item("a", 3)]);
     mirror
         .try_apply(Revision::without_era(5), Revision::without_era(8), vec![gone("a", 7)])
         .unwrap();
     assert!(!mirror.try_replace(Revision::without_era(6), &[item("a", 3)]));
     assert_eq!(keys(&mirror), [] as [&str; 0]);
-    assert!(mirror.try_replace(Revision::without_era(7), &[]), "nothing was known beyond it");
+    assert!(mirror.try_replace(Revision::without_era(7), &[]), "no later change was known");
 }
 
-/// Pages of one reading are no snapshot: a later one may hold changes beyond its revision.
+/// A full read in pages is no atomic snapshot: a later page may hold changes beyond the read's revision.
 #[test]
 fn later_page() {
     let mut mirror = read_at(5, &[item("a", 6)]);
-    let news = mirror.try_apply(
+    let new = mirror.try_apply(
         Revision::without_era(5),
         Revision::without_era(7),
         vec![Change::Put(item("a", 6))],
     );
-    assert_eq!(news, Ok(Vec::new()));
+    assert_eq!(new, Ok(Vec::new()));
 }
 
-/// Found in a played day (crd-bidfloor-grown trouble-1): a host that read the store itself got an older
-/// reading from an aggregator that it had asked before. It took it, everything after seemed to miss
-/// something, and for three seconds it heard of no change: an upstream that had left got requests.
+/// A host that read the store itself received an older full read from an aggregator that it had subscribed to before.
+/// Applying it set the known revision back, so that all later changes left a gap: for three seconds the host applied none
+/// and kept sending requests to an upstream that had left.
 #[test]
-fn older_reading_is_no_step_back() {
+fn older_read_keeps_revision() {
     let mut mirror = Mirror::default();
     assert!(mirror.try_replace(Revision::without_era(700), &[item("servers/a", 700)]));
     assert!(
@@ -97,16 +97,16 @@
             .is_ok()
     );
     mirror.try_replace(Revision::without_era(705), &[item("servers/a", 700)]);
-    assert_eq!(mirror.revision(), Some(Revision::without_era(716)), "what is known stays known");
+    assert_eq!(mirror.revision(), Some(Revision::without_era(716)), "the revision stays");
     let change = Change::Put(item("servers/a", 718));
-    let news =
+    let new =
         mirror.try_apply(Revision::without_era(716), Revision::without_era(718), vec![change]);
-    assert_eq!(news.map(|news| news.len()), Ok(1), "nothing was missing");
+    assert_eq!(new.map(|new| new.len()), Ok(1), "there was no gap");
 }
 
-/// What a reading changes, told as changes, brings another mirror to the same state.
+/// The changes computed from a full read bring another mirror to the same state.
 #[test]
-fn reading_as_changes() {
+fn read_as_changes() {
     let before = [item("a", 3), item("b", 4), item("c", 5)];
     let after = [item("a", 3), item("b", 7), item("d", 8)];
     let (mut reader, mut follower) = (read_at(5, &before), read_at(5, &before));
@@ -118,7 +118,7 @@
     assert_eq!(reader.changes_to(Revision::without_era(9), &after), []);
 }
 
-/// A message with changes that was lost on its way is missed even if no other follows.
+/// A lost message with changes is noticed even if no other message follows.
 #[test]
 fn lost_message() {
     let mut follower = read_at(5, &[]);
@@ -135,9 +135,9 @@
     assert!(Mirror::default().is_behind(Revision::without_era(0)), "nothing was read");
 }
 
-/// A host that was away a while is told what changed meanwhile, and not everything.
+/// A host that was disconnected for a while receives only what changed meanwhile.
 #[test]
-fn difference_told() {
+fn difference_sent() {
     let mut reader = read_at(5, &[item("a", 3), item("b", 4), item("c", 5)]);
     let mut follower = reader.clone();
     let later = vec![Change::Put(item("d", 6)), gone("a", 7), Change::Put(item("b", 8))];
@@ -149,7 +149,7 @@
     assert_eq!(reader.changes_since(Revision::without_era(9)), Some(Vec::new()));
 }
 
-/// What went before the first reading is not known: who is further behind needs everything.
+/// Deletions before the first full read are not known: a host that is further behind needs all keys.
 #[test]
 fn difference_unknown() {
     let reader = read_at(5, &[item("a", 3)]);
@@ -157,9 +157,9 @@
     assert_eq!(Mirror::default().changes_since(Revision::without_era(0)), None);
 }
 
-/// A key that a later reading lists no more went, and one that came back is there.
+/// A key that a later full read does not list counts as deleted until it is written again.
 #[test]
-fn difference_of_readings() {
+fn difference_of_reads() {
     let mut reader = read_at(5, &[item("a", 3), item("b", 4)]);
     assert!(reader.try_replace(Revision::without_era(9), &[item("b", 4)]));
     assert_eq!(reader.changes_since(Revision::without_era(5)), Some(vec![gone("a", 9)]));
@@ -176,7 +176,7 @@
     );
 }
 
-/// A word that nothing more has changed brings a host up to date without a change.
+/// A status that no key changed brings a host up to date without a change.
 #[test]
 fn advanced() {
     let mut follower = read_at(5, &[item("a", 3)]);
@@ -195,21 +195,21 @@
     Item { revision: in_era(era, number), ..item(key, number) }
 }
 
-/// A reading below what was known was dropped, and each change after it, when the store had come back from a copy.
+/// After the store was restored from a copy, a full read below the known revision is applied, and so are later changes.
 #[test]
-fn reading_of_the_next_era() {
+fn read_of_next_era() {
     let mut mirror = Mirror::default();
     assert!(mirror.try_replace(in_era(1, 500), &[item_in(1, "a", 490), item_in(1, "b", 500)]));
     assert!(mirror.try_replace(in_era(2, 480), &[item_in(2, "a", 470)]));
     assert_eq!((keys(&mirror), mirror.revision()), (vec!["a".into()], Some(in_era(2, 480))));
     let change = Change::Put(item_in(2, "c", 481));
-    let news = mirror.try_apply(in_era(2, 480), in_era(2, 481), vec![change.clone()]);
-    assert_eq!(news, Ok(vec![change]));
+    let new = mirror.try_apply(in_era(2, 480), in_era(2, 481), vec![change.clone()]);
+    assert_eq!(new, Ok(vec![change]));
 }
 
-/// An answer that was made before the return and comes late changes nothing, however high its revision.
+/// A late response from before the restore changes nothing, however high its revision.
 #[test]
-fn late_news_of_an_era_before() {
+fn late_changes_of_previous_era() {
     let mut mirror = Mirror::default();
     assert!(mirror.try_replace(in_era(2, 10), &[item_in(2, "a", 9)]));
     assert!(!mirror.try_replace(in_era(1, 900), &[item_in(1, "b", 900)]));
@@ -220,20 +220,20 @@
     assert_eq!((keys(&mirror), mirror.revision()), (vec!["a".into()], Some(in_era(2, 10))));
 }
 
-/// The watch goes on from a revision that the store has again, but as another change.
+/// A watch must not continue from a revision of the previous era: after the restore its number stands for another change.
 #[test]
-fn changes_of_the_next_era() {
+fn changes_of_next_era() {
     let mut mirror = Mirror::default();
     assert!(mirror.try_replace(in_era(1, 500), &[]));
     let changes = vec![Change::Put(item_in(2, "a", 502))];
     assert_eq!(mirror.try_apply(in_era(1, 500), in_era(2, 502), changes.clone()), Err(Gap));
     assert_eq!(mirror.try_apply(in_era(2, 500), in_era(2, 502), changes), Err(Gap));
-    assert!(mirror.is_behind(in_era(2, 1)), "all of the next era is missing");
+    assert!(mirror.is_behind(in_era(2, 1)), "all changes of the next era are missing");
 }
 
-/// What differs between eras can't be told: who knows another one needs everything.
+/// No difference can be computed between eras: a host that knows another era needs all keys.
 #[test]
-fn difference_over_eras() {
+fn difference_across_eras() {
     let mut mirror = Mirror::default();
     assert!(mirror.try_replace(in_era(1, 500), &[item_in(1, "a", 3)]));
     assert!(mirror.try_replace(in_era(2, 480), &[item_in(2, "a", 3)]));
--- a/crates/fanout/tests/mirror_model.rs
+++ b/crates/fanout/tests/mirror_model.rs
@@ -1,5 +1,5 @@
-//! A mirror that hears from several sources in any order, of a store that comes back from copies, against the store's
-//! own history.
+//! Compares a mirror that receives messages from several sources in any order with the history of the store, which is
+//! repeatedly restored from copies.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -8,48 +8,49 @@
 use vanetally_types::Name;
 
 const KEYS: usize = 4;
-/// Every third change or so is one of another prefix, which this mirror does not hear of.
+/// About every third change is under another prefix and not sent to this mirror.
 const ALL_KEYS: usize = 6;
-/// Changes in the history of one era; their numbers are one more than their index.
-const HISTORY: usize = 24;
+/// Number of changes in the history of one era. Revision numbers are one more than the index.
+const CHANGES: usize = 24;
 const ERAS: usize = 3;
 
-/// What was written in one era: which key, and whether it stayed. It begins with what the era before had up to `copy`.
+/// The changes of one era: the key, and whether it was written or deleted. The era starts from a copy of the previous one
+/// with its first `copied` changes.
 #[derive(Clone, Debug)]
-struct Stretch {
-    copy: usize,
+struct EraChanges {
+    copied: usize,
     changes: Vec<(usize, bool)>,
 }
 
-/// Something that the host hears. Places in the history are shares of it.
+/// A message that the host receives. `at` and `after` are indexes into the history.
 #[derive(Clone, Debug)]
-enum Heard {
-    /// A whole reading, perhaps by another host and long ago.
-    Reading { era: usize, at: usize },
-    /// Changes after one place and up to another.
+enum Message {
+    /// A full read, perhaps an old one by another host.
+    FullRead { era: usize, at: usize },
+    /// The changes after one index and up to another.
     Changes { era: usize, after: usize, at: usize },
-    /// The host's own watch goes on from what it knows; the store is in this era.
+    /// The host's own watch continues from what it knows; the store is in this era.
     Watch { era: usize, at: usize },
-    /// Another host's word that nothing more changed.
-    Word { era: usize, at: usize },
-    /// Another host's difference to what this one knows.
+    /// Another host's status that no key changed.
+    Status { era: usize, at: usize },
+    /// The difference between another host's state and this one's.
     Difference { era: usize, at: usize },
 }
 
-/// The history of each era, from its beginning on.
-fn histories(stretches: &[Stretch]) -> Vec<Vec<(usize, bool)>> {
+/// Returns the complete history of each era.
+fn histories(eras: &[EraChanges]) -> Vec<Vec<(usize, bool)>> {
     let mut histories: Vec<Vec<(usize, bool)>> = Vec::new();
-    for Stretch { copy, changes } in stretches {
+    for EraChanges { copied, changes } in eras {
         let mut history = histories.last().cloned().unwrap_or_default();
-        history.truncate(*copy);
-        let missing = HISTORY - history.len();
+        history.truncate(*copied);
+        let missing = CHANGES - history.len();
         history.extend(changes.iter().take(missing));
         histories.push(history);
     }
     histories
 }
 
-/// The store's keys after the first `at` changes.
+/// Returns the store's keys after the first `at` changes.
 fn state(history: &[(usize, bool)], era: usize, at: usize) -> BTreeMap<Name, Item> {
     let mut keys = BTreeMap::new();
     for change in changes(history, era, 0, at) {
@@ -62,46 +63,46 @@
 }
 
 fn changes(history: &[(usize, bool)], era: usize, after: usize, at: usize) -> Vec<Change> {
-    let change = |number: usize| {
-        let (key, stays) = history[number];
-        let (key, revision) = (format!("k{key}").into(), revision(era, number + 1));
-        match stays {
+    let change = |index: usize| {
+        let (key, is_put) = history[index];
+        let (key, revision) = (format!("k{key}").into(), revision(era, index + 1));
+        match is_put {
             true => Change::Put(Item { key, value: b"v".to_vec().into(), revision }),
             false => Change::Deleted { key, revision },
         }
     };
-    let is_own = |number: &usize| history[*number].0 < KEYS;
-    (after.min(at)..at).filter(is_own).map(change).collect()
+    let has_prefix = |index: &usize| history[*index].0 < KEYS;
+    (after.min(at)..at).filter(has_prefix).map(change).collect()
 }
 
-fn heard() -> impl Strategy<Value = Heard> {
+fn message() -> impl Strategy<Value = Message> {
     let era = 0..ERAS;
-    let place = 0..=HISTORY;
-    let pair = (era, place.clone());
+    let index = 0..=CHANGES;
+    let pair = (era, index.clone());
     prop_oneof![
-        pair.clone().prop_map(|(era, at)| Heard::Reading { era, at }),
-        (pair.clone(), place).prop_map(|((era, one), other)| Heard::Changes {
+        pair.clone().prop_map(|(era, at)| Message::FullRead { era, at }),
+        (pair.clone(), index).prop_map(|((era, one), other)| Message::Changes {
             era,
             after: one.min(other),
             at: one.max(other)
         }),
-        pair.clone().prop_map(|(era, at)| Heard::Watch { era, at }),
-        pair.clone().prop_map(|(era, at)| Heard::Word { era, at }),
-        pair.prop_map(|(era, at)| Heard::Difference { era, at }),
+        pair.clone().prop_map(|(era, at)| Message::Watch { era, at }),
+        pair.clone().prop_map(|(era, at)| Message::Status { era, at }),
+        pair.prop_map(|(era, at)| Message::Difference { era, at }),
     ]
 }
 
-fn stretch() -> impl Strategy<Value = Stretch> {
-    let changes = prop::collection::vec((0..ALL_KEYS, any::<bool>()), HISTORY);
-    (0..=HISTORY, changes).prop_map(|(copy, changes)| Stretch { copy, changes })
+fn era_changes() -> impl Strategy<Value = EraChanges> {
+    let changes = prop::collection::vec((0..ALL_KEYS, any::<bool>()), CHANGES);
+    (0..=CHANGES, changes).prop_map(|(copied, changes)| EraChanges { copied, changes })
 }
 
 fn revision(era: usize, at: usize) -> Revision {
     Revision::new(Era(era as u64), at as u64)
 }
 
-/// The mirror of a host that has read the store at this place.
-fn read(history: &[(usize, bool)], era: usize, at: usize) -> Mirror {
+/// Returns the mirror of a host that has read the store after the first `at` changes.
+fn mirror_at(history: &[(usize, bool)], era: usize, at: usize) -> Mirror {
     let mut mirror = Mirror::default();
     let items: Vec<Item> = state(history, era, at).into_values().collect();
     mirror.try_replace(revision(era, at), &items);
@@ -111,51 +112,51 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(4_000))]
 
-    /// Whatever comes in whatever order, what is known is the store's state at the revision that it
-    /// claims, that revision never goes back, and the host's own watch never finds a gap within an era.
+    /// For any messages in any order, the mirror holds the store's state at the revision that it states, that
+    /// revision never decreases, and the host's own watch never finds a gap within an era.
     #[test]
-    fn knows_what_it_claims(
-        stretches in prop::collection::vec(stretch(), ERAS),
-        messages in prop::collection::vec(heard(), 1..40),
+    fn matches_store_history(
+        eras in prop::collection::vec(era_changes(), ERAS),
+        messages in prop::collection::vec(message(), 1..40),
     ) {
-        let histories = histories(&stretches);
+        let histories = histories(&eras);
         let mut mirror = Mirror::default();
         let mut known = Revision::default();
         for message in messages {
             match message {
-                Heard::Reading { era, at } => {
+                Message::FullRead { era, at } => {
                     let items: Vec<Item> = state(&histories[era], era, at).into_values().collect();
                     mirror.try_replace(revision(era, at), &items);
                 }
-                Heard::Changes { era, after, at } => {
+                Message::Changes { era, after, at } => {
                     let changes = changes(&histories[era], era, after, at);
                     // A gap changes nothing.
                     let _ = mirror.try_apply(revision(era, after), revision(era, at), changes);
                 }
-                Heard::Watch { era, at } if mirror.revision().is_some() => {
+                Message::Watch { era, at } if mirror.revision().is_some() => {
                     let from = known.number as usize;
                     let at = at.max(from);
                     let changes = changes(&histories[era], era, from, at);
-                    let told = mirror.try_apply(known, revision(era, at), changes);
-                    prop_assert!(told.is_ok() == (known.era == Era(era as u64)), "after {known:?}");
+                    let result = mirror.try_apply(known, revision(era, at), changes);
+                    prop_assert!(result.is_ok() == (known.era == Era(era as u64)), "after {known:?}");
                 }
-                // A word is about what was told before: within an era nothing is missing then.
-                Heard::Word { era, at } if known.era == Era(era as u64) => {
+                // A status follows the changes before it: within an era none of them is missing then.
+                Message::Status { era, at } if known.era == Era(era as u64) => {
                     let from = known.number as usize;
                     if changes(&histories[era], era, from, at).is_empty() {
                         mirror.advance(revision(era, at));
                     }
                 }
-                Heard::Word { era, at } => mirror.advance(revision(era, at)),
-                Heard::Difference { era, at } => {
-                    let other = read(&histories[era], era, at);
+                Message::Status { era, at } => mirror.advance(revision(era, at)),
+                Message::Difference { era, at } => {
+                    let other = mirror_at(&histories[era], era, at);
                     if let (Some(have), Some(at)) = (mirror.revision(), other.revision())
                         && let Some(changes) = other.changes_since(have)
                     {
                         prop_assert!(mirror.try_apply(have, at, changes).is_ok());
                     }
                 }
-                Heard::Watch { .. } => {}
+                Message::Watch { .. } => {}
             }
             let Some(at) = mirror.revision() else {
                 continue;
@@ -164,9 +165,9 @@
             known = at;
             let items: Vec<Item> = mirror.items().cloned().collect();
             let era = at.era.0 as usize;
-            let truth = state(&histories[era], era, at.number as usize);
-            let truth: Vec<Item> = truth.into_values().collect();
-            prop_assert_eq!(items, truth);
+            let expected = state(&histories[era], era, at.number as usize);
+            let expected: Vec<Item> = expected.into_values().collect();
+            prop_assert_eq!(items, expected);
         }
     }
 }
--- a/crates/fanout/tests/pack.rs
+++ b/crates/fanout/tests/pack.rs
@@ -1,8 +1,8 @@
-//! Large messages between hosts, compressed.
+//! Compression of large messages between hosts.
 
 use vanetally_fanout::Packed;
 
-/// The keys of a thousand upstreams, as an aggregator sends them to each host that starts.
+/// Returns the keys of a thousand upstreams, as an aggregator sends them to each host that starts.
 fn keys() -> Vec<u8> {
     let key = |number: usize| {
         format!(
@@ -18,28 +18,28 @@
 }
 
 #[test]
-fn comes_back() {
+fn round_trip() {
     let keys = keys();
     let packed = Packed::try_from_bytes(&keys).unwrap();
     assert_eq!(packed.try_unpack().unwrap(), keys);
 }
 
-/// Found by a sweep: after all of 100 hosts were killed, one with 20 Mbit/s had to send the keys of a thousand
-/// upstreams to each of nineteen others, and the fleet served again after six seconds.
+/// After all of 100 hosts were killed, one with a link of 20 Mbit/s had to send the keys of a thousand upstreams to
+/// nineteen others; uncompressed, it took the fleet six seconds to serve again.
 #[test]
-fn small_on_links() {
+fn keys_compress_well() {
     let keys = keys();
     let packed = Packed::try_from_bytes(&keys).unwrap();
     assert!(packed.packed_len() * 6 < keys.len(), "{} of {}", packed.packed_len(), keys.len());
 }
 
 #[test]
-fn bad_bytes_refused() {
-    let mut bad = Packed::try_from_bytes(&keys()).unwrap();
-    let text = serde_json::to_string(&bad).unwrap();
+fn corrupt_data_rejected() {
+    let mut corrupt = Packed::try_from_bytes(&keys()).unwrap();
+    let text = serde_json::to_string(&corrupt).unwrap();
     let larger = text.replacen("\"size\":", "\"size\":99999", 1);
-    bad = serde_json::from_str(&larger).unwrap();
-    assert!(bad.try_unpack().is_err(), "a size beyond all bounds");
+    corrupt = serde_json::from_str(&larger).unwrap();
+    assert!(corrupt.try_unpack().is_err(), "a size over the limit");
     let other: Packed = serde_json::from_str(r#"{"size":5,"compressed":[1,2,3]}"#).unwrap();
     assert!(other.try_unpack().is_err());
 }
--- a/crates/fanout/tests/pull.rs
+++ b/crates/fanout/tests/pull.rs
@@ -1,5 +1,7 @@
-//! Found in played days: each message of each aggregator, and each version of a storm, asked for a large
-//! configuration once more, and its copies filled a slow link.
+//! When a newer version is requested from another host.
+//!
+//! Each status message of each aggregator, and each version of a rapid series, caused another request for a large
+//! configuration, and the copies filled a slow link.
 
 use vanetally_fanout::Pull;
 use vanetally_types::{Name, Tick};
@@ -9,7 +11,7 @@
 }
 
 #[test]
-fn asked_once() {
+fn requested_once() {
     let mut pull = Pull::default();
     assert!(pull.should_request(Tick(0), &host("a")));
     assert!(!pull.should_request(Tick(100), &host("a")), "for a newer version");
@@ -18,25 +20,25 @@
 }
 
 #[test]
-fn asked_again_if_it_does_not_come() {
+fn retried_without_response() {
     let mut pull = Pull::default();
     pull.should_request(Tick(0), &host("a"));
     assert!(pull.should_request(Tick(1_500), &host("a")));
     assert!(!pull.should_request(Tick(1_600), &host("a")));
 }
 
-/// The host that was asked may be cut off: another one that has a newer version is not passed over.
+/// The host that was asked may be unreachable: another one with a newer version is asked earlier than the same one again.
 #[test]
-fn other_host_sooner() {
+fn other_host_earlier() {
     let mut pull = Pull::default();
     pull.should_request(Tick(0), &host("a"));
     assert!(pull.should_request(Tick(400), &host("b")));
     assert!(!pull.should_request(Tick(500), &host("a")));
 }
 
-/// What came is no reason to wait: the next version of a quick series is asked for at once.
+/// Once a value was received, the next version of a rapid series is requested at once.
 #[test]
-fn next_one_at_once() {
+fn next_version_at_once() {
     let mut pull = Pull::default();
     pull.should_request(Tick(0), &host("a"));
     pull.received();
--- a/crates/fanout/tests/recorded.rs
+++ b/crates/fanout/tests/recorded.rs
@@ -1,6 +1,6 @@
-//! Bytes that builds wrote: each later build reads them, whatever it says itself.
+//! Compatibility with recorded messages: each build must read the bytes that earlier builds wrote.
 //!
-//! A new kind of bytes is recorded by its test, which prints what this build writes where that differs.
+//! To record a new kind of message, run its test: it prints what this build writes if that differs from the record.
 
 use serde::{Serialize, de::DeserializeOwned};
 use std::fmt::Debug;
@@ -10,7 +10,7 @@
 use vanetally_pacing::{Prefix, Prompt, SendSlot, SlotReply};
 use vanetally_types::Incarnation;
 
-/// A digest before rows told limits.
+/// A digest from builds whose rows had no limit.
 const DIGEST: &str = "a2656c6f61647381a6617571692d304031373530303030303030303030617203617018c8616b1903846167046162016664\
      656d616e6481a56173636c6c6d616d626d316161626131616e0461771878";
 const DIGEST_WITH_LIMIT: &str = "a2656c6f61647381a7617571692d304031373530303030303030303030617203617018c8616b1903846167046162016\
@@ -24,17 +24,17 @@
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<char> = hex.chars().filter(|digit| !digit.is_whitespace()).collect();
     let pair = |pair: &[char]| u8::from_str_radix(&String::from_iter(pair), 16);
-    digits.chunks(2).map(|digits| pair(digits).expect("hexadecimal")).collect()
+    digits.chunks(2).map(|digits| pair(digits).expect("hexadecimal digits")).collect()
 }
 
-/// What was recorded is still read as `value`.
-fn reads<T: DeserializeOwned + PartialEq + Debug>(recorded: &str, value: &T) {
+/// Asserts that `recorded` decodes to `value`.
+fn assert_reads<T: DeserializeOwned + PartialEq + Debug>(recorded: &str, value: &T) {
     assert_eq!(decode::<T>(&bytes(recorded)).as_ref(), Some(value));
 }
 
-/// This build writes `value` as it was recorded.
-fn writes<T: Serialize>(value: &T, recorded: &str) {
-    let written = encode(value).expect("it can be written");
+/// Asserts that this build encodes `value` as `recorded`.
+fn assert_writes<T: Serialize>(value: &T, recorded: &str) {
+    let written = encode(value).expect("encodable");
     let hex: String = written.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(written.to_vec(), bytes(recorded), "this build writes {hex}");
 }
@@ -63,14 +63,14 @@
     Digest { loads: vec![load], demand: vec![demand] }
 }
 
-/// Without a limit a digest is what earlier builds wrote, byte for byte.
+/// A digest without a limit is encoded exactly as by earlier builds.
 #[test]
 fn digests() {
-    reads(DIGEST, &digest(None));
-    writes(&digest(None), DIGEST);
+    assert_reads(DIGEST, &digest(None));
+    assert_writes(&digest(None), DIGEST);
     let limit = LimitRow { rate: Some(1.8), age_ms: 250 };
-    reads(DIGEST_WITH_LIMIT, &digest(Some(limit)));
-    writes(&digest(Some(limit)), DIGEST_WITH_LIMIT);
+    assert_reads(DIGEST_WITH_LIMIT, &digest(Some(limit)));
+    assert_writes(&digest(Some(limit)), DIGEST_WITH_LIMIT);
 }
 
 #[test]
@@ -84,25 +84,25 @@
         per_token_us: 52,
         gap_ms: 300,
     };
-    reads(PROMPT, &prompt);
-    writes(&prompt, PROMPT);
-    let moment = SendSlot { delay_ms: 3, unread: 80, ahead_ms: 5, is_trial: true };
-    reads(GRANTED, &SlotReply::Granted(moment));
-    writes(&SlotReply::Granted(moment), GRANTED);
-    reads(BUSY, &SlotReply::Busy { retry_ms: 12 });
-    writes(&SlotReply::Busy { retry_ms: 12 }, BUSY);
+    assert_reads(PROMPT, &prompt);
+    assert_writes(&prompt, PROMPT);
+    let slot = SendSlot { delay_ms: 3, unread: 80, ahead_ms: 5, is_trial: true };
+    assert_reads(GRANTED, &SlotReply::Granted(slot));
+    assert_writes(&SlotReply::Granted(slot), GRANTED);
+    assert_reads(BUSY, &SlotReply::Busy { retry_ms: 12 });
+    assert_writes(&SlotReply::Busy { retry_ms: 12 }, BUSY);
 }
 
 #[test]
 fn permits() {
     let question = PermitRequest { upstream: upstream(), rate: 1.8, max_wait_ms: 800 };
-    reads(QUESTION, &question);
-    writes(&question, QUESTION);
-    reads(DELAYED, &PermitAnswer::Granted { delay_ms: 500 });
-    writes(&PermitAnswer::Granted { delay_ms: 500 }, DELAYED);
+    assert_reads(QUESTION, &question);
+    assert_writes(&question, QUESTION);
+    assert_reads(DELAYED, &PermitAnswer::Granted { delay_ms: 500 });
+    assert_writes(&PermitAnswer::Granted { delay_ms: 500 }, DELAYED);
 }
 
-/// A later build may say more: what this one does not know is passed over, with nothing of the rest lost.
+/// A later build may send more fields: unknown ones are ignored, and the known ones are still read.
 #[test]
 fn unknown_fields() {
     #[derive(Serialize)]
@@ -118,10 +118,10 @@
         w: u32,
         urgency: Vec<u8>,
     }
-    let limit = encode(&LaterLimit { n: None, a: 7, until: "noon" }).expect("it can be written");
+    let limit = encode(&LaterLimit { n: None, a: 7, until: "noon" }).expect("encodable");
     assert_eq!(decode(&limit), Some(LimitRow { rate: None, age_ms: 7 }));
     let question = LaterQuestion { u: upstream(), n: 0.5, w: 1, urgency: vec![1, 2] };
-    let question = encode(&question).expect("it can be written");
+    let question = encode(&question).expect("encodable");
     let read: Option<PermitRequest> = decode(&question);
     assert_eq!(read, Some(PermitRequest { upstream: upstream(), rate: 0.5, max_wait_ms: 1 }));
 }
--- a/crates/fanout/tests/source_selector.rs
+++ b/crates/fanout/tests/source_selector.rs
@@ -1,4 +1,4 @@
-//! From whom a host hears what lies in the store.
+//! Where a host reads store data from.
 
 use std::collections::BTreeSet;
 use vanetally_fanout::{
@@ -18,16 +18,16 @@
     (0..HOSTS).map(one).collect()
 }
 
-/// The hosts of the first domain in the order in which they are asked, as one of the others sees it.
+/// Returns the hosts of the first domain in the order of preference.
 fn order() -> Vec<Name> {
-    let mut left: Vec<Candidate> =
+    let mut remaining: Vec<Candidate> =
         candidates().into_iter().filter(|candidate| &*candidate.domain == "z1").collect();
-    let far = candidates().into_iter().filter(|candidate| &*candidate.domain == "z2");
-    let far: Vec<Candidate> = far.collect();
+    let other_domain = candidates().into_iter().filter(|candidate| &*candidate.domain == "z2");
+    let other_domain: Vec<Candidate> = other_domain.collect();
     let mut order = Vec::new();
-    while !left.is_empty() {
-        let all: Vec<Candidate> = left.iter().chain(&far).cloned().collect();
-        // Few are all aggregators: others fill the list up.
+    while !remaining.is_empty() {
+        let all: Vec<Candidate> = remaining.iter().chain(&other_domain).cloned().collect();
+        // A short list would make all hosts aggregators, so hosts of a third domain are added.
         let padding = (0..HOSTS).map(|number| Candidate {
             host: format!("pad{number}").into(),
             domain: "z3".into(),
@@ -35,9 +35,9 @@
         });
         let all: Vec<Candidate> = all.into_iter().chain(padding).collect();
         let first = vanetally_fanout::aggregators(&all);
-        let first = first.into_iter().find(|host| left.iter().any(|c| c.host == **host));
+        let first = first.into_iter().find(|host| remaining.iter().any(|c| c.host == **host));
         let first = first.unwrap().clone();
-        left.retain(|candidate| candidate.host != first);
+        remaining.retain(|candidate| candidate.host != first);
         order.push(first);
     }
     order
@@ -47,7 +47,7 @@
     vanetally_fanout::root(&candidates()).unwrap().clone()
 }
 
-/// The aggregator that is not the root.
+/// Returns the aggregator that is not the root, and its domain.
 fn other_aggregator() -> (Name, Name) {
     let all = candidates();
     let aggregators = vanetally_fanout::aggregators(&all);
@@ -56,25 +56,25 @@
     (host, domain)
 }
 
-fn host(me: &Name, domain: &str) -> SourceSelector {
-    let mut follow = SourceSelector::new(START, me.clone(), domain.into(), false);
-    follow.handle(START, Event::Candidates(candidates()));
-    follow
+fn new_selector(me: &Name, domain: &str) -> SourceSelector {
+    let mut selector = SourceSelector::new(START, me.clone(), domain.into(), false);
+    selector.handle(START, Event::Candidates(candidates()));
+    selector
 }
 
-/// A host of the first domain that comes last in its order.
-fn follower() -> SourceSelector {
-    host(order().last().unwrap(), "z1")
+/// Returns the selector of the host that comes last in the order of the first domain.
+fn last_in_order() -> SourceSelector {
+    new_selector(order().last().unwrap(), "z1")
 }
 
-/// The same, and it hears from the first.
+/// Returns the same selector after it has subscribed to the first host.
 fn subscribed() -> SourceSelector {
-    let mut follow = follower();
+    let mut selector = last_in_order();
     let first = order()[0].clone();
-    assert!(follow.handle(START, Event::Tick).contains(&Action::Subscribe(first.clone())));
-    let actions = follow.handle(START, synced(&first, Some(0)));
+    assert!(selector.handle(START, Event::Tick).contains(&Action::Subscribe(first.clone())));
+    let actions = selector.handle(START, synced(&first, Some(0)));
     assert_eq!(actions, [switch(Source::Host(first), Reason::Order)]);
-    follow
+    selector
 }
 
 fn switch(to: Source, reason: Reason) -> Action {
@@ -85,7 +85,7 @@
     Event::Synced { from: from.clone(), age_ms }
 }
 
-fn told(from: &Name, age_ms: Option<u64>) -> Event {
+fn status(from: &Name, age_ms: Option<u64>) -> Event {
     Event::Status { from: from.clone(), age_ms, is_leaving: false }
 }
 
@@ -96,20 +96,20 @@
 const START: Tick = Tick(1_000_000);
 
 #[test]
-fn survey_first() {
-    let mut follow = SourceSelector::new(START, "h1".into(), "z1".into(), false);
-    assert_eq!(follow.handle(START, Event::Tick), [Action::ListHosts]);
-    assert_eq!(follow.source(), Source::Searching);
-    assert_eq!(follow.handle(START + 100, Event::Tick), []);
-    assert_eq!(follow.handle(START + 200, Event::Tick), [Action::ListHosts]);
+fn lists_hosts_first() {
+    let mut selector = SourceSelector::new(START, "h1".into(), "z1".into(), false);
+    assert_eq!(selector.handle(START, Event::Tick), [Action::ListHosts]);
+    assert_eq!(selector.source(), Source::Searching);
+    assert_eq!(selector.handle(START + 100, Event::Tick), []);
+    assert_eq!(selector.handle(START + 200, Event::Tick), [Action::ListHosts]);
 }
 
-/// A host that finds nobody is not left without: it reads the store itself.
+/// A host that finds no other host reads the store itself.
 #[test]
-fn nobody_reads_store() {
-    let mut follow = SourceSelector::new(START, "h1".into(), "z1".into(), false);
+fn lone_host_reads_store() {
+    let mut selector = SourceSelector::new(START, "h1".into(), "z1".into(), false);
     let switched = (0..100u64).map(|n| n * 20).find(|at| {
-        let actions = follow.handle(START + *at, Event::Tick);
+        let actions = selector.handle(START + *at, Event::Tick);
         actions.contains(&switch(Source::Store, Reason::NoAnswer))
     });
     assert!(switched.is_some_and(|at| at <= 1_200), "{switched:?}");
@@ -117,132 +117,132 @@
 
 #[test]
 fn root_reads_store() {
-    let mut follow = host(&root(), if other_aggregator().1 == "z1".into() { "z2" } else { "z1" });
-    assert_eq!(follow.handle(START, Event::Tick), [switch(Source::Store, Reason::Order)]);
-    assert!(follow.is_aggregator());
-    assert_eq!(follow.handle(START + 20, Event::Tick), []);
+    let mut selector =
+        new_selector(&root(), if other_aggregator().1 == "z1".into() { "z2" } else { "z1" });
+    assert_eq!(selector.handle(START, Event::Tick), [switch(Source::Store, Reason::Order)]);
+    assert!(selector.is_aggregator());
+    assert_eq!(selector.handle(START + 20, Event::Tick), []);
 }
 
 /// One host reads the store for all failure domains.
 #[test]
-fn aggregator_hears_root() {
+fn aggregator_subscribes_to_root() {
     let (me, domain) = other_aggregator();
-    let mut follow = host(&me, &domain);
-    assert_eq!(follow.handle(START, Event::Tick)[0], Action::Subscribe(root()));
-    follow.handle(START, synced(&root(), Some(0)));
-    assert_eq!(follow.source(), Source::Host(root()));
-    assert!(follow.is_aggregator(), "it gathers the loads of its domain all the same");
+    let mut selector = new_selector(&me, &domain);
+    assert_eq!(selector.handle(START, Event::Tick)[0], Action::Subscribe(root()));
+    selector.handle(START, synced(&root(), Some(0)));
+    assert_eq!(selector.source(), Source::Host(root()));
+    assert!(selector.is_aggregator(), "it still sums up the loads of its domain");
 }
 
 #[test]
-fn few_read_store() {
-    let mut follow = SourceSelector::new(START, "h1".into(), "z1".into(), false);
-    follow.handle(START, Event::Candidates(candidates()[..MAX_DIRECT_READERS].to_vec()));
-    assert_eq!(follow.handle(START, Event::Tick), [switch(Source::Store, Reason::Order)]);
+fn few_hosts_read_store() {
+    let mut selector = SourceSelector::new(START, "h1".into(), "z1".into(), false);
+    selector.handle(START, Event::Candidates(candidates()[..MAX_DIRECT_READERS].to_vec()));
+    assert_eq!(selector.handle(START, Event::Tick), [switch(Source::Store, Reason::Order)]);
 }
 
-/// Found in a played day: the store took the keys of eleven of 23 hosts away at once, and all the others
-/// read it for themselves, since twelve hosts are few.
+/// When the store dropped the keys of eleven of 23 hosts at once, the remaining twelve counted as few and all of them
+/// read the store.
 #[test]
-fn fleet_stays() {
-    let mut follow = subscribed();
-    let mut left = candidates();
-    left.truncate(MAX_DIRECT_READERS - 2);
-    assert!(left.iter().any(|candidate| candidate.host == order()[0]) || left.len() > 6);
-    follow.handle(START + 10, Event::Candidates(left));
-    let actions = follow.handle(START + 20, Event::Tick);
+fn fleet_remains() {
+    let mut selector = subscribed();
+    let mut remaining = candidates();
+    remaining.truncate(MAX_DIRECT_READERS - 2);
+    assert!(remaining.iter().any(|candidate| candidate.host == order()[0]) || remaining.len() > 6);
+    selector.handle(START + 10, Event::Candidates(remaining));
+    let actions = selector.handle(START + 20, Event::Tick);
     assert!(!actions.iter().any(|action| matches!(action, Action::Switch { .. })), "{actions:?}");
-    follow.handle(START + 30, Event::Candidates(candidates()[..MAX_DIRECT_READERS / 2].to_vec()));
-    assert_eq!(follow.handle(START + 40, Event::Tick), [Action::Probe]);
+    selector.handle(START + 30, Event::Candidates(candidates()[..MAX_DIRECT_READERS / 2].to_vec()));
+    assert_eq!(selector.handle(START + 40, Event::Tick), [Action::Probe]);
 }
 
 #[test]
-fn subscription_repeated() {
-    let mut follow = subscribed();
+fn subscription_retried() {
+    let mut selector = subscribed();
     let second = &order()[1];
-    follow.handle(START + 10, leaving(&order()[0]));
-    assert_eq!(follow.handle(START + 20, Event::Tick), [Action::Subscribe(second.clone())]);
-    follow.handle(START + 400, leaving(&order()[0]));
-    assert_eq!(follow.handle(START + 420, Event::Tick), []);
-    assert_eq!(follow.handle(START + 600, Event::Tick), [Action::Subscribe(second.clone())]);
+    selector.handle(START + 10, leaving(&order()[0]));
+    assert_eq!(selector.handle(START + 20, Event::Tick), [Action::Subscribe(second.clone())]);
+    selector.handle(START + 400, leaving(&order()[0]));
+    assert_eq!(selector.handle(START + 420, Event::Tick), []);
+    assert_eq!(selector.handle(START + 600, Event::Tick), [Action::Subscribe(second.clone())]);
 }
 
-/// Found by a hunt: a host on a slow link asked twice a second for all that its aggregator knows; the
-/// answers filled its link for the rest of the day, and it heard of leaving upstreams 5.6 s late.
+/// A host on a slow link requested all data of its aggregator twice a second; the responses kept its link full, and it
+/// learned 5.6 s late of leaving upstreams.
 #[test]
-fn repeated_ever_more_rarely() {
-    let mut follow = subscribed();
+fn retry_interval_doubles() {
+    let mut selector = subscribed();
     let mut times = Vec::new();
     for at in (0..20_000).step_by(100) {
-        follow.handle(START + at, leaving(&order()[0]));
-        if !follow.handle(START + at, Event::Tick).is_empty() {
+        selector.handle(START + at, leaving(&order()[0]));
+        if !selector.handle(START + at, Event::Tick).is_empty() {
             times.push(at);
         }
     }
     assert_eq!(times, [0, 500, 1_500, 3_500, 7_500, 15_500]);
 }
 
-/// A host without a source does not wait for one that says nothing.
+/// A host without a source does not wait for a host that does not answer.
 #[test]
-fn silent_passed_over() {
-    let mut follow = follower();
-    follow.handle(START, Event::Tick);
-    assert_eq!(follow.handle(START + 240, Event::Tick).len(), 1, "only the survey");
-    let again = follow.handle(START + 260, Event::Tick);
+fn silent_host_skipped() {
+    let mut selector = last_in_order();
+    selector.handle(START, Event::Tick);
+    assert_eq!(selector.handle(START + 240, Event::Tick).len(), 1, "only the listing");
+    let again = selector.handle(START + 260, Event::Tick);
     assert_eq!(again, [Action::Subscribe(order()[0].clone())], "it may be starting as well");
-    let next = follow.handle(START + 520, Event::Tick);
+    let next = selector.handle(START + 520, Event::Tick);
     assert!(next.contains(&Action::Subscribe(order()[1].clone())), "{next:?}");
 }
 
-/// A host that has lost its source asks each of the others once: all of them were there before.
+/// A host that has lost its source tries each of the others only once, since none of them is just starting.
 #[test]
-fn lost_asks_once() {
-    let mut follow = subscribed();
+fn no_retry_after_loss() {
+    let mut selector = subscribed();
     let order = order();
-    assert_eq!(follow.handle(START + 620, Event::Tick), [Action::Subscribe(order[1].clone())]);
-    assert_eq!(follow.handle(START + 880, Event::Tick), [Action::Subscribe(order[2].clone())]);
+    assert_eq!(selector.handle(START + 620, Event::Tick), [Action::Subscribe(order[1].clone())]);
+    assert_eq!(selector.handle(START + 880, Event::Tick), [Action::Subscribe(order[2].clone())]);
 }
 
-/// One that has said something is waited for: all that it knows may be on its way on a slow link.
+/// A host that has sent its status is waited for: its data may be in transit on a slow link.
 #[test]
-fn slow_waited_for() {
-    let mut follow = follower();
-    follow.handle(START, Event::Tick);
-    follow.handle(START + 40, told(&order()[0], None));
-    let asked = |action: &Action| matches!(action, Action::Subscribe(_));
-    assert!(!follow.handle(START + 400, Event::Tick).iter().any(asked));
+fn slow_host_waited_for() {
+    let mut selector = last_in_order();
+    selector.handle(START, Event::Tick);
+    selector.handle(START + 40, status(&order()[0], None));
+    let is_subscribe = |action: &Action| matches!(action, Action::Subscribe(_));
+    assert!(!selector.handle(START + 400, Event::Tick).iter().any(is_subscribe));
 }
 
-/// Found by counting calls to the store: a host that stops keeps its key for a while, and whoever asked
-/// it in vain read the store meanwhile.
+/// A host that stops keeps its key for a while. Hosts that still tried to subscribe to it read the store meanwhile.
 #[test]
-fn leaving_not_asked_again() {
-    let mut follow = follower();
-    follow.handle(START, Event::Tick);
-    follow.handle(START + 5, leaving(&order()[0]));
-    let next = follow.handle(START + 20, Event::Tick);
+fn leaving_host_not_tried() {
+    let mut selector = last_in_order();
+    selector.handle(START, Event::Tick);
+    selector.handle(START + 5, leaving(&order()[0]));
+    let next = selector.handle(START + 20, Event::Tick);
     assert_eq!(next, [Action::Subscribe(order()[1].clone())]);
 }
 
 #[test]
-fn unasked_ignored() {
-    let mut follow = follower();
-    assert_eq!(follow.handle(START, synced(&"h-other".into(), Some(0))), []);
-    assert_eq!(follow.source(), Source::Searching);
+fn unrequested_data_ignored() {
+    let mut selector = last_in_order();
+    assert_eq!(selector.handle(START, synced(&"h-other".into(), Some(0))), []);
+    assert_eq!(selector.source(), Source::Searching);
 }
 
-/// A silent source is left within 0.6 s for the next host, not for the store: what is known stays until that
-/// one has answered.
+/// After 0.6 s a silent source is replaced by the next host, not by the store. The known data is kept until that host
+/// has answered.
 #[test]
-fn silence_left() {
-    let mut follow = subscribed();
+fn silent_source_replaced() {
+    let mut selector = subscribed();
     let order = order();
-    follow.handle(START + 500, told(&order[0], Some(100)));
-    assert_eq!(follow.handle(START + 1_000, Event::Tick), []);
-    let actions = follow.handle(START + 1_120, Event::Tick);
+    selector.handle(START + 500, status(&order[0], Some(100)));
+    assert_eq!(selector.handle(START + 1_000, Event::Tick), []);
+    let actions = selector.handle(START + 1_120, Event::Tick);
     assert_eq!(actions, [Action::Subscribe(order[1].clone())]);
-    assert_eq!(follow.source(), Source::Host(order[0].clone()));
-    let actions = follow.handle(START + 1_140, synced(&order[1], Some(5)));
+    assert_eq!(selector.source(), Source::Host(order[0].clone()));
+    let actions = selector.handle(START + 1_140, synced(&order[1], Some(5)));
     let expected = [
         Action::Unsubscribe(order[0].clone()),
         switch(Source::Host(order[1].clone()), Reason::Silent),
@@ -250,179 +250,179 @@
     assert_eq!(actions, expected);
 }
 
-/// A host that did not run hears first what was told meanwhile.
+/// After a stall of its own a host first processes the messages sent meanwhile.
 #[test]
 fn own_stall() {
-    let mut follow = subscribed();
+    let mut selector = subscribed();
     let order = order();
-    follow.handle(START + 900, Event::Stalled);
-    assert_eq!(follow.handle(START + 900, Event::Tick), []);
-    follow.handle(START + 905, told(&order[0], Some(1_200)));
-    assert_eq!(follow.handle(START + 920, Event::Tick), [], "its source stalled as well");
-    follow.handle(START + 1_000, told(&order[0], Some(10)));
-    assert_eq!(follow.handle(START + 1_220, Event::Tick), []);
-    assert_eq!(follow.source(), Source::Host(order[0].clone()));
+    selector.handle(START + 900, Event::Stalled);
+    assert_eq!(selector.handle(START + 900, Event::Tick), []);
+    selector.handle(START + 905, status(&order[0], Some(1_200)));
+    assert_eq!(selector.handle(START + 920, Event::Tick), [], "its source stalled as well");
+    selector.handle(START + 1_000, status(&order[0], Some(10)));
+    assert_eq!(selector.handle(START + 1_220, Event::Tick), []);
+    assert_eq!(selector.source(), Source::Host(order[0].clone()));
 }
 
-/// One that stalls again and again still leaves a silent source.
+/// A host that stalls repeatedly still replaces a silent source.
 #[test]
-fn stalled_often() {
-    let mut follow = subscribed();
-    let mut left = None;
+fn repeated_stalls() {
+    let mut selector = subscribed();
+    let mut subscribed_at = None;
     for at in (300..3_000).step_by(300).map(|ms| START + ms) {
-        follow.handle(at, Event::Stalled);
-        let actions = follow.handle(at, Event::Tick);
+        selector.handle(at, Event::Stalled);
+        let actions = selector.handle(at, Event::Tick);
         if actions.contains(&Action::Subscribe(order()[1].clone())) {
-            left.get_or_insert(at);
+            subscribed_at.get_or_insert(at);
         }
     }
-    assert!(left.is_some_and(|at| at <= START + 1_500), "{left:?}");
+    assert!(subscribed_at.is_some_and(|at| at <= START + 1_500), "{subscribed_at:?}");
 }
 
-/// The next host in the order takes over from a silent one at once.
+/// The next host in the order replaces a silent source at once.
 #[test]
 fn next_takes_over() {
-    let mut follow = host(&order()[1], "z1");
-    follow.handle(START, Event::Tick);
-    follow.handle(START, synced(&order()[0], Some(0)));
-    let actions = follow.handle(START + 620, Event::Tick);
+    let mut selector = new_selector(&order()[1], "z1");
+    selector.handle(START, Event::Tick);
+    selector.handle(START, synced(&order()[0], Some(0)));
+    let actions = selector.handle(START + 620, Event::Tick);
     let is_root = root() == order()[0];
-    let taken = actions.contains(&switch(Source::Store, Reason::Silent));
-    let asked = actions.iter().any(|action| matches!(action, Action::Subscribe(_)));
-    assert!(if is_root { taken || asked } else { asked }, "{actions:?}");
+    let reads_store = actions.contains(&switch(Source::Store, Reason::Silent));
+    let subscribes = actions.iter().any(|action| matches!(action, Action::Subscribe(_)));
+    assert!(if is_root { reads_store || subscribes } else { subscribes }, "{actions:?}");
 }
 
-/// What the store has not confirmed for long is doubted: another host is asked, and the present one is kept
-/// unless that one knows something newer.
+/// A host with a stale source subscribes to the next host, and keeps the source unless that host has newer data.
 #[test]
-fn stale_asks_next() {
-    let mut follow = subscribed();
+fn stale_source_compared() {
+    let mut selector = subscribed();
     let order = order();
-    follow.handle(START + 100, told(&order[0], Some(1_300)));
-    assert_eq!(follow.handle(START + 120, Event::Tick), [Action::Subscribe(order[1].clone())]);
-    assert_eq!(follow.handle(START + 140, synced(&order[1], Some(5_000))), []);
-    assert_eq!(follow.source(), Source::Host(order[0].clone()));
-    // The other one has heard from the store meanwhile.
-    let again = follow.handle(START + 300, told(&order[1], Some(10)));
+    selector.handle(START + 100, status(&order[0], Some(1_300)));
+    assert_eq!(selector.handle(START + 120, Event::Tick), [Action::Subscribe(order[1].clone())]);
+    assert_eq!(selector.handle(START + 140, synced(&order[1], Some(5_000))), []);
+    assert_eq!(selector.source(), Source::Host(order[0].clone()));
+    // The other host has received newer data meanwhile.
+    let again = selector.handle(START + 300, status(&order[1], Some(10)));
     assert_eq!(again, [Action::Subscribe(order[1].clone())]);
-    follow.handle(START + 310, synced(&order[1], Some(20)));
-    assert_eq!(follow.source(), Source::Host(order[1].clone()));
+    selector.handle(START + 310, synced(&order[1], Some(20)));
+    assert_eq!(selector.source(), Source::Host(order[1].clone()));
 }
 
-/// What is known has been stale for so long that those before this host in the order can be no help: it looks by itself,
-/// once, reads the store if that answers, and says so to all as soon as it has read.
+/// A host whose data has been stale for too long no longer waits for the hosts before it in the order: it probes the
+/// store once, reads it if it answers, and announces that to all as soon as it has read.
 #[test]
-fn looks_by_itself() {
-    let mut follow = subscribed();
+fn fallback_probe() {
+    let mut selector = subscribed();
     let order = order();
-    follow.handle(START + 100, told(&order[0], Some(5_000)));
-    let looked = follow.handle(START + 120, Event::Tick);
-    assert_eq!(looked, [Action::Probe, Action::Subscribe(order[1].clone())]);
-    assert!(!follow.handle(START + 140, Event::Tick).contains(&Action::Probe), "once");
-    let taken = follow.handle(START + 160, Event::Probed(true));
-    assert_eq!(taken[1..], [switch(Source::Store, Reason::Stale)]);
-    assert_eq!(follow.handle(START + 170, Event::StoreConfirmed(None)), []);
-    assert_eq!(follow.handle(START + 180, Event::StoreConfirmed(Some(10))), [Action::Announce]);
-    assert_eq!(follow.handle(START + 200, Event::StoreConfirmed(Some(10))), [], "once");
-}
-
-/// The source was stale and knew what is new again: when it is stale once more the host looks at once, not when its last
-/// look is long ago.
+    selector.handle(START + 100, status(&order[0], Some(5_000)));
+    let probed = selector.handle(START + 120, Event::Tick);
+    assert_eq!(probed, [Action::Probe, Action::Subscribe(order[1].clone())]);
+    assert!(!selector.handle(START + 140, Event::Tick).contains(&Action::Probe), "once");
+    let switched = selector.handle(START + 160, Event::Probed(true));
+    assert_eq!(switched[1..], [switch(Source::Store, Reason::Stale)]);
+    assert_eq!(selector.handle(START + 170, Event::StoreConfirmed(None)), []);
+    assert_eq!(selector.handle(START + 180, Event::StoreConfirmed(Some(10))), [Action::Announce]);
+    assert_eq!(selector.handle(START + 200, Event::StoreConfirmed(Some(10))), [], "once");
+}
+
+/// A source that was stale and became fresh again is stale once more: the host probes at once, not only when the interval
+/// since its last fallback probe is over.
 #[test]
-fn looks_again() {
-    let mut follow = subscribed();
+fn fallback_probe_repeated() {
+    let mut selector = subscribed();
     let order = order();
-    follow.handle(START + 100, told(&order[0], Some(5_000)));
-    assert!(follow.handle(START + 120, Event::Tick).contains(&Action::Probe));
-    follow.handle(START + 140, told(&order[0], Some(0)));
-    follow.handle(START + 160, Event::Tick);
-    follow.handle(START + 700, told(&order[0], Some(5_000)));
-    assert!(follow.handle(START + 720, Event::Tick).contains(&Action::Probe));
+    selector.handle(START + 100, status(&order[0], Some(5_000)));
+    assert!(selector.handle(START + 120, Event::Tick).contains(&Action::Probe));
+    selector.handle(START + 140, status(&order[0], Some(0)));
+    selector.handle(START + 160, Event::Tick);
+    selector.handle(START + 700, status(&order[0], Some(5_000)));
+    assert!(selector.handle(START + 720, Event::Tick).contains(&Action::Probe));
 }
 
-/// A host whose knowledge came by way of this one is no source, however fresh; one that came another way is.
+/// A host whose data came through this one is not accepted as source, however fresh; with another path it is.
 #[test]
-fn no_circles() {
-    let mut follow = subscribed();
+fn no_cycle_of_paths() {
+    let mut selector = subscribed();
     let order = order();
-    let way = |by: &[&Name]| by.iter().map(|host| vanetally_fanout::hop(host)).collect::<Path>();
-    follow.handle(START + 100, told(&order[0], Some(1_300)));
-    let path = way(&[&order[2], follow.me(), &order[1]]);
-    follow.handle(START + 110, Event::Path { from: order[1].clone(), path });
-    follow.handle(START + 120, Event::Tick);
-    assert_eq!(follow.handle(START + 140, synced(&order[1], Some(0))), []);
-    assert_eq!(follow.source(), Source::Host(order[0].clone()));
-    let path = way(&[&order[2], &order[1]]);
-    follow.handle(START + 150, Event::Path { from: order[1].clone(), path });
-    let again = follow.handle(START + 160, told(&order[1], Some(0)));
+    let path_of =
+        |hosts: &[&Name]| hosts.iter().map(|host| vanetally_fanout::hop(host)).collect::<Path>();
+    selector.handle(START + 100, status(&order[0], Some(1_300)));
+    let path = path_of(&[&order[2], selector.me(), &order[1]]);
+    selector.handle(START + 110, Event::Path { from: order[1].clone(), path });
+    selector.handle(START + 120, Event::Tick);
+    assert_eq!(selector.handle(START + 140, synced(&order[1], Some(0))), []);
+    assert_eq!(selector.source(), Source::Host(order[0].clone()));
+    let path = path_of(&[&order[2], &order[1]]);
+    selector.handle(START + 150, Event::Path { from: order[1].clone(), path });
+    let again = selector.handle(START + 160, status(&order[1], Some(0)));
     assert_eq!(again, [Action::Subscribe(order[1].clone())]);
-    follow.handle(START + 170, synced(&order[1], Some(0)));
-    assert_eq!(follow.source(), Source::Host(order[1].clone()));
+    selector.handle(START + 170, synced(&order[1], Some(0)));
+    assert_eq!(selector.source(), Source::Host(order[1].clone()));
 }
 
-/// Only who is next in the order asks the store whether it answers, one probe at a time.
+/// Only the next host in the order probes the store, one probe at a time.
 #[test]
-fn next_probes() {
+fn next_host_probes() {
     let (me, domain) = other_aggregator();
-    let mut follow = host(&me, &domain);
-    follow.handle(START, Event::Tick);
-    follow.handle(START, synced(&root(), Some(0)));
-    follow.handle(START + 100, told(&root(), Some(1_300)));
-    assert_eq!(follow.handle(START + 120, Event::Tick), [Action::Probe]);
-    assert_eq!(follow.handle(START + 140, Event::Tick), [], "one probe at a time");
-    assert_eq!(follow.handle(START + 160, Event::Probed(false)), []);
-    assert_eq!(follow.source(), Source::Host(root()));
-    follow.handle(START + 180, Event::Probed(true));
-    assert_eq!(follow.source(), Source::Store);
+    let mut selector = new_selector(&me, &domain);
+    selector.handle(START, Event::Tick);
+    selector.handle(START, synced(&root(), Some(0)));
+    selector.handle(START + 100, status(&root(), Some(1_300)));
+    assert_eq!(selector.handle(START + 120, Event::Tick), [Action::Probe]);
+    assert_eq!(selector.handle(START + 140, Event::Tick), [], "one probe at a time");
+    assert_eq!(selector.handle(START + 160, Event::Probed(false)), []);
+    assert_eq!(selector.source(), Source::Host(root()));
+    selector.handle(START + 180, Event::Probed(true));
+    assert_eq!(selector.source(), Source::Store);
 }
 
 #[test]
-fn never_confirmed_doubted() {
-    let mut follow = subscribed();
-    follow.handle(START + 100, told(&order()[0], None));
-    let actions = follow.handle(START + 120, Event::Tick);
+fn never_confirmed_replaced() {
+    let mut selector = subscribed();
+    selector.handle(START + 100, status(&order()[0], None));
+    let actions = selector.handle(START + 120, Event::Tick);
     assert_eq!(actions, [Action::Subscribe(order()[1].clone())]);
 }
 
 #[test]
 fn fresh_again() {
     let (me, domain) = other_aggregator();
-    let mut follow = host(&me, &domain);
-    follow.handle(START, Event::Tick);
-    follow.handle(START, synced(&root(), Some(0)));
-    follow.handle(START + 100, told(&root(), Some(5_000)));
-    follow.handle(START + 120, Event::Tick);
-    follow.handle(START + 200, told(&root(), Some(100)));
-    assert_eq!(follow.handle(START + 220, Event::Probed(true)), []);
-    assert_eq!(follow.source(), Source::Host(root()));
+    let mut selector = new_selector(&me, &domain);
+    selector.handle(START, Event::Tick);
+    selector.handle(START, synced(&root(), Some(0)));
+    selector.handle(START + 100, status(&root(), Some(5_000)));
+    selector.handle(START + 120, Event::Tick);
+    selector.handle(START + 200, status(&root(), Some(100)));
+    assert_eq!(selector.handle(START + 220, Event::Probed(true)), []);
+    assert_eq!(selector.source(), Source::Host(root()));
 }
 
-/// The root that is cut off from the store hears from the next one that reads it.
+/// A root that is cut off from the store subscribes to the next host that reads it.
 #[test]
 fn cut_off_root() {
     let (other, _) = other_aggregator();
     let domain = if other_aggregator().1 == "z1".into() { "z2" } else { "z1" };
-    let mut follow = host(&root(), domain);
-    follow.handle(START, Event::Tick);
-    follow.handle(START + 10, Event::StoreConfirmed(Some(0)));
-    assert_eq!(follow.handle(START + 1_000, Event::Tick), []);
-    let asked = follow.handle(START + 1_200, Event::Tick);
-    assert!(matches!(&asked[..], [Action::Subscribe(_)]), "{asked:?}");
-    let [Action::Subscribe(next)] = &asked[..] else { return };
-    assert_eq!(follow.handle(START + 1_210, synced(next, Some(1_200))), [], "no better: {other}");
-    follow.handle(START + 1_300, told(next, Some(10)));
-    let actions = follow.handle(START + 1_310, synced(next, Some(20)));
+    let mut selector = new_selector(&root(), domain);
+    selector.handle(START, Event::Tick);
+    selector.handle(START + 10, Event::StoreConfirmed(Some(0)));
+    assert_eq!(selector.handle(START + 1_000, Event::Tick), []);
+    let actions = selector.handle(START + 1_200, Event::Tick);
+    assert!(matches!(&actions[..], [Action::Subscribe(_)]), "{actions:?}");
+    let [Action::Subscribe(next)] = &actions[..] else { return };
+    assert_eq!(selector.handle(START + 1_210, synced(next, Some(1_200))), [], "no better: {other}");
+    selector.handle(START + 1_300, status(next, Some(10)));
+    let actions = selector.handle(START + 1_310, synced(next, Some(20)));
     assert_eq!(actions, [switch(Source::Host(next.clone()), Reason::Stale)]);
 }
 
 #[test]
-fn leaving_left() {
-    let mut follow = subscribed();
+fn leaving_source_replaced() {
+    let mut selector = subscribed();
     let order = order();
-    follow.handle(START + 100, leaving(&order[0]));
-    let next = follow.handle(START + 120, Event::Tick);
+    selector.handle(START + 100, leaving(&order[0]));
+    let next = selector.handle(START + 120, Event::Tick);
     assert_eq!(next, [Action::Subscribe(order[1].clone())]);
-    let actions = follow.handle(START + 140, synced(&order[1], Some(5)));
+    let actions = selector.handle(START + 140, synced(&order[1], Some(5)));
     let expected = [
         Action::Unsubscribe(order[0].clone()),
         switch(Source::Host(order[1].clone()), Reason::Leaving),
@@ -430,54 +430,53 @@
     assert_eq!(actions, expected);
 }
 
-/// What was lost with a link is asked for again; the store is left alone.
+/// Changes that were lost with a link are requested from the source again; the store is not read.
 #[test]
-fn missed_asks_difference() {
-    let mut follow = subscribed();
+fn missed_changes_requested() {
+    let mut selector = subscribed();
     let first = &order()[0];
-    let actions = follow.handle(START + 100, Event::ChangesMissed);
+    let actions = selector.handle(START + 100, Event::ChangesMissed);
     assert_eq!(actions, [Action::Subscribe(first.clone())]);
-    assert_eq!(follow.handle(START + 120, Event::ChangesMissed), [], "it was asked");
-    assert_eq!(follow.handle(START + 140, synced(first, Some(0))), []);
-    assert_eq!(follow.source(), Source::Host(first.clone()));
+    assert_eq!(selector.handle(START + 120, Event::ChangesMissed), [], "already requested");
+    assert_eq!(selector.handle(START + 140, synced(first, Some(0))), []);
+    assert_eq!(selector.source(), Source::Host(first.clone()));
 }
 
-/// Who is asked passes on what it hears, and gathers loads.
+/// A host with subscribers forwards its data and sums up loads.
 #[test]
-fn asked_passes_on() {
-    let mut follow = subscribed();
-    assert!(!follow.is_aggregator());
-    follow.handle(START + 10, Event::Subscribers(BTreeSet::from(["h-other".into()])));
-    assert!(follow.is_aggregator());
-    assert_eq!(follow.handle(START + 20, Event::Tick), []);
-    assert_eq!(follow.source(), Source::Host(order()[0].clone()));
+fn subscribers_make_aggregator() {
+    let mut selector = subscribed();
+    assert!(!selector.is_aggregator());
+    selector.handle(START + 10, Event::Subscribers(BTreeSet::from(["h-other".into()])));
+    assert!(selector.is_aggregator());
+    assert_eq!(selector.handle(START + 20, Event::Tick), []);
+    assert_eq!(selector.source(), Source::Host(order()[0].clone()));
 }
 
-/// Two hosts that hear from each other would hear nothing.
+/// A host does not subscribe to its own subscriber: both would receive nothing.
 #[test]
-fn no_circle() {
-    let mut follow = subscribed();
+fn no_mutual_subscription() {
+    let mut selector = subscribed();
     let order = order();
-    follow.handle(START + 10, Event::Subscribers(BTreeSet::from([order[1].clone()])));
-    let actions = follow.handle(START + 700, Event::Tick);
+    selector.handle(START + 10, Event::Subscribers(BTreeSet::from([order[1].clone()])));
+    let actions = selector.handle(START + 700, Event::Tick);
     assert_eq!(
         actions,
         [Action::Unsubscribe(order[0].clone()), switch(Source::Store, Reason::Silent)]
     );
 }
 
-/// Found by counting calls to the store: at the first start each of 18 hosts saw at most twelve others in the
-/// list and read everything.
+/// At the first start each of 18 hosts saw at most twelve others in the list and read the store itself.
 #[test]
 fn first_start_settles() {
-    let mut follow = SourceSelector::new(START, "h1".into(), "z1".into(), true);
+    let mut selector = SourceSelector::new(START, "h1".into(), "z1".into(), true);
     let few = candidates()[..MAX_DIRECT_READERS].to_vec();
-    follow.handle(START + 10, Event::Candidates(few.clone()));
-    assert_eq!(follow.handle(START + 20, Event::Tick), [Action::ListHosts]);
-    assert_eq!(follow.handle(START + 240, Event::Tick), [Action::ListHosts]);
-    assert_eq!(follow.source(), Source::Searching);
-    let mut all = follow.clone();
-    all.handle(START + 250, Event::Candidates(candidates()));
-    assert!(matches!(all.handle(START + 260, Event::Tick)[..], [Action::Subscribe(_), ..]));
-    assert_eq!(follow.handle(START + 420, Event::Tick), [switch(Source::Store, Reason::Order)]);
+    selector.handle(START + 10, Event::Candidates(few.clone()));
+    assert_eq!(selector.handle(START + 20, Event::Tick), [Action::ListHosts]);
+    assert_eq!(selector.handle(START + 240, Event::Tick), [Action::ListHosts]);
+    assert_eq!(selector.source(), Source::Searching);
+    let mut with_all = selector.clone();
+    with_all.handle(START + 250, Event::Candidates(candidates()));
+    assert!(matches!(with_all.handle(START + 260, Event::Tick)[..], [Action::Subscribe(_), ..]));
+    assert_eq!(selector.handle(START + 420, Event::Tick), [switch(Source::Store, Reason::Order)]);
 }
--- a/crates/fanout/tests/totals.rs
+++ b/crates/fanout/tests/totals.rs
@@ -1,4 +1,4 @@
-//! Loads of many hosts, added up.
+//! The sum of the loads of many hosts.
 
 use vanetally_dispatch::{DemandRow, Digest, LimitRow, LoadRow};
 use vanetally_fanout::Totals;
@@ -36,9 +36,9 @@
     loads.iter().map(|row| (row.upstream.to_string(), row.running)).collect()
 }
 
-/// What a subscriber believes of the others is the sum without its own part in it.
+/// A subscriber computes the load of the others as the total without its own report.
 #[test]
-fn own_part_left_out() {
+fn own_report_subtracted() {
     let mut aggregator = Totals::default();
     let mut first = Totals::default();
     let own = digest(&[load("r1", 2)]);
@@ -46,27 +46,27 @@
     aggregator.record_report(NOW, "h1".into(), number, own);
     aggregator.record_report(NOW, "h2".into(), 7, digest(&[load("r1", 3), load("r2", 1)]));
     let sum = aggregator.take_local_sum(&digest(&[load("r2", 4)]));
-    let (reported, total) = aggregator.total(&sum);
+    let (included, total) = aggregator.total(&sum);
     assert_eq!(running(&total), [("r1".into(), 5), ("r2".into(), 5)]);
-    let included = reported.iter().find(|one| &*one.host == "h1").unwrap();
+    let included = included.iter().find(|one| &*one.host == "h1").unwrap();
     assert_eq!(included.number, number);
-    // It has sent more since: what the sum includes is what counts.
+    // It has sent another report since; only the included one is subtracted.
     first.number_report(NOW + 100, &digest(&[load("r1", 9)]));
     let others = first.without_own(included.number, total);
     assert_eq!(running(&others), [("r1".into(), 3), ("r2".into(), 5)]);
 }
 
-/// A report that is not remembered takes nothing off: load is rather believed twice than lost.
+/// Nothing is subtracted for a report that is no longer kept: counting load twice is better than losing it.
 #[test]
-fn forgotten_report() {
+fn unknown_report() {
     let mut totals = Totals::default();
     let others = totals.without_own(3, vec![load("r1", 2)]);
     assert_eq!(running(&others), [("r1".into(), 2)]);
 }
 
-/// Sums of other aggregators go to subscribers, never back to aggregators.
+/// Sums of other aggregators are sent to subscribers, never back to aggregators.
 #[test]
-fn elsewhere_not_echoed() {
+fn peer_sums_not_echoed() {
     let mut aggregator = Totals::default();
     aggregator.record_sum(NOW, "far".into(), vec![load("r1", 8)]);
     let sum = aggregator.take_local_sum(&digest(&[load("r1", 1)]));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn demand_passed_once() {
+fn demand_forwarded_once() {
     let mut aggregator = Totals::default();
     let report = Digest { loads: Vec::new(), demand: vec![demand("m1", 2), demand("m2", 1)] };
     aggregator.record_report(NOW, "h1".into(), 0, report);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn silent_forgotten() {
+fn silent_hosts_dropped() {
     let mut aggregator = Totals::default();
     aggregator.subscribe(NOW, "h1".into());
     aggregator.record_sum(NOW, "far".into(), vec![load("r1", 8)]);
@@ -97,7 +97,8 @@
     assert_eq!(aggregator.subscribers().count(), 0);
 }
 
-/// A sum says what was heard last of an upstream, also to those that have nothing there, and what it says is no load.
+/// A total holds the newest rate limit of each upstream, also for hosts without load there; subtracting a report keeps
+/// the limit.
 #[test]
 fn newest_limit() {
     let row = |rate, age_ms| LoadRow { limit: Some(LimitRow { rate, age_ms }), ..load("r1", 0) };
@@ -110,5 +111,9 @@
     assert_eq!(total[0].limit, Some(newest));
     let mut host = Totals::default();
     let number = host.number_report(NOW, &digest(&[LoadRow { good: 3, ..load("r1", 0) }]));
-    assert_eq!(host.without_own(number, total)[0].limit, Some(newest), "its own part is taken off");
+    assert_eq!(
+        host.without_own(number, total)[0].limit,
+        Some(newest),
+        "its own load is subtracted"
+    );
 }
