--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,7 +1,8 @@
 //! A monotonic clock that also counts the time during which the machine is suspended.
 //!
-//! The standard monotonic clock of a process stops while the machine is suspended. Ages, leases and time windows measured
-//! with it would exceed their limits by the duration of the suspension, so hosts measure all of them with this clock.
+//! The standard monotonic clock of a process stops while the machine is suspended. Ages, leases and time windows
+//! measured with it would exceed their limits by the duration of the suspension, so hosts measure all of them with this
+//! clock.
 #![deny(missing_docs, unsafe_code)]
 
 use rustix::time::{ClockId, clock_gettime};
--- a/crates/fanout/src/candidate.rs
+++ b/crates/fanout/src/candidate.rs
@@ -56,11 +56,13 @@
     if candidates.len() <= MAX_DIRECT_READERS {
         return candidates.into_iter().map(|candidate| &candidate.host).collect();
     }
-    firsts(candidates)
+    domain_firsts(candidates)
 }
 
 /// Returns the first host in the order of each failure domain.
-pub(crate) fn firsts<'a>(candidates: impl IntoIterator<Item = &'a Candidate>) -> Vec<&'a Name> {
+pub(crate) fn domain_firsts<'a>(
+    candidates: impl IntoIterator<Item = &'a Candidate>,
+) -> Vec<&'a Name> {
     let mut domains: BTreeMap<&Name, Vec<&Candidate>> = BTreeMap::new();
     for candidate in candidates {
         domains.entry(&candidate.domain).or_default().push(candidate);
@@ -71,7 +73,7 @@
 /// Returns the root: the one among the first hosts of the failure domains that reads the store for all.
 pub fn root<'a>(candidates: impl IntoIterator<Item = &'a Candidate>) -> Option<&'a Name> {
     let candidates: Vec<&Candidate> = candidates.into_iter().collect();
-    let aggregators = firsts(candidates.iter().copied());
+    let aggregators = domain_firsts(candidates.iter().copied());
     let is_aggregator = |candidate: &&&Candidate| aggregators.contains(&&candidate.host);
     let hosts: Vec<&Candidate> = candidates.iter().filter(is_aggregator).copied().collect();
     first(ROOT_KEY, &hosts)
--- a/crates/fanout/src/contact.rs
+++ b/crates/fanout/src/contact.rs
@@ -79,14 +79,14 @@
     /// confirms the data that they receive, the renewal of a lease does not.
     pub fn should_probe(&mut self, now: Tick, has_dependents: bool) -> bool {
         let steady_ms = if has_dependents { DEPENDENTS_PROBE_MS } else { STEADY_PROBE_MS };
-        let may_lose_calls = self.may_lose_calls(now);
-        let ignores_other_calls = may_lose_calls || has_dependents;
+        let is_losing_calls = self.is_losing_calls(now);
+        let ignores_other_calls = is_losing_calls || has_dependents;
         let last = if ignores_other_calls {
             self.last_probe
         } else {
             self.last_probe.max(self.last_answer)
         };
-        let interval = if may_lose_calls { LOSS_PROBE_MS } else { steady_ms };
+        let interval = if is_losing_calls { LOSS_PROBE_MS } else { steady_ms };
         if last.is_some_and(|at| now.since(at) < interval) {
             return false;
         }
@@ -100,7 +100,7 @@
     /// Returns whether the connection works again, so that calls that have hung since before should be abandoned.
     pub fn record_answer(&mut self, sent: Tick, now: Tick) -> bool {
         let is_quick = now.since(sent) < LOSS_MS;
-        let is_return = is_quick && self.may_lose_calls(now);
+        let is_return = is_quick && self.is_losing_calls(now);
         if self.is_away(now) {
             self.returned = Some(now);
         }
@@ -154,7 +154,7 @@
         self.unanswered_since.map_or(0, |since| now.since(since))
     }
 
-    fn may_lose_calls(&self, now: Tick) -> bool {
+    fn is_losing_calls(&self, now: Tick) -> bool {
         self.unanswered_ms(now) >= LOSS_MS
     }
 
--- a/crates/fanout/src/freshness.rs
+++ b/crates/fanout/src/freshness.rs
@@ -51,8 +51,8 @@
     pub version: u64,
 }
 
-/// Interval between requests for the source's clock. A slow reply makes every status count as older by its delay until a
-/// faster one arrives.
+/// Interval between requests for the source's clock. A slow reply makes every status count as older by its delay until
+/// a faster one arrives.
 const CLOCK_REQUEST_MS: u64 = 2_000;
 
 impl Freshness {
--- a/crates/fanout/src/source_selector.rs
+++ b/crates/fanout/src/source_selector.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     Action, Candidate, Event, Reason, Source,
-    candidate::{Fleet, Parent, firsts, parent, root},
+    candidate::{Fleet, Parent, domain_firsts, parent, root},
     path::{MAX_HOPS, Path, hop},
     source_state::{
         FallbackProbes, HostSource, PendingSubscription, STALE_MS, Search, SourceState, is_too_old,
@@ -108,7 +108,7 @@
         if !self.is_fleet() {
             return self.usable(None).map(|candidate| candidate.host.clone()).collect();
         }
-        firsts(self.usable(None)).into_iter().cloned().collect()
+        domain_firsts(self.usable(None)).into_iter().cloned().collect()
     }
 
     /// Whether there are so many hosts that some read the store for the others.
@@ -237,7 +237,8 @@
         }
     }
 
-    /// Starts a grace period, unless one has just ended: a host that stalls repeatedly must still replace a dead source.
+    /// Starts a grace period, unless one has just ended: a host that stalls repeatedly must still replace a dead
+    /// source.
     fn on_stalled(&mut self, now: Tick) {
         if now >= self.grace_until + SILENT_MS {
             self.grace_until = now + STALL_GRACE_MS;
@@ -275,8 +276,8 @@
         }
     }
 
-    /// Handles the status of a host other than the source: if this host's data is stale and the other's is fresh, records
-    /// it as an offer.
+    /// Handles the status of a host other than the source: if this host's data is stale and the other's is fresh,
+    /// records it as an offer.
     ///
     /// A host of the same failure domain is subscribed to at once. One of another domain is used only if no other is
     /// found, since all hosts would subscribe to it.
--- a/crates/fanout/src/spacing.rs
+++ b/crates/fanout/src/spacing.rs
@@ -5,8 +5,8 @@
 /// Limits regular messages to a share of the host's own link.
 ///
 /// The load total of 100 engines, 4.5 KB, for 24 hosts ten times a second takes nine of the ten megabits of a weak
-/// host's link. Any other large message, such as a new configuration, then delays the totals so far that the receivers consider their
-/// aggregator silent.
+/// host's link. Any other large message, such as a new configuration, then delays the totals so far that the receivers
+/// consider their aggregator silent.
 #[derive(Clone, Debug)]
 pub struct Spacing {
     /// Bytes per millisecond that may be used; `None` if the link's capacity is not known.
--- a/crates/fanout/src/timeouts.rs
+++ b/crates/fanout/src/timeouts.rs
@@ -1,5 +1,5 @@
-//! The time-driven part of the source selection: replaces silent and stale sources and subscribes to the host that comes
-//! first in the order.
+//! The time-driven part of the source selection: replaces silent and stale sources and subscribes to the host that
+//! comes first in the order.
 
 use crate::{
     Action, Reason, SourceSelector,
@@ -11,8 +11,8 @@
 };
 use vanetally_types::{Name, Tick};
 
-/// Time after which an unanswered subscription is first retried; it doubles with each retry, since the response is large
-/// and may still be in transit on a slow link.
+/// Time after which an unanswered subscription is first retried; it doubles with each retry, since the response is
+/// large and may still be in transit on a slow link.
 const RETRY_MS: u64 = 500;
 /// Maximum number of times that [`RETRY_MS`] is doubled.
 const MAX_DOUBLINGS: u32 = 4;
@@ -31,16 +31,16 @@
 /// Time that a host with a stale source waits for the hosts before it in the order. A host before it finds out within a
 /// fifth of a second whether the store answers it, and the next one takes as long again.
 const STALE_WAIT_MS: u64 = 400;
-/// Additional wait of the last host of a failure domain. The others learn within 30 ms that a host reads the store, so
-/// few of them probe it needlessly. Both waits together take less than a third of three seconds, the shortest time that
-/// deployments of this size allow for a change.
+/// Additional wait of the last host of a failure domain. The status of a host that reads the store reaches the others
+/// within 30 ms, so few of them probe it needlessly. Both waits together take less than a third of three seconds, the
+/// shortest time that deployments of this size allow for a change.
 const STALE_SPREAD_MS: f64 = 500.0;
 /// Mean interval between two fallback probes of a host. It ranges from half of this for the first host of a failure
 /// domain to one and a half for the last, since all hosts that probe at the same time when the store returns would read
 /// it. While the store is away, 370 hosts send 74 probes a second, less than their 123 lease renewals.
 const FALLBACK_PROBE_MS: u64 = 6_000;
-/// Time within which the status of the host that reads the store reaches all others after the store's return: three hops
-/// of a tenth of a second each.
+/// Time within which the status of the host that reads the store reaches all others after the store's return: three
+/// hops of a tenth of a second each.
 const PROPAGATION_MS: u64 = 400;
 /// Interval between the probes of the host that is next in the order.
 const PROBE_MS: u64 = 500;
@@ -164,7 +164,8 @@
         }
     }
 
-    /// Whether this host's data has been stale for so long that it no longer waits for the hosts before it in the order.
+    /// Whether this host's data has been stale for so long that it no longer waits for the hosts before it in the
+    /// order.
     pub(crate) fn is_wait_over(&self, now: Tick) -> bool {
         let rank = || relative_rank(&self.me, &self.domain, self.usable(None));
         self.stale_ms(now).is_some_and(|ms| {
--- a/crates/fanout/src/versions.rs
+++ b/crates/fanout/src/versions.rs
@@ -27,7 +27,7 @@
     pub compressed: Bytes,
 }
 
-/// Why a patch can't be applied.
+/// Why a patch cannot be applied.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The receiver does not have the base version.
--- a/crates/fanout/tests/contact.rs
+++ b/crates/fanout/tests/contact.rs
@@ -91,8 +91,8 @@
     assert!(contact.missing_key_wait_ms(START + 3_000) < 2_000);
 }
 
-/// Simulates a store whose calls are lost from `lost` to `back` and that answers in 5 ms otherwise. Returns the times of
-/// the first answer after the outage and of the end of the wait for missing keys.
+/// Simulates a store whose calls are lost from `lost` to `back` and that answers in 5 ms otherwise. Returns the times
+/// of the first answer after the outage and of the end of the wait for missing keys.
 fn outage(lost: u64, back: u64) -> (u64, u64) {
     let mut contact = answered_contact();
     let mut returned = None;
@@ -109,8 +109,8 @@
     panic!("the return was not detected");
 }
 
-/// Whenever the store returns, upstreams that have left are known within `CONTACT_MS`, and live ones have had the time to
-/// write their keys.
+/// Whenever the store returns, upstreams that have left are known within `CONTACT_MS`, and live ones have had the time
+/// to write their keys.
 #[rstest]
 fn outage_of_any_length(#[values(0, 140, 333, 990)] phase: u64) {
     for length in (1_700..9_000).step_by(110) {
--- a/crates/fanout/tests/fleet/mod.rs
+++ b/crates/fanout/tests/fleet/mod.rs
@@ -303,7 +303,7 @@
     pub fn settled() -> Self {
         let mut fleet = Self::new();
         fleet.run(3_000);
-        assert!(fleet.run(100) < 500, "all hosts are up to date");
+        assert!(fleet.run(100) < 500, "not all hosts are up to date");
         fleet.max_readers = 0;
         fleet.full_reads = 0;
         fleet
--- a/crates/fanout/tests/fleet_faults.rs
+++ b/crates/fanout/tests/fleet_faults.rs
@@ -72,8 +72,8 @@
     assert!(fleet.max_readers <= MAX_READERS, "{}", fleet.max_readers);
 }
 
-/// Maximum number of probes per second by all 300 hosts while the store is away: as many as their lease renewals, one per
-/// host every three seconds, and two per second for each of the few hosts that are next in the order.
+/// Maximum number of probes per second by all 300 hosts while the store is away: as many as their lease renewals, one
+/// per host every three seconds, and two per second for each of the few hosts that are next in the order.
 const PROBES_PER_SECOND: usize = DOMAINS * HOSTS / 3 + 4 * DOMAINS;
 
 /// Messages are lost with broken links: hosts request the difference from their source and do not read the store.
@@ -117,10 +117,12 @@
     assert!(fleet.max_readers <= MAX_READERS, "{}", fleet.max_readers);
 }
 
-/// The store rejects the calls of some hosts (429 Too Many Requests), among them the root and the next hosts in the order.
+/// The store rejects the calls of some hosts (429 Too Many Requests), among them the root and the next hosts in the
+/// order.
 ///
-/// With 30 of 69 hosts rejected, the others subscribed to the next host in the order once the root's data was stale, and
-/// waited for it although it could not read the store either: deleted keys stayed in use for more than three seconds.
+/// With 30 of 69 hosts rejected, the others subscribed to the next host in the order once the root's data was stale,
+/// and waited for it although it could not read the store either: deleted keys stayed in use for more than three
+/// seconds.
 #[rstest]
 fn store_rejects_hosts(#[values(1, 2, 3, 4)] in_a_row: usize) {
     let mut fleet = Fleet::settled();
--- a/crates/fanout/tests/freshness.rs
+++ b/crates/fanout/tests/freshness.rs
@@ -28,8 +28,8 @@
     assert_eq!(freshness.age_ms(START + 700), Some(700));
 }
 
-/// The stated age does not include the time in transit: a status that was delayed for ten seconds counts from when it was
-/// written.
+/// The stated age does not include the time in transit: a status that was delayed for ten seconds counts from when it
+/// was written.
 #[test]
 fn delayed_status() {
     let mut freshness = follower(3_000, 2);
--- a/crates/fanout/tests/mirror.rs
+++ b/crates/fanout/tests/mirror.rs
@@ -85,8 +85,8 @@
 }
 
 /// A host that read the store itself received an older full read from an aggregator that it had subscribed to before.
-/// Applying it set the known revision back, so that all later changes left a gap: for three seconds the host applied none
-/// and kept sending requests to an upstream that had left.
+/// Applying it set the known revision back, so that all later changes left a gap: for three seconds the host applied
+/// none and kept sending requests to an upstream that had left.
 #[test]
 fn older_read_keeps_revision() {
     let mut mirror = Mirror::default();
@@ -220,7 +220,8 @@
     assert_eq!((keys(&mirror), mirror.revision()), (vec!["a".into()], Some(in_era(2, 10))));
 }
 
-/// A watch must not continue from a revision of the previous era: after the restore its number stands for another change.
+/// A watch must not continue from a revision of the previous era: after the restore its number stands for another
+/// change.
 #[test]
 fn changes_of_next_era() {
     let mut mirror = Mirror::default();
--- a/crates/fanout/tests/mirror_model.rs
+++ b/crates/fanout/tests/mirror_model.rs
@@ -14,8 +14,8 @@
 const CHANGES: usize = 24;
 const ERAS: usize = 3;
 
-/// The changes of one era: the key, and whether it was written or deleted. The era starts from a copy of the previous one
-/// with its first `copied` changes.
+/// The changes of one era: the key, and whether it was written or deleted. The era starts from a copy of the previous
+/// one with its first `copied` changes.
 #[derive(Clone, Debug)]
 struct EraChanges {
     copied: usize,
--- a/crates/fanout/tests/partial_store_outage.rs
+++ b/crates/fanout/tests/partial_store_outage.rs
@@ -28,9 +28,9 @@
 
 /// The store no longer answers the host that reads it for all, but answers others; some hosts are frozen.
 ///
-/// The cut-off reader stayed the source of all hosts for four seconds, with new versions unread. The others had subscribed
-/// to the next host in the order, which was frozen: a host that did not answer was tried again and again, only one without
-/// newer data was skipped, and no other host probed the store.
+/// The cut-off reader stayed the source of all hosts for four seconds, with new versions unread. The others had
+/// subscribed to the next host in the order, which was frozen: a host that did not answer was tried again and again,
+/// only one without newer data was skipped, and no other host probed the store.
 #[rstest]
 fn data_stays_fresh(
     #[values(0.1, 0.4, 0.7, 0.9)] cut_off: f64,
@@ -64,8 +64,8 @@
     fleet.root();
 }
 
-/// Maximum number of probes of 300 hosts within seven seconds: one per host, and repeated ones by the hosts that are next
-/// in the order.
+/// Maximum number of probes of 300 hosts within seven seconds: one per host, and repeated ones by the hosts that are
+/// next in the order.
 const MAX_PROBES: usize = 2 * DOMAINS * HOSTS;
 
 /// Maximum age of the data: it is stale after 1.1 s, and a host that can reach an up-to-date one is up to date within
--- a/crates/fanout/tests/pull.rs
+++ b/crates/fanout/tests/pull.rs
@@ -27,7 +27,8 @@
     assert!(!pull.should_request(Tick(1_600), &host("a")));
 }
 
-/// The host that was asked may be unreachable: another one with a newer version is asked earlier than the same one again.
+/// The host that was asked may be unreachable: another one with a newer version is asked earlier than the same one
+/// again.
 #[test]
 fn other_host_earlier() {
     let mut pull = Pull::default();
--- a/crates/fanout/tests/source_selector.rs
+++ b/crates/fanout/tests/source_selector.rs
@@ -169,7 +169,7 @@
 }
 
 /// A host on a slow link requested all data of its aggregator twice a second; the responses kept its link full, and it
-/// learned 5.6 s late of leaving upstreams.
+/// detected leaving upstreams 5.6 s late.
 #[test]
 fn retry_interval_doubles() {
     let mut selector = subscribed();
@@ -325,8 +325,8 @@
     assert_eq!(selector.handle(START + 200, Event::StoreConfirmed(Some(10))), [], "once");
 }
 
-/// A source that was stale and became fresh again is stale once more: the host probes at once, not only when the interval
-/// since its last fallback probe is over.
+/// A source that was stale and became fresh again is stale once more: the host probes at once, not only when the
+/// interval since its last fallback probe is over.
 #[test]
 fn fallback_probe_repeated() {
     let mut selector = subscribed();
--- a/crates/fanout/tests/spacing.rs
+++ b/crates/fanout/tests/spacing.rs
@@ -1,8 +1,8 @@
 //! Intervals of an aggregator's messages.
 //!
-//! In a deployment of 71 hosts with links of 10 Mbit/s each aggregator sent 24 others the load total, 4.5 KB, ten times a
-//! second: nine tenths of its link. After the first large configuration the hosts kept switching their source, 65 times a
-//! second, since the totals arrived too late.
+//! In a deployment of 71 hosts with links of 10 Mbit/s each aggregator sent 24 others the load total, 4.5 KB, ten times
+//! a second: nine tenths of its link. After the first large configuration the hosts kept switching their source, 65
+//! times a second, since the totals arrived too late.
 
 use vanetally_fanout::{Spacing, status_interval_ms};
 use vanetally_types::Tick;
@@ -43,8 +43,8 @@
     assert_eq!(sent_bytes(Some(0)), 100 * TOTAL_BYTES, "a link without a stated capacity");
 }
 
-/// With 0.12 of a processor an aggregator needs a tenth of a second to send its status to 24 hosts. At ten times a second
-/// the status arrived late, and hosts searched for another source because of its age.
+/// With 0.12 of a processor an aggregator needs a tenth of a second to send its status to 24 hosts. At ten times a
+/// second the status arrived late, and hosts searched for another source because of its age.
 #[test]
 fn weak_processor_limited() {
     assert_eq!(status_interval_ms(25, 12), 250);
--- a/crates/pacing/src/breaker.rs
+++ b/crates/pacing/src/breaker.rs
@@ -48,7 +48,8 @@
 const DECAY_MS: f64 = 1_000.0;
 /// Weight of failed requests that must be exceeded to open: a single request may fail through its own fault.
 const MIN_FAILED: f64 = 1.5;
-/// Share of failed requests above which the breaker opens, the same as for the ejection of an upstream by a single host.
+/// Share of failed requests above which the breaker opens, the same as for the ejection of an upstream by a single
+/// host.
 const OPEN_SHARE: f64 = 0.2;
 /// First pause; it doubles with each failed trial. A trial may be a lost request, so only three are sent within two
 /// seconds, the usual duration of such an outage.
--- a/crates/pacing/src/pacer.rs
+++ b/crates/pacing/src/pacer.rs
@@ -69,8 +69,8 @@
 
 /// Share of the maximum pause that the reading of prompts sent together may take.
 const BURST_SHARE: f64 = 0.3;
-/// Maximum delay of a slot as a share of the maximum pause. A host that would have to wait longer may find another engine
-/// meanwhile.
+/// Maximum delay of a slot as a share of the maximum pause. A host that would have to wait longer may find another
+/// engine meanwhile.
 const MAX_DELAY_SHARE: f64 = 0.3;
 /// Minimum time after which a host asks again.
 const MIN_RETRY_MS: f64 = 10.0;
--- a/crates/quarantine/src/blocked_contents.rs
+++ b/crates/quarantine/src/blocked_contents.rs
@@ -25,8 +25,8 @@
 const CRASHES_DESPITE_ANSWER: u32 = 4;
 /// Time after an answer during which a content is not suspected of crashing upstreams.
 const RECENT_ANSWER_MS: u64 = 3_000;
-/// A quarantine that ends later than the known one by more than this is an update. A smaller difference may be due to the
-/// path, since the same quarantine arrives over several.
+/// A quarantine that ends later than the known one by more than this is an update. A smaller difference may be due to
+/// the path, since the same quarantine arrives over several.
 const UPDATE_TOLERANCE_MS: u64 = 5_000;
 
 impl BlockedContents {
@@ -63,8 +63,8 @@
 
     /// Whether an answer received here shows that the content does not crash upstreams.
     ///
-    /// The answer must be later than the first crash under the content. If the time of the first crash is not known, any
-    /// answer counts while few upstreams have crashed.
+    /// The answer must be later than the first crash under the content. If the time of the first crash is not known,
+    /// any answer counts while few upstreams have crashed.
     pub fn is_cleared_by_answer(&self, now: Tick, quarantine: &Quarantine) -> bool {
         let Some(answered) = self.last_answer(quarantine.content) else {
             return false;
@@ -103,8 +103,8 @@
         known.map(|(_, at)| *at)
     }
 
-    /// Stops sending the content for `for_ms`. An attempt with it broke off, and further ones could crash more upstreams
-    /// before the first crash is detected.
+    /// Stops sending the content for `for_ms`. An attempt with it broke off, and further ones could crash more
+    /// upstreams before the first crash is detected.
     pub fn suspend(&mut self, now: Tick, content: ContentHash, for_ms: u64) {
         self.suspended.retain(|_, until| *until > now);
         if self.suspended.len() < MAX_SUSPENDED || self.suspended.contains_key(&content) {
--- a/crates/quarantine/src/evidence.rs
+++ b/crates/quarantine/src/evidence.rs
@@ -96,15 +96,16 @@
     records: HashMap<ContentHash, EvidenceRecord>,
 }
 
-/// Weight at which a content is quarantined: two crashed upstreams, a crashed one and a silent one, or three silent ones.
-/// A single upstream crashes under many unrelated requests. That a second one crashes under the same content, which no
-/// upstream has answered, is hardly ever a coincidence.
+/// Weight at which a content is quarantined: two crashed upstreams, a crashed one and a silent one, or three silent
+/// ones. A single upstream crashes under many unrelated requests. That a second one crashes under the same content,
+/// which no upstream has answered, is hardly ever a coincidence.
 const THRESHOLD: u32 = 5;
 /// Weight at which a content that many callers send is quarantined: four crashed upstreams.
 const COMMON_THRESHOLD: u32 = 12;
 /// Duration of the first quarantine, longer than callers keep retrying a request; it doubles with each further one.
 const QUARANTINE_MS: u64 = 60_000;
-/// Duration of the first quarantine of a content that many callers send; it is shorter since all of them wait for its end.
+/// Duration of the first quarantine of a content that many callers send; it is shorter since all of them wait for its
+/// end.
 const COMMON_QUARANTINE_MS: u64 = 15_000;
 /// Maximum number of times that the duration is doubled: to about an hour.
 const MAX_DOUBLINGS: u32 = 6;
@@ -142,8 +143,8 @@
         })
     }
 
-    /// Drops the evidence against a content that was answered completely after the first crash, so that it cannot be the
-    /// cause. Returns whether the content was quarantined.
+    /// Drops the evidence against a content that was answered completely after the first crash, so that it cannot be
+    /// the cause. Returns whether the content was quarantined.
     pub fn clear(&mut self, content: ContentHash) -> bool {
         self.records.remove(&content).is_some_and(|record| record.quarantines > 0)
     }
--- a/crates/quarantine/tests/evidence.rs
+++ b/crates/quarantine/tests/evidence.rs
@@ -25,8 +25,8 @@
     CrashReport { sign: CrashSign::Silent, ..crashed(content, runner) }
 }
 
-/// A content that crashes each runner that processes it is quarantined after the second crash. Without that, one that made
-/// up 3 % of the requests crashed 24 runners in 20 s.
+/// A content that crashes each runner that processes it is quarantined after the second crash. Without that, one that
+/// made up 3 % of the requests crashed 24 runners in 20 s.
 #[test]
 fn crashing_content() {
     let mut evidence = CrashEvidence::default();
@@ -120,8 +120,8 @@
     );
 }
 
-/// If a proxy accepts connections for runners that have crashed, no probe proves a crash: three silent runners suffice, and
-/// so does a silent one together with a crashed one.
+/// If a proxy accepts connections for runners that have crashed, no probe proves a crash: three silent runners suffice,
+/// and so does a silent one together with a crashed one.
 #[test]
 fn silent_runners() {
     let mut evidence = CrashEvidence::default();
@@ -175,8 +175,8 @@
 }
 
 proptest! {
-    /// For signs of all kinds from any runners in any order: a content is quarantined after three runners at the latest,
-    /// and never with signs from fewer than two.
+    /// For signs of all kinds from any runners in any order: a content is quarantined after three runners at the
+    /// latest, and never with signs from fewer than two.
     #[test]
     fn signs_in_any_order(signs in proptest::collection::vec((0_u32..6, any::<bool>()), 1..40)) {
         let mut evidence = CrashEvidence::default();
