--- a/crates/fanout/src/freshness.rs
+++ b/crates/fanout/src/freshness.rs
@@ -111,7 +111,8 @@
         let (Some(clock), Some(age_ms)) = (clock, status.age_ms) else {
             return;
         };
-        // A newer version here was still the newest at the time that the status refers to.
+        // The source's version was the newest at the time that the status refers to, and the own one is at least as
+        // new.
         if own_version >= status.version {
             self.confirmed_at =
                 self.confirmed_at.max(Some(clock.to_local(status.written_at) - age_ms));
--- a/crates/fanout/src/mirror.rs
+++ b/crates/fanout/src/mirror.rs
@@ -87,8 +87,8 @@
         }
         let deleted = self.deleted.iter().filter(|(revision, _)| *revision > have);
         let deleted = deleted.filter(|(_, key)| !self.items.contains_key(key));
-        let deleted =
-            deleted.map(|(revision, key)| Change::Deleted { key: key.clone(), revision: *revision });
+        let deleted = deleted
+            .map(|(revision, key)| Change::Deleted { key: key.clone(), revision: *revision });
         let put = self.items.values().filter(|item| item.revision > have);
         Some(deleted.chain(put.cloned().map(Change::Put)).collect())
     }
--- a/crates/fanout/tests/mirror.rs
+++ b/crates/fanout/tests/mirror.rs
@@ -7,7 +7,7 @@
     Item { key: key.into(), value: b"v".to_vec().into(), revision: Revision::without_era(revision) }
 }
 
-fn gone(key: &str, revision: u64) -> Change {
+fn deleted(key: &str, revision: u64) -> Change {
     Change::Deleted { key: key.into(), revision: Revision::without_era(revision) }
 }
 
@@ -24,7 +24,7 @@
 #[test]
 fn changes_applied() {
     let mut mirror = read_at(5, &[item("a", 3)]);
-    let changes = vec![Change::Put(item("b", 6)), gone("a", 7)];
+    let changes = vec![Change::Put(item("b", 6)), deleted("a", 7)];
     let new = mirror
         .try_apply(Revision::without_era(5), Revision::without_era(8), changes.clone())
         .unwrap();
@@ -52,9 +52,9 @@
 fn overlap_returned_once() {
     let mut mirror = read_at(5, &[item("a", 3)]);
     mirror
-        .try_apply(Revision::without_era(5), Revision::without_era(8), vec![gone("a", 7)])
+        .try_apply(Revision::without_era(5), Revision::without_era(8), vec![deleted("a", 7)])
         .unwrap();
-    let late = vec![Change::Put(item("a", 6)), gone("a", 7), Change::Put(item("c", 9))];
+    let late = vec![Change::Put(item("a", 6)), deleted("a", 7), Change::Put(item("c", 9))];
     let new = mirror.try_apply(Revision::without_era(4), Revision::without_era(9), late).unwrap();
     assert_eq!(new, [Change::Put(item("c", 9))]);
     assert_eq!(keys(&mirror), ["c"]);
@@ -65,7 +65,7 @@
 fn old_read_rejected() {
     let mut mirror = read_at(5, &[item("a", 3)]);
     mirror
-        .try_apply(Revision::without_era(5), Revision::without_era(8), vec![gone("a", 7)])
+        .try_apply(Revision::without_era(5), Revision::without_era(8), vec![deleted("a", 7)])
         .unwrap();
     assert!(!mirror.try_replace(Revision::without_era(6), &[item("a", 3)]));
     assert_eq!(keys(&mirror), [] as [&str; 0]);
@@ -111,7 +111,7 @@
     let after = [item("a", 3), item("b", 7), item("d", 8)];
     let (mut reader, mut follower) = (read_at(5, &before), read_at(5, &before));
     let changes = reader.changes_to(Revision::without_era(9), &after);
-    assert_eq!(changes, [gone("c", 9), Change::Put(item("b", 7)), Change::Put(item("d", 8))]);
+    assert_eq!(changes, [deleted("c", 9), Change::Put(item("b", 7)), Change::Put(item("d", 8))]);
     assert!(reader.try_replace(Revision::without_era(9), &after));
     follower.try_apply(Revision::without_era(5), Revision::without_era(9), changes).unwrap();
     assert_eq!(keys(&follower), keys(&reader));
@@ -140,10 +140,10 @@
 fn difference_sent() {
     let mut reader = read_at(5, &[item("a", 3), item("b", 4), item("c", 5)]);
     let mut follower = reader.clone();
-    let later = vec![Change::Put(item("d", 6)), gone("a", 7), Change::Put(item("b", 8))];
+    let later = vec![Change::Put(item("d", 6)), deleted("a", 7), Change::Put(item("b", 8))];
     reader.try_apply(Revision::without_era(5), Revision::without_era(9), later).unwrap();
     let changes = reader.changes_since(Revision::without_era(5)).unwrap();
-    assert_eq!(changes, [gone("a", 7), Change::Put(item("b", 8)), Change::Put(item("d", 6))]);
+    assert_eq!(changes, [deleted("a", 7), Change::Put(item("b", 8)), Change::Put(item("d", 6))]);
     follower.try_apply(Revision::without_era(5), Revision::without_era(9), changes).unwrap();
     assert_eq!(keys(&follower), keys(&reader));
     assert_eq!(reader.changes_since(Revision::without_era(9)), Some(Vec::new()));
@@ -162,7 +162,7 @@
 fn difference_of_reads() {
     let mut reader = read_at(5, &[item("a", 3), item("b", 4)]);
     assert!(reader.try_replace(Revision::without_era(9), &[item("b", 4)]));
-    assert_eq!(reader.changes_since(Revision::without_era(5)), Some(vec![gone("a", 9)]));
+    assert_eq!(reader.changes_since(Revision::without_era(5)), Some(vec![deleted("a", 9)]));
     reader
         .try_apply(
             Revision::without_era(9),
