--- a/crates/fanout/tests/recorded.rs
+++ b/crates/fanout/tests/recorded.rs
@@ -18,7 +18,8 @@
 const PROMPT: &str = "a6617571692d304031373530303030303030303030616d626d31617381a2616b07617418286174187861721834616719012c";
 const GRANTED: &str = "a1674772616e746564a46864656c61795f6d730366756e7265616418506861686561645f6d73056869735f747269616cf5";
 const BUSY: &str = "a16442757379a16872657472795f6d730c";
-const QUESTION: &str = "a3617571692d304031373530303030303030303030616efb3ffccccccccccccd6177190320";
+const PERMIT_REQUEST: &str =
+    "a3617571692d304031373530303030303030303030616efb3ffccccccccccccd6177190320";
 const DELAYED: &str = "a1674772616e746564a16864656c61795f6d731901f4";
 
 fn bytes(hex: &str) -> Vec<u8> {
@@ -95,9 +96,9 @@
 
 #[test]
 fn permits() {
-    let question = PermitRequest { upstream: upstream(), rate: 1.8, max_wait_ms: 800 };
-    assert_reads(QUESTION, &question);
-    assert_writes(&question, QUESTION);
+    let request = PermitRequest { upstream: upstream(), rate: 1.8, max_wait_ms: 800 };
+    assert_reads(PERMIT_REQUEST, &request);
+    assert_writes(&request, PERMIT_REQUEST);
     assert_reads(DELAYED, &PermitAnswer::Granted { delay_ms: 500 });
     assert_writes(&PermitAnswer::Granted { delay_ms: 500 }, DELAYED);
 }
@@ -112,7 +113,7 @@
         until: &'static str,
     }
     #[derive(Serialize)]
-    struct LaterQuestion {
+    struct LaterRequest {
         u: Incarnation,
         n: f64,
         w: u32,
@@ -120,8 +121,8 @@
     }
     let limit = encode(&LaterLimit { n: None, a: 7, until: "noon" }).expect("encodable");
     assert_eq!(decode(&limit), Some(LimitRow { rate: None, age_ms: 7 }));
-    let question = LaterQuestion { u: upstream(), n: 0.5, w: 1, urgency: vec![1, 2] };
-    let question = encode(&question).expect("encodable");
-    let read: Option<PermitRequest> = decode(&question);
+    let request = LaterRequest { u: upstream(), n: 0.5, w: 1, urgency: vec![1, 2] };
+    let request = encode(&request).expect("encodable");
+    let read: Option<PermitRequest> = decode(&request);
     assert_eq!(read, Some(PermitRequest { upstream: upstream(), rate: 0.5, max_wait_ms: 1 }));
 }
