--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -17,7 +17,7 @@
 use vanetally_config::{Catalog, Revision, Settings};
 use vanetally_daemon::{Daemon, token_hash};
 use vanetally_link::{
-    call::{Call, Caller, Options},
+    call::{Call, Client, Options},
     platform::{HttpPlatform, Platform as _},
 };
 use vanetally_standin::{
@@ -47,7 +47,7 @@
 /// # Errors
 /// If it can't start.
 pub fn child(path: &Path) -> anyhow::Result<()> {
-    let daemon = Daemon::try_start(Settings::at(path)?)?;
+    let daemon = Daemon::try_start(Settings::from_path(path)?)?;
     daemon.join();
     Ok(())
 }
@@ -187,7 +187,7 @@
         "admit": [{"callers": "", "targets": ""}],
     }))?;
     let revision = Revision { number: 1, change: "bench".into(), catalog, ..Revision::default() };
-    let client = HttpPlatform::at(&format!("http://{platform}"), CREDENTIAL.into(), PATIENCE);
+    let client = HttpPlatform::new(&format!("http://{platform}"), CREDENTIAL.into(), PATIENCE);
     client.put("config/head", 0, &serde_json::to_vec(&revision)?)?;
     Ok(())
 }
@@ -211,7 +211,7 @@
         url: format!("http://{platform}/hosts"),
         headers: Vec::new(),
         body: hosts.to_string().into_bytes(),
-        within: PATIENCE,
+        timeout: PATIENCE,
     };
     caller().send(&call)?;
     let child = Command::new(std::env::current_exe()?)
@@ -223,8 +223,8 @@
     Ok((Process(child), listen))
 }
 
-fn caller() -> Caller {
-    Caller::new(Options { connect: PATIENCE, silence: PATIENCE })
+fn caller() -> Client {
+    Client::new(Options { connect_timeout: PATIENCE, idle_timeout: PATIENCE })
 }
 
 fn call(address: SocketAddr, model: &str, tokens: u64, stream: bool) -> Call {
@@ -235,7 +235,7 @@
         url: format!("http://{address}/v1/completions"),
         headers: vec![("Authorization".into(), format!("Bearer {TOKEN}"))],
         body: body.to_string().into_bytes(),
-        within: PATIENCE,
+        timeout: PATIENCE,
     }
 }
 
@@ -287,7 +287,7 @@
 }
 
 fn stream(
-    caller: &Caller,
+    caller: &Client,
     address: SocketAddr,
     model: &str,
     times: &Mutex<Times>,
--- a/crates/check/src/config.rs
+++ b/crates/check/src/config.rs
@@ -6,10 +6,10 @@
 use crate::{Steps, World};
 use std::{collections::BTreeSet, sync::Arc};
 use vanetally_config::{
-    Catalog, Keeper, Revision,
+    Catalog, Revision, RevisionTracker,
     check::check,
-    keeper::{Guards, Source},
-    publish::{Event, Head, Publish, Step},
+    publish::{Event, Head, Publication, Step},
+    tracker::{Guards, Source},
 };
 
 /// Bounds and switches of the specification.
@@ -35,7 +35,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Operator {
-    publish: Publish,
+    publish: Publication,
     step: Step,
 }
 
@@ -51,7 +51,7 @@
 pub struct Config {
     options: Options,
     operators: Vec<Operator>,
-    hosts: Vec<Keeper>,
+    hosts: Vec<RevisionTracker>,
     /// The highest number that each host ever followed.
     highest: Vec<u64>,
     revisions: Vec<Arc<Revision>>,
@@ -72,13 +72,13 @@
             if options.unsound && at == 1 {
                 catalog.store.slots = 0;
             }
-            let publish = Publish::new((*change).into(), catalog, None, 0);
+            let publish = Publication::new((*change).into(), catalog, None, 0);
             Operator { step: publish.start(), publish }
         };
         Self {
             options,
             operators: CHANGES.iter().enumerate().map(operator).collect(),
-            hosts: vec![Keeper::with_guards(options.guards); 2],
+            hosts: vec![RevisionTracker::with_guards(options.guards); 2],
             highest: vec![0; 2],
             revisions: Vec::new(),
             flights: BTreeSet::new(),
@@ -130,7 +130,7 @@
                 out.add(|| format!("{name} reads the head"), world);
             }
             Step::Write { base, revision } => self.write_steps(at, *base, revision, out),
-            Step::Applied(_) | Step::Unchanged(_) | Step::Beaten(_) => {}
+            Step::Applied(_) | Step::Unchanged(_) | Step::Conflict(_) => {}
         }
     }
 
@@ -141,12 +141,12 @@
         let unwritten = heard.clone();
         let done = heard.put(base, at);
         let mut unheard = heard.clone();
-        heard.next_step(op, if done { Event::Wrote } else { Event::Refused });
+        heard.next_step(op, if done { Event::Written } else { Event::Conflict });
         out.add(|| format!("{name}'s write is answered, done {done}"), heard);
         if self.options.losses == 0 {
             return;
         }
-        let lost = if self.options.looks { Event::Lost } else { Event::Wrote };
+        let lost = if self.options.looks { Event::NoAnswer } else { Event::Written };
         unheard.options.losses -= 1;
         unheard.next_step(op, lost.clone());
         out.add(|| format!("{name}'s write is unanswered, done {done}"), unheard);
@@ -205,7 +205,7 @@
             });
             match &operator.step {
                 Step::Applied(_) if !there => return Some(format!("`{change}` is not applied")),
-                Step::Beaten(_) if there || pending => {
+                Step::Conflict(_) if there || pending => {
                     return Some(format!("`{change}` is or will be applied after all"));
                 }
                 _ => {}
--- a/crates/check/tests/config.rs
+++ b/crates/check/tests/config.rs
@@ -6,9 +6,9 @@
     config::{Config, Options},
     search,
 };
-use vanetally_config::keeper::Guards;
+use vanetally_config::tracker::Guards;
 
-const GUARDS: Guards = Guards { newer: true, sound: true };
+const GUARDS: Guards = Guards { newer: true, valid: true };
 
 /// Two operators race and answers are lost.
 const RACE: Options = Options {
@@ -43,7 +43,7 @@
 #[rstest]
 #[case::newer(Options { guards: Guards { newer: false, ..GUARDS }, ..RACE })]
 #[case::newer_restored(Options { guards: Guards { newer: false, ..GUARDS }, losses: 0, ..RESTORED })]
-#[case::sound(Options { guards: Guards { sound: false, ..GUARDS }, unsound: true, ..RACE })]
+#[case::sound(Options { guards: Guards { valid: false, ..GUARDS }, unsound: true, ..RACE })]
 #[case::compares(Options { compares: false, ..RACE })]
 #[case::looks(Options { looks: false, ..RACE })]
 fn guard_matters(#[case] options: Options) {
--- a/crates/check/tests/walks.rs
+++ b/crates/check/tests/walks.rs
@@ -8,7 +8,7 @@
     walk,
 };
 use vanetally_claim::Guards as ClaimGuards;
-use vanetally_config::keeper::Guards as ConfigGuards;
+use vanetally_config::tracker::Guards as ConfigGuards;
 use vanetally_ledger::Guards as LedgerGuards;
 
 /// Steps of a run.
--- a/crates/config/src/catalog.rs
+++ b/crates/config/src/catalog.rs
@@ -11,7 +11,7 @@
     pub number: u64,
     /// Names the change, so that a writer knows its own.
     pub change: Name,
-    /// The changes before it, newest first, at most [`EARLIER`].
+    /// The changes before it, newest first, at most [`MAX_EARLIER`].
     #[serde(default)]
     pub earlier: Vec<Name>,
     /// The catalog of this revision.
@@ -19,7 +19,7 @@
 }
 
 /// How many earlier changes a revision names.
-pub const EARLIER: usize = 32;
+pub const MAX_EARLIER: usize = 32;
 
 /// Everything that operators declare.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -321,7 +321,7 @@
     }
 
     /// Whether an entry with labels `entry` may live on a runner with labels `runner`.
-    pub fn places(&self, entry: &Labels, runner: &Labels) -> bool {
+    pub fn allows_placement(&self, entry: &Labels, runner: &Labels) -> bool {
         let matches = |p: &Place| p.models.matches(entry) && p.runners.matches(runner);
         self.place.is_empty() || self.place.iter().any(matches)
     }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -5,7 +5,7 @@
 use vanetally_types::Name;
 
 /// Largest catalog that the platform's service holds as one value, in bytes of JSON.
-pub const LARGEST: usize = 1_000_000;
+pub const MAX_CATALOG_BYTES: usize = 1_000_000;
 
 /// All that is wrong with `catalog`, one line each; empty when it is sound.
 pub fn check(catalog: &Catalog) -> Vec<String> {
@@ -111,10 +111,9 @@
     if catalog.runners.is_empty() {
         return;
     }
-    let fits = catalog
-        .runners
-        .iter()
-        .any(|r| catalog.places(&entry.labels, &r.labels) && entry.size + base <= r.capacity.0);
+    let fits = catalog.runners.iter().any(|r| {
+        catalog.allows_placement(&entry.labels, &r.labels) && entry.size + base <= r.capacity.0
+    });
     if !fits {
         faults.push(format!("`{}`: no runner that may hold it has the memory", entry.id));
     }
@@ -144,7 +143,9 @@
 
 fn check_size(catalog: &Catalog, faults: &mut Vec<String>) {
     let size = serde_json::to_vec(catalog).map_or(usize::MAX, |json| json.len());
-    if size > LARGEST {
-        faults.push(format!("the catalog takes {size} bytes as JSON; at most {LARGEST} fit"));
+    if size > MAX_CATALOG_BYTES {
+        faults.push(format!(
+            "the catalog takes {size} bytes as JSON; at most {MAX_CATALOG_BYTES} fit"
+        ));
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -12,16 +12,16 @@
 pub mod diff;
 /// Reading JSON with comments, with errors that name file, line and key.
 pub mod jsonc;
-/// Which revision of the catalog a process follows.
-pub mod keeper;
 /// Putting a new catalog in place of the present one.
 pub mod publish;
 /// The settings of one process.
 pub mod settings;
+/// Which revision of the catalog a process follows.
+pub mod tracker;
 /// Durations and sizes with their units.
 pub mod unit;
 
 pub use catalog::{Catalog, Revision};
-pub use keeper::Keeper;
 pub use settings::Settings;
+pub use tracker::RevisionTracker;
 pub use unit::{Millis, Size};
--- a/crates/config/src/publish.rs
+++ b/crates/config/src/publish.rs
@@ -3,7 +3,7 @@
 //! A state machine, so that the tool and the model check drive the same steps. Whatever answers
 //! are lost, the writer ends up knowing whether its change took effect.
 
-use crate::{Catalog, Revision, catalog::EARLIER};
+use crate::{Catalog, Revision, catalog::MAX_EARLIER};
 use std::sync::Arc;
 use vanetally_types::Name;
 
@@ -22,11 +22,11 @@
     /// The head was read.
     Read(Head),
     /// The write took effect.
-    Wrote,
+    Written,
     /// The write had no effect.
-    Refused,
+    Conflict,
     /// The platform did not answer.
-    Lost,
+    NoAnswer,
 }
 
 /// What the writer is to do next.
@@ -48,12 +48,12 @@
     /// The present catalog says the same already.
     Unchanged(u64),
     /// Somebody else changed the head first; this change had no effect.
-    Beaten(Arc<Revision>),
+    Conflict(Arc<Revision>),
 }
 
 /// One attempt to publish a catalog.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Publish {
+pub struct Publication {
     change: Name,
     catalog: Catalog,
     /// The number that the operator looked at; `None` for whatever is read first.
@@ -64,7 +64,7 @@
     sent: Option<(u64, Arc<Revision>)>,
 }
 
-impl Publish {
+impl Publication {
     /// A change named `change` on top of the revision `base`, numbered above `floor`.
     pub fn new(change: Name, catalog: Catalog, base: Option<u64>, floor: u64) -> Self {
         Self { change, catalog, base, floor, sent: None }
@@ -79,12 +79,12 @@
     pub fn next(&mut self, event: Event) -> Step {
         match event {
             Event::Read(head) => self.read(&head),
-            Event::Wrote => match &self.sent {
+            Event::Written => match &self.sent {
                 Some((_, revision)) => Step::Applied(revision.number),
                 None => Step::Read,
             },
-            Event::Refused => Step::Read,
-            Event::Lost => Step::Wait,
+            Event::Conflict => Step::Read,
+            Event::NoAnswer => Step::Wait,
         }
     }
 
@@ -98,11 +98,11 @@
             // The same write again: it has no effect if the first one had.
             return match *base == head.version {
                 true => Step::Write { base: *base, revision: revision.clone() },
-                false => Step::Beaten(present.clone()),
+                false => Step::Conflict(present.clone()),
             };
         }
         if self.base.is_some_and(|b| b != present.number) {
-            return Step::Beaten(present.clone());
+            return Step::Conflict(present.clone());
         }
         if present.catalog == self.catalog && present.number >= self.floor.max(1) {
             return Step::Unchanged(present.number);
@@ -116,7 +116,7 @@
         let mut earlier = vec![present.change.clone()];
         earlier.extend(present.earlier.iter().cloned());
         earlier.retain(|change| !change.is_empty());
-        earlier.truncate(EARLIER);
+        earlier.truncate(MAX_EARLIER);
         Revision {
             number: present.number.max(self.floor) + 1,
             change: self.change.clone(),
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -115,7 +115,7 @@
 
 impl Settings {
     /// Reads and checks the settings in the file at `path`.
-    pub fn at(path: &Path) -> Result<Self, Error> {
+    pub fn from_path(path: &Path) -> Result<Self, Error> {
         let settings: Self = jsonc::from_path(path)?;
         match settings.fault() {
             None => Ok(settings),
--- a/crates/config/src/keeper.rs
+++ b/crates/config/src/tracker.rs
@@ -18,18 +18,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// It is in force from now on.
-    Taken,
+    Accepted,
     /// It was in force already.
-    Same,
+    Unchanged,
     /// It is older than the one in force, or another change under the same number.
-    Behind {
+    Stale {
         /// The number that was offered.
         offered: u64,
         /// The number that stays in force.
-        kept: u64,
+        current: u64,
     },
     /// It fails its check; the one in force stays.
-    Unsound(Vec<String>),
+    Invalid(Vec<String>),
 }
 
 /// Guards that the model check switches off one at a time to see that it notices.
@@ -38,25 +38,25 @@
     /// Only a newer revision replaces the one in force.
     pub newer: bool,
     /// Only a revision that passes its check is taken.
-    pub sound: bool,
+    pub valid: bool,
 }
 
 impl Default for Guards {
     fn default() -> Self {
-        Self { newer: true, sound: true }
+        Self { newer: true, valid: true }
     }
 }
 
 /// The revision in force in one process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Keeper {
+pub struct RevisionTracker {
     guards: Guards,
     current: Arc<Revision>,
     source: Option<Source>,
     behind: bool,
 }
 
-impl Keeper {
+impl RevisionTracker {
     /// A keeper with some guards off, for the model check.
     pub fn with_guards(guards: Guards) -> Self {
         Self { guards, ..Self::default() }
@@ -86,9 +86,9 @@
     pub fn offer(&mut self, offered: Arc<Revision>, source: Source) -> Outcome {
         let outcome = self.judge(&offered);
         if source == Source::Platform {
-            self.behind = matches!(outcome, Outcome::Behind { .. });
+            self.behind = matches!(outcome, Outcome::Stale { .. });
         }
-        if outcome == Outcome::Taken {
+        if outcome == Outcome::Accepted {
             self.current = offered;
             self.source = Some(source);
         }
@@ -96,17 +96,17 @@
     }
 
     fn judge(&self, offered: &Revision) -> Outcome {
-        let kept = self.current.number;
-        if offered.number == kept && offered.change == self.current.change {
-            return Outcome::Same;
+        let current = self.current.number;
+        if offered.number == current && offered.change == self.current.change {
+            return Outcome::Unchanged;
         }
-        if offered.number <= kept && self.guards.newer {
-            return Outcome::Behind { offered: offered.number, kept };
+        if offered.number <= current && self.guards.newer {
+            return Outcome::Stale { offered: offered.number, current };
         }
-        if !self.guards.sound {
-            return Outcome::Taken;
+        if !self.guards.valid {
+            return Outcome::Accepted;
         }
         let faults = check(&offered.catalog);
-        if faults.is_empty() { Outcome::Taken } else { Outcome::Unsound(faults) }
+        if faults.is_empty() { Outcome::Accepted } else { Outcome::Invalid(faults) }
     }
 }
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -5,7 +5,7 @@
 use vanetally_config::{
     Catalog, Revision,
     catalog::is_leaving,
-    keeper::{Outcome, Source},
+    tracker::{Outcome, Source},
 };
 use vanetally_route::{Event as Route, Phase, Upstream, UpstreamStatus};
 use vanetally_types::{HostId, Name};
@@ -22,14 +22,14 @@
     pub(crate) fn offer(&mut self, revision: Arc<Revision>, source: Source) {
         let number = revision.number;
         match self.keeper.offer(revision, source) {
-            Outcome::Taken => self.take_revision(source),
-            Outcome::Same => {}
-            Outcome::Behind { offered, kept } => {
+            Outcome::Accepted => self.take_revision(source),
+            Outcome::Unchanged => {}
+            Outcome::Stale { offered, current } => {
                 if source == Source::Platform {
-                    self.log(format!("event=config-behind offered={offered} kept={kept}"));
+                    self.log(format!("event=config-behind offered={offered} kept={current}"));
                 }
             }
-            Outcome::Unsound(faults) => {
+            Outcome::Invalid(faults) => {
                 let first = faults.first().cloned().unwrap_or_default();
                 self.log(format!("event=config-unsound revision={number} fault=\"{first}\""));
             }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use vanetally_claim::{Answer, Id};
-use vanetally_config::{Revision, keeper::Source};
+use vanetally_config::{Revision, tracker::Source};
 use vanetally_ledger::{Epoch, Order, Refusal, Report};
 use vanetally_member::ListedHost;
 use vanetally_route::{AttemptEnd, Request};
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -2,7 +2,7 @@
 
 use crate::{Action, Core, EpochHolder, Frame};
 use std::collections::{BTreeMap, BTreeSet};
-use vanetally_config::keeper::Source;
+use vanetally_config::tracker::Source;
 use vanetally_types::{HostId, Name, Tick, hash64, rendezvous_rank};
 
 /// When what was told to whom.
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -6,7 +6,7 @@
     sync::Arc,
 };
 use vanetally_claim::{Id, Outcome, Slot, Ticket};
-use vanetally_config::{Keeper, Revision};
+use vanetally_config::{Revision, RevisionTracker};
 use vanetally_ledger::Ledger;
 use vanetally_member::{GroupLeadership, ListedHost, Members};
 use vanetally_plan::Planner;
@@ -51,7 +51,7 @@
     pub(crate) options: Options,
     pub(crate) now: Tick,
     pub(crate) out: Vec<Action>,
-    pub(crate) keeper: Keeper,
+    pub(crate) keeper: RevisionTracker,
     pub(crate) members: Members,
     pub(crate) router: Router,
     pub(crate) started: Tick,
@@ -108,7 +108,7 @@
         Self {
             now,
             out: Vec::new(),
-            keeper: Keeper::default(),
+            keeper: RevisionTracker::default(),
             members: Members::new(me.clone(), options.suspect_ms),
             router: Router::new(router),
             started: now,
--- a/crates/core/src/planning.rs
+++ b/crates/core/src/planning.rs
@@ -113,7 +113,7 @@
         };
         let estimate = target.map(|t| self.planner.demand.estimate(&t)).unwrap_or_default();
         let runners = catalog.runners.iter().enumerate();
-        let may = runners.filter(|(_, r)| catalog.places(&entry.labels, &r.labels));
+        let may = runners.filter(|(_, r)| catalog.allows_placement(&entry.labels, &r.labels));
         Entry {
             id: entry.id,
             base: entry.base,
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -23,7 +23,7 @@
 use vanetally_config::Settings;
 use vanetally_core::{Core, Event, Options};
 use vanetally_link::{
-    call::{self, Caller},
+    call::{self, Client},
     http::{self, Server, Stopper},
     peer::{self, Links},
     platform::{HttpPlatform, Platform},
@@ -129,9 +129,9 @@
     hub: &Sender<Input>,
 ) -> anyhow::Result<Links> {
     let options = peer::Options {
-        me: board.me.clone(),
+        host_id: board.me.clone(),
         key: board.settings.link_key.clone(),
-        most: MOST_MESSAGE,
+        max_message_bytes: MOST_MESSAGE,
     };
     let hub = hub.clone();
     Links::try_start(listener, options, move |event| {
@@ -144,17 +144,17 @@
     let settings = &board.settings;
     let within = settings.timing.platform.duration();
     let platform: Arc<dyn Platform> =
-        Arc::new(HttpPlatform::at(&settings.platform, settings.credential.clone(), within));
+        Arc::new(HttpPlatform::new(&settings.platform, settings.credential.clone(), within));
     store::follow_hosts(board.clone(), platform.clone(), hub.clone());
     store::follow_config(board.clone(), platform.clone(), hub.clone());
     platform
 }
 
-fn upstream_caller(board: &Board) -> Caller {
+fn upstream_caller(board: &Board) -> Client {
     let timing = &board.settings.timing;
-    Caller::new(call::Options {
-        connect: timing.connect.duration(),
-        silence: timing.silence.duration(),
+    Client::new(call::Options {
+        connect_timeout: timing.connect.duration(),
+        idle_timeout: timing.silence.duration(),
     })
 }
 
@@ -182,16 +182,17 @@
 fn serve_callers(
     board: &Arc<Board>,
     hub: &Sender<Input>,
-    caller: Caller,
+    caller: Client,
     server: Server,
 ) -> Stopper {
     let front = Front { board: board.clone(), hub: hub.clone(), caller };
-    let options = http::Options { most: board.settings.limits.streams, ..Default::default() };
+    let options =
+        http::Options { max_exchanges: board.settings.limits.streams, ..Default::default() };
     server.serve("caller", options, move |exchange| front.serve(exchange))
 }
 
 fn serve_operators(board: &Arc<Board>, hub: &Sender<Input>, server: Server) -> Stopper {
     let (board, hub) = (board.clone(), hub.clone());
-    let options = http::Options { most: MOST_ADMIN, ..Default::default() };
+    let options = http::Options { max_exchanges: MOST_ADMIN, ..Default::default() };
     server.serve("admin", options, move |exchange| admin::answer(&board, &hub, exchange))
 }
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -15,7 +15,7 @@
 };
 use vanetally_core::{Event, FenceReply, OrderReply, PollReply};
 use vanetally_ledger::{Epoch, Order, Refusal, Report};
-use vanetally_link::call::{Call, Caller};
+use vanetally_link::call::{Call, Client};
 use vanetally_types::Name;
 
 /// What a runner is told or asked.
@@ -28,7 +28,7 @@
 /// The way to the runners' threads.
 pub(crate) struct Lanes {
     board: Arc<Board>,
-    caller: Caller,
+    caller: Client,
     hub: Sender<Input>,
     lanes: HashMap<(Name, Name), Sender<Job>>,
 }
@@ -59,7 +59,7 @@
 
 impl Lanes {
     /// No threads yet; what they learn goes to `hub`.
-    pub fn new(board: Arc<Board>, caller: Caller, hub: Sender<Input>) -> Self {
+    pub fn new(board: Arc<Board>, caller: Client, hub: Sender<Input>) -> Self {
         Self { board, caller, hub, lanes: HashMap::new() }
     }
 
@@ -114,7 +114,7 @@
     runner: Name,
     url: Name,
     board: Arc<Board>,
-    caller: Caller,
+    caller: Client,
 }
 
 impl Lane {
@@ -171,7 +171,7 @@
             url: format!("{}{path}", self.url.trim_end_matches('/')),
             headers: vec![("Content-Type".into(), "application/json".into())],
             body,
-            within: WITHIN,
+            timeout: WITHIN,
         };
         let answer = self.caller.send(&call)?;
         let mut bytes = Vec::new();
--- a/crates/daemon/src/front.rs
+++ b/crates/daemon/src/front.rs
@@ -21,7 +21,7 @@
 use vanetally_claim::Id;
 use vanetally_core::{Arrival, Event, service_entry};
 use vanetally_link::{
-    call::Caller,
+    call::Client,
     http::{BodyError, Exchange, Reply},
 };
 use vanetally_route::{AttemptEnd, Request};
@@ -80,7 +80,7 @@
 pub(crate) struct Front {
     pub board: Arc<Board>,
     pub hub: Sender<Input>,
-    pub caller: Caller,
+    pub caller: Client,
 }
 
 /// The loop answers within this long after a deadline.
--- a/crates/daemon/src/proxy.rs
+++ b/crates/daemon/src/proxy.rs
@@ -8,7 +8,7 @@
 };
 use vanetally_claim::Answer;
 use vanetally_link::{
-    call::{self, Call, Caller},
+    call::{self, Call, Client},
     http::{Exchange, Reply, Stream},
 };
 use vanetally_route::AttemptEnd;
@@ -34,7 +34,7 @@
 /// An attempt with what it needs.
 pub(crate) struct Attempt<'a> {
     pub job: &'a Job,
-    pub caller: &'a Caller,
+    pub caller: &'a Client,
     pub host: &'a Name,
     pub upstream: Name,
     pub url: Name,
@@ -52,7 +52,7 @@
             url: format!("{}{}", self.url.trim_end_matches('/'), self.job.path),
             headers: self.job.headers.clone(),
             body: self.job.body_for(&self.entry),
-            within: self.within,
+            timeout: self.within,
         };
         let answer = match self.caller.send(&call) {
             Ok(answer) => answer,
@@ -63,8 +63,11 @@
                     self.job.id,
                     e.verdict
                 );
-                let end =
-                    if e.dead { AttemptEnd::Unreachable } else { AttemptEnd::Failed(e.verdict) };
+                let end = if e.unreachable {
+                    AttemptEnd::Unreachable
+                } else {
+                    AttemptEnd::Failed(e.verdict)
+                };
                 return Outcome { end, exchange: Some(exchange), answer: None };
             }
         };
@@ -315,7 +318,7 @@
             url: format!("{base}/v1/resume/{}?after={}", attempt.job.request_id, self.events.count),
             headers: Vec::new(),
             body: Vec::new(),
-            within: attempt.within,
+            timeout: attempt.within,
         };
         let answer = attempt.caller.send(&call).ok()?;
         log::info!(
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -10,9 +10,9 @@
     thread,
     time::{Duration, Instant},
 };
-use vanetally_config::{Revision, keeper::Source};
+use vanetally_config::{Revision, tracker::Source};
 use vanetally_core::{Event, Key, StoredValue};
-use vanetally_link::platform::{Error, Platform, Put, Value};
+use vanetally_link::platform::{Error, Platform, PutOutcome, Value};
 use vanetally_types::hash64;
 
 /// A call to make.
@@ -107,8 +107,8 @@
         Job::Put(key, base, bytes) => {
             let put = attempt(breaker, || platform.put(&key.path(), base, &bytes));
             let result = put.map(|put| match put {
-                Put::Done(version) => Ok(version),
-                Put::Refused(value) => Err(value.map(stored)),
+                PutOutcome::Written(version) => Ok(version),
+                PutOutcome::Conflict(value) => Err(value.map(stored)),
             });
             Event::KeyWritten(key, result)
         }
@@ -120,7 +120,7 @@
         return None;
     }
     let result = call();
-    breaker.note(matches!(result, Err(Error::Out(_))));
+    breaker.note(matches!(result, Err(Error::Unavailable(_))));
     result.map_err(|e| log::debug!("event=platform-failed error=\"{e}\"")).ok()
 }
 
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -34,7 +34,7 @@
 }
 
 async fn serve(hub: Rc<Hub>, stream: TcpStream) {
-    if socket::watch_peer(&stream).is_err() {
+    if socket::set_peer_options(&stream).is_err() {
         return;
     }
     let mut stage = hub.stage.subscribe();
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -113,7 +113,11 @@
         std::net::TcpListener::bind(address).with_context(|| format!("bind {address}"))?;
     let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let me = HostId::new(settings.host.clone(), incarnation.as_millis() as u64);
-    let options = peer::Options { me, key: settings.link_key.clone(), most: MAX_MESSAGE_BYTES };
+    let options = peer::Options {
+        host_id: me,
+        key: settings.link_key.clone(),
+        max_message_bytes: MAX_MESSAGE_BYTES,
+    };
     Links::try_start(listener, options, move |event| match event {
         peer::Event::Message { from, bytes } => {
             let Some(message) = peer::decode(&bytes) else {
--- a/crates/link/src/call.rs
+++ b/crates/link/src/call.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// To connect.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Longest silence within an answer.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// A request to an upstream.
@@ -31,7 +31,7 @@
     /// Body; empty for none.
     pub body: Vec<u8>,
     /// Until the whole answer must have come.
-    pub within: Duration,
+    pub timeout: Duration,
 }
 
 /// An answer whose body is still to be read.
@@ -51,14 +51,14 @@
     /// Whether the request may have run.
     pub verdict: Verdict,
     /// Whether nobody accepts connections at the address.
-    pub dead: bool,
+    pub unreachable: bool,
     /// What went wrong.
     pub message: String,
 }
 
 /// Makes calls over kept connections.
 #[derive(Clone, Debug)]
-pub struct Caller {
+pub struct Client {
     agent: Agent,
 }
 
@@ -67,7 +67,7 @@
 /// How long an idle connection is kept; servers keep theirs longer.
 const IDLE_AGE: Duration = Duration::from_secs(5);
 
-impl Caller {
+impl Client {
     /// A caller with no connections yet.
     pub fn new(options: Options) -> Self {
         let agent = Agent::config_builder()
@@ -76,9 +76,9 @@
             .max_redirects(0)
             .max_redirects_will_error(false)
             .allow_non_standard_methods(true)
-            .timeout_connect(Some(options.connect))
-            .timeout_per_read(Some(options.silence))
-            .timeout_per_write(Some(options.silence))
+            .timeout_connect(Some(options.connect_timeout))
+            .timeout_per_read(Some(options.idle_timeout))
+            .timeout_per_write(Some(options.idle_timeout))
             .max_idle_connections(IDLE.0)
             .max_idle_connections_per_host(IDLE.1)
             .max_idle_age(IDLE_AGE)
@@ -99,8 +99,8 @@
             builder = builder.header(name, value);
         }
         let answer = match call.body.is_empty() {
-            true => builder.body(()).map(|r| self.run(r, call.within)),
-            false => builder.body(call.body.as_slice()).map(|r| self.run(r, call.within)),
+            true => builder.body(()).map(|r| self.run(r, call.timeout)),
+            false => builder.body(call.body.as_slice()).map(|r| self.run(r, call.timeout)),
         };
         answer.map_err(|e| not_run(&e.to_string()))?.map(from_response).map_err(|e| classify(&e))
     }
@@ -123,19 +123,19 @@
 }
 
 fn not_run(message: &str) -> Error {
-    Error { verdict: Verdict::NotRun, dead: false, message: message.to_owned() }
+    Error { verdict: Verdict::NotRun, unreachable: false, message: message.to_owned() }
 }
 
 /// What is known of a request whose call failed with `e`.
 fn classify(e: &ureq::Error) -> Error {
     let refused = |e: &std::io::Error| e.kind() == std::io::ErrorKind::ConnectionRefused;
-    let dead = match e {
+    let unreachable = match e {
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => true,
         ureq::Error::Timeout(Timeout::Connect | Timeout::Resolve) => true,
         ureq::Error::Io(e) => refused(e),
         _ => false,
     };
     let unsent = matches!(e, ureq::Error::BadUri(_) | ureq::Error::Http(_));
-    let verdict = if dead || unsent { Verdict::NotRun } else { Verdict::MayHaveRun };
-    Error { verdict, dead, message: e.to_string() }
+    let verdict = if unreachable || unsent { Verdict::NotRun } else { Verdict::MayHaveRun };
+    Error { verdict, unreachable, message: e.to_string() }
 }
--- a/crates/link/src/http.rs
+++ b/crates/link/src/http.rs
@@ -19,14 +19,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Most exchanges at once.
-    pub most: usize,
+    pub max_exchanges: usize,
     /// Stack of an exchange's thread, in bytes.
-    pub stack: usize,
+    pub stack_bytes: usize,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Self { most: 1_000, stack: 256 * 1024 }
+        Self { max_exchanges: 1_000, stack_bytes: 256 * 1024 }
     }
 }
 
@@ -77,7 +77,7 @@
         let server = self.inner.clone();
         let handler = Arc::new(handler);
         let busy = Arc::new(AtomicUsize::new(0));
-        let mut workers = Workers::new(name, options.stack);
+        let mut workers = Workers::new(name, options.stack_bytes);
         let mut nudge = Nudge::start(name, self.address);
         let run = move || {
             for request in server.incoming_requests() {
@@ -123,7 +123,7 @@
 ) {
     let count = busy.fetch_add(1, Ordering::AcqRel);
     let guard = Busy(busy.clone());
-    if count >= options.most {
+    if count >= options.max_exchanges {
         return exchange.answer(Reply::overload());
     }
     let headers: usize = exchange
--- a/crates/link/src/peer.rs
+++ b/crates/link/src/peer.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     proof::{Hello, Side, prove, verify},
-    socket::watch_link,
+    socket::set_link_options,
 };
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -53,11 +53,11 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// This process.
-    pub me: HostId,
+    pub host_id: HostId,
     /// The shared key.
     pub key: Name,
     /// Largest message in bytes.
-    pub most: usize,
+    pub max_message_bytes: usize,
 }
 
 /// Bytes and messages that went over links, for metrics.
@@ -192,8 +192,8 @@
     fn config(&self) -> WebSocketConfig {
         WebSocketConfig::default()
             .read_buffer_size(READ_BUFFER)
-            .max_message_size(Some(self.options.most))
-            .max_frame_size(Some(self.options.most))
+            .max_message_size(Some(self.options.max_message_bytes))
+            .max_frame_size(Some(self.options.max_message_bytes))
     }
 }
 
@@ -248,13 +248,13 @@
     shared: &Shared,
 ) -> Option<WebSocketStream<TcpStream>> {
     let stream = TcpStream::connect(address).await.ok()?;
-    watch_link(&stream).ok()?;
+    set_link_options(&stream).ok()?;
     let url = format!("ws://{address}/link");
     let connected = client_async_with_config(url, stream, Some(shared.config())).await;
     let (mut socket, _) = connected.ok()?;
     let options = &shared.options;
     let theirs: Hello = read(&mut socket).await?;
-    let mine = Hello::new(options.me.clone());
+    let mine = Hello::new(options.host_id.clone());
     let proof = prove(&options.key, Side::Dialer, &mine, &theirs);
     write(&mut socket, &(&mine, proof)).await?;
     let answer: Vec<u8> = read(&mut socket).await?;
@@ -297,10 +297,10 @@
 }
 
 async fn greet(stream: TcpStream, shared: &Shared) -> Option<(WebSocketStream<TcpStream>, HostId)> {
-    watch_link(&stream).ok()?;
+    set_link_options(&stream).ok()?;
     let mut socket = accept_async_with_config(stream, Some(shared.config())).await.ok()?;
     let options = &shared.options;
-    let mine = Hello::new(options.me.clone());
+    let mine = Hello::new(options.host_id.clone());
     write(&mut socket, &mine).await?;
     let (theirs, proof): (Hello, Vec<u8>) = read(&mut socket).await?;
     if !verify(&options.key, Side::Dialer, &theirs, &mine, &proof) {
--- a/crates/link/src/platform.rs
+++ b/crates/link/src/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's key-value service and its list of hosts.
 
-use crate::call::{Call, Caller, Options};
+use crate::call::{Call, Client, Options};
 use std::{io::Read, time::Duration};
 use vanetally_types::{Name, Verdict};
 
@@ -15,11 +15,11 @@
 
 /// What became of a compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Put {
+pub enum PutOutcome {
     /// It took effect and the key has this version.
-    Done(u64),
+    Written(u64),
     /// The key had another version; nothing changed.
-    Refused(Option<Value>),
+    Conflict(Option<Value>),
 }
 
 /// Why the service gave no answer.
@@ -27,10 +27,10 @@
 pub enum Error {
     /// Out of reach, slow or failing: a write may have taken effect.
     #[error("the platform did not answer: {0}")]
-    Out(String),
+    Unavailable(String),
     /// Refused without effect: credential, size or rate.
     #[error("the platform refused: {0}")]
-    Denied(String),
+    Rejected(String),
 }
 
 /// The service as its users see it.
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     /// If the service does not answer, in which case the write may have taken effect.
-    fn put(&self, key: &str, base: u64, bytes: &[u8]) -> Result<Put, Error>;
+    fn put(&self, key: &str, base: u64, bytes: &[u8]) -> Result<PutOutcome, Error>;
 
     /// Waits up to `wait` for a version of the key other than `seen`.
     ///
@@ -66,7 +66,7 @@
     base: String,
     credential: Name,
     within: Duration,
-    caller: Caller,
+    caller: Client,
 }
 
 /// Values are at most this large, with room for the service's own limit.
@@ -74,10 +74,10 @@
 
 impl HttpPlatform {
     /// The service at `base`, `http://IP:PORT`, each call bounded by `within`.
-    pub fn at(base: &str, credential: Name, within: Duration) -> Self {
-        let options = Options { connect: within.min(CONNECT), silence: WATCH_SILENCE };
+    pub fn new(base: &str, credential: Name, within: Duration) -> Self {
+        let options = Options { connect_timeout: within.min(CONNECT), idle_timeout: WATCH_SILENCE };
         let base = base.trim_end_matches('/').to_owned();
-        Self { base, credential, within, caller: Caller::new(options) }
+        Self { base, credential, within, caller: Client::new(options) }
     }
 
     fn call(
@@ -92,11 +92,11 @@
             url: format!("{}{path}", self.base),
             headers: vec![("Authorization".into(), format!("Bearer {}", self.credential))],
             body: body.to_vec(),
-            within,
+            timeout: within,
         };
         let answer = self.caller.send(&call).map_err(|e| match e.verdict {
-            Verdict::NotRun if !e.dead => Error::Denied(e.message),
-            _ => Error::Out(e.message),
+            Verdict::NotRun if !e.unreachable => Error::Rejected(e.message),
+            _ => Error::Unavailable(e.message),
         })?;
         let version = answer
             .headers
@@ -108,14 +108,14 @@
             .body
             .take(MOST_VALUE)
             .read_to_end(&mut bytes)
-            .map_err(|e| Error::Out(e.to_string()))?;
+            .map_err(|e| Error::Unavailable(e.to_string()))?;
         match answer.status {
             200 | 404 | 409 => Ok((answer.status, version.unwrap_or(0), bytes)),
             400 | 401 | 403 | 413 | 429 => {
                 let text = String::from_utf8_lossy(&bytes).trim().to_owned();
-                Err(Error::Denied(format!("{} {text}", answer.status)))
+                Err(Error::Rejected(format!("{} {text}", answer.status)))
             }
-            status => Err(Error::Out(format!("status {status}"))),
+            status => Err(Error::Unavailable(format!("status {status}"))),
         }
     }
 }
@@ -135,13 +135,13 @@
         Ok(value(version, bytes))
     }
 
-    fn put(&self, key: &str, base: u64, bytes: &[u8]) -> Result<Put, Error> {
+    fn put(&self, key: &str, base: u64, bytes: &[u8]) -> Result<PutOutcome, Error> {
         let path = format!("/kv/{key}?version={base}");
         let (status, version, bytes) = self.call("PUT", &path, bytes, self.within)?;
         match status {
-            200 if version > 0 => Ok(Put::Done(version)),
-            409 | 404 => Ok(Put::Refused(value(version, bytes))),
-            _ => Err(Error::Out("an answer without a version".into())),
+            200 if version > 0 => Ok(PutOutcome::Written(version)),
+            409 | 404 => Ok(PutOutcome::Conflict(value(version, bytes))),
+            _ => Err(Error::Unavailable("an answer without a version".into())),
         }
     }
 
--- a/crates/link/src/socket.rs
+++ b/crates/link/src/socket.rs
@@ -23,7 +23,7 @@
 /// If nobody listens there or nobody answers in time.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = timeout(CONNECT, TcpStream::connect(address)).await??;
-    watch_peer(&stream)?;
+    set_peer_options(&stream)?;
     Ok(stream)
 }
 
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// If the socket takes no such options.
-pub fn watch_peer(stream: &TcpStream) -> io::Result<()> {
+pub fn set_peer_options(stream: &TcpStream) -> io::Result<()> {
     watch(stream, KEEPALIVE)
 }
 
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// If the socket takes no such options.
-pub fn watch_link(stream: &TcpStream) -> io::Result<()> {
+pub fn set_link_options(stream: &TcpStream) -> io::Result<()> {
     watch(stream, LINK_KEEPALIVE)
 }
 
--- a/crates/link/tests/silent_peer.rs
+++ b/crates/link/tests/silent_peer.rs
@@ -4,15 +4,15 @@
 use socket2::SockRef;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
-use vanetally_link::socket::{watch_link, watch_peer};
+use vanetally_link::socket::{set_link_options, set_peer_options};
 
 /// The longest that sent bytes may wait for their acknowledgement.
 const NOTICED: Duration = Duration::from_secs(2);
 
 /// Loopback acknowledges whatever arrives, so that no silence can be played on it: the options are read back.
 #[rstest]
-#[case::call(watch_peer, 2)]
-#[case::link(watch_link, 10)]
+#[case::call(set_peer_options, 2)]
+#[case::link(set_link_options, 10)]
 #[tokio::test]
 async fn options_set(
     #[case] watch: fn(&TcpStream) -> std::io::Result<()>,
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -22,7 +22,7 @@
 };
 use vanetally_ledger::{Op, Order, Refusal, Report};
 use vanetally_link::{
-    call::{self, Call, Caller},
+    call::{self, Call, Client},
     http::{self, Exchange, Reply, Server, Stopper},
 };
 use vanetally_types::Name;
@@ -88,7 +88,7 @@
     counts: Mutex<Counts>,
     kept: Mutex<BTreeMap<String, Kept>>,
     lagging: Mutex<(Instant, Report)>,
-    caller: Caller,
+    caller: Client,
     incarnation: AtomicU64,
     started: Instant,
 }
@@ -117,8 +117,10 @@
         let speed = Speed { slots: options.slots, token: options.token, prefill: PREFILL };
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?;
         let incarnation = unix.as_millis() as u64;
-        let caller =
-            Caller::new(call::Options { connect: Duration::from_secs(1), silence: LONGEST_LOAD });
+        let caller = Client::new(call::Options {
+            connect_timeout: Duration::from_secs(1),
+            idle_timeout: LONGEST_LOAD,
+        });
         let memory = Memory::new(options.capacity, options.fenced, incarnation);
         let engine = Arc::new(Self {
             lagging: Mutex::new((Instant::now(), memory.report().clone())),
@@ -134,7 +136,7 @@
         });
         let server = Server::try_bind(address)?;
         let address = server.address();
-        let bounds = http::Options { most: 4_000, ..http::Options::default() };
+        let bounds = http::Options { max_exchanges: 4_000, ..http::Options::default() };
         let stopper = server.serve("engine", bounds, move |e| Self::serve(&engine, e));
         Ok((address, stopper))
     }
@@ -245,7 +247,7 @@
                     url: format!("{store}/load?ms={}", span.as_millis()),
                     headers: Vec::new(),
                     body: Vec::new(),
-                    within: LONGEST_LOAD,
+                    timeout: LONGEST_LOAD,
                 };
                 if let Err(e) = self.caller.send(&call) {
                     log::warn!("event=load-unaided entry={entry} error=\"{e}\"");
--- a/src/tool/catalog.rs
+++ b/src/tool/catalog.rs
@@ -5,9 +5,9 @@
 use std::{path::Path, sync::Arc, thread, time::Duration};
 use vanetally_config::{
     Catalog, Revision, check, diff, jsonc,
-    publish::{Event, Head, Publish, Step},
+    publish::{Event, Head, Publication, Step},
 };
-use vanetally_link::platform::{HttpPlatform, Platform, Put};
+use vanetally_link::platform::{HttpPlatform, Platform, PutOutcome};
 
 /// The key that holds the present revision.
 const HEAD: &str = "config/head";
@@ -46,7 +46,7 @@
     let usage = |what: &str| Error::Usage(format!("{what} is missing; see --help"));
     let url = args.platform.as_ref().ok_or_else(|| usage("--platform"))?;
     let credential = args.credential.as_ref().ok_or_else(|| usage("--credential"))?;
-    Ok(HttpPlatform::at(url, credential.as_str().into(), WITHIN))
+    Ok(HttpPlatform::new(url, credential.as_str().into(), WITHIN))
 }
 
 fn head(platform: &dyn Platform) -> anyhow::Result<Head> {
@@ -108,7 +108,7 @@
 fn publish(args: &Args, catalog: Catalog, floor: u64) -> Result<(), Error> {
     let platform = platform(args)?;
     let change = args.change.clone().unwrap_or_else(random_name);
-    let mut publish = Publish::new(change.as_str().into(), catalog.clone(), args.base, floor);
+    let mut publish = Publication::new(change.as_str().into(), catalog.clone(), args.base, floor);
     let mut step = publish.start();
     for _ in 0..TRIES {
         let event = match step {
@@ -126,7 +126,7 @@
                 println!("revision {number} says the same already");
                 return Ok(());
             }
-            Step::Beaten(present) => return Err(beaten(&present, &catalog)),
+            Step::Conflict(present) => return Err(beaten(&present, &catalog)),
         };
         step = publish.next(event);
     }
@@ -142,7 +142,7 @@
         Ok(head) => Event::Read(head),
         Err(e) => {
             eprintln!("vanetally: {e:#}; trying again");
-            Event::Lost
+            Event::NoAnswer
         }
     }
 }
@@ -150,12 +150,12 @@
 fn write(platform: &dyn Platform, base: u64, revision: &Revision) -> Result<Event, Error> {
     let bytes = serde_json::to_vec(revision).context("the revision can't be written")?;
     Ok(match platform.put(HEAD, base, &bytes) {
-        Ok(Put::Done(_)) => Event::Wrote,
-        Ok(Put::Refused(_)) => Event::Refused,
-        Err(vanetally_link::platform::Error::Denied(text)) => return Err(anyhow!(text).into()),
+        Ok(PutOutcome::Written(_)) => Event::Written,
+        Ok(PutOutcome::Conflict(_)) => Event::Conflict,
+        Err(vanetally_link::platform::Error::Rejected(text)) => return Err(anyhow!(text).into()),
         Err(e) => {
             eprintln!("vanetally: {e}; looking whether the change took effect");
-            Event::Lost
+            Event::NoAnswer
         }
     })
 }
--- a/src/tool/demo.rs
+++ b/src/tool/demo.rs
@@ -11,8 +11,8 @@
 use vanetally_config::{Catalog, Revision, Settings, check};
 use vanetally_daemon::{Daemon, token_hash};
 use vanetally_link::{
-    call::{Call, Caller, Options},
-    platform::{HttpPlatform, Platform as _, Put},
+    call::{Call, Client, Options},
+    platform::{HttpPlatform, Platform as _, PutOutcome},
 };
 use vanetally_standin::{
     engine::{self, Engine},
@@ -97,9 +97,9 @@
         catalog: catalog.clone(),
     };
     let client =
-        HttpPlatform::at(&format!("http://{platform}"), CREDENTIAL.into(), Duration::from_secs(5));
+        HttpPlatform::new(&format!("http://{platform}"), CREDENTIAL.into(), Duration::from_secs(5));
     let put = client.put("config/head", 0, &serde_json::to_vec(&revision)?)?;
-    anyhow::ensure!(matches!(put, Put::Done(_)), "the configuration was not taken");
+    anyhow::ensure!(matches!(put, PutOutcome::Written(_)), "the configuration was not taken");
     Ok(())
 }
 
@@ -128,15 +128,15 @@
         url: format!("http://{platform}/hosts"),
         headers: Vec::new(),
         body: serde_json::to_vec(&hosts)?,
-        within: READY_WITHIN,
+        timeout: READY_WITHIN,
     };
     caller.send(&call).context("list the hosts")?;
     let start = |s: Settings| Ok(Arc::new(Daemon::try_start(s)?));
     settings.into_iter().map(start).collect()
 }
 
-fn caller() -> Caller {
-    Caller::new(Options { connect: READY_WITHIN, silence: READY_WITHIN })
+fn caller() -> Client {
+    Client::new(Options { connect_timeout: READY_WITHIN, idle_timeout: READY_WITHIN })
 }
 
 /// Waits until each declared model answers through the first entry host.
@@ -151,7 +151,7 @@
                 url: format!("http://{}/v1/completions", daemons[0].addresses().0),
                 headers: vec![("Authorization".into(), format!("Bearer {TOKEN}"))],
                 body: body.to_string().into_bytes(),
-                within: READY_WITHIN,
+                timeout: READY_WITHIN,
             };
             if caller.send(&call).is_ok_and(|answer| answer.status == 200) {
                 break;
--- a/src/tool/state.rs
+++ b/src/tool/state.rs
@@ -7,20 +7,20 @@
     io::{Read, Write},
     time::Duration,
 };
-use vanetally_link::call::{Call, Caller, Options};
+use vanetally_link::call::{Call, Client, Options};
 
 const WITHIN: Duration = Duration::from_secs(5);
 const MOST: u64 = 64_000_000;
 
 /// Asks a daemon's operators' port.
 pub fn fetch(host: &str, path: &str) -> anyhow::Result<Value> {
-    let caller = Caller::new(Options { connect: WITHIN, silence: WITHIN });
+    let caller = Client::new(Options { connect_timeout: WITHIN, idle_timeout: WITHIN });
     let call = Call {
         method: "GET".into(),
         url: format!("http://{}{path}", host.trim_start_matches("http://").trim_end_matches('/')),
         headers: Vec::new(),
         body: Vec::new(),
-        within: WITHIN,
+        timeout: WITHIN,
     };
     let answer = caller.send(&call).with_context(|| format!("ask {host}"))?;
     let mut bytes = Vec::new();
--- a/src/vanetallyd.rs
+++ b/src/vanetallyd.rs
@@ -106,7 +106,7 @@
         settings::at(&path)?;
         Job::Gateway(path.clone())
     } else {
-        Job::Daemon(Box::new(Settings::at(&path)?))
+        Job::Daemon(Box::new(Settings::from_path(&path)?))
     };
     if args.check {
         println!("{}: sound", path.display());
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -14,7 +14,7 @@
     thread,
     time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
-use vanetally_link::call::{Call, Caller, Error, Options};
+use vanetally_link::call::{Call, Client, Error, Options};
 
 pub const CREDENTIAL: &str = "test-credential";
 pub const TOKEN: &str = "desk-token";
@@ -82,8 +82,8 @@
     }
 }
 
-pub fn caller() -> Caller {
-    Caller::new(Options { connect: Duration::from_secs(2), silence: PATIENCE })
+pub fn caller() -> Client {
+    Client::new(Options { connect_timeout: Duration::from_secs(2), idle_timeout: PATIENCE })
 }
 
 pub fn try_call(
@@ -97,13 +97,13 @@
         url: url.into(),
         headers: headers.iter().map(|(n, v)| (n.to_string(), v.to_string())).collect(),
         body: body.to_vec(),
-        within: PATIENCE,
+        timeout: PATIENCE,
     };
     let mut answer = caller().send(&call)?;
     let mut text = Vec::new();
     answer.body.read_to_end(&mut text).map_err(|e| Error {
         verdict: vanetally_types::Verdict::MayHaveRun,
-        dead: false,
+        unreachable: false,
         message: e.to_string(),
     })?;
     let body = String::from_utf8_lossy(&text).into_owned();
