--- a/crates/config/src/catalog.rs
+++ b/crates/config/src/catalog.rs
@@ -1,78 +1,79 @@
-//! The operators' configuration: declared things with labels, and selectors over the labels.
+//! The operators' catalog: declared objects with labels, and rules that select objects by label.
 
 use crate::{Millis, Size};
 use serde::{Deserialize, Serialize};
 use vanetally_types::{Labels, Name, Selector};
 
-/// A catalog as it stands in the platform's service.
+/// One revision of the catalog, as stored in the platform's key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Revision {
-    /// Grows by one with each accepted change; 0 means none yet.
+    /// Increases with each accepted change; 0 means that there is no revision yet.
     pub number: u64,
-    /// Names the change, so that a writer knows its own.
+    /// Id of the change, by which a writer recognises its own write.
     pub change: Name,
-    /// The changes before it, newest first, at most [`MAX_EARLIER`].
+    /// Ids of the preceding changes, newest first, at most [`MAX_EARLIER`].
     #[serde(default)]
     pub earlier: Vec<Name>,
-    /// The catalog of this revision.
+    /// The catalog itself.
     pub catalog: Catalog,
 }
 
-/// How many earlier changes a revision names.
+/// Maximum number of preceding changes that a revision lists.
 pub const MAX_EARLIER: usize = 32;
 
-/// Everything that operators declare.
+/// All objects and rules that operators declare.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Catalog {
-    /// Who may call.
+    /// Clients that may send requests.
     pub callers: Vec<Caller>,
-    /// Models with their versions.
+    /// Models and their versions.
     pub models: Vec<Model>,
-    /// Adapters on model versions.
+    /// Adapters of model versions.
     pub adapters: Vec<Adapter>,
     /// Model engines.
     pub runners: Vec<Runner>,
-    /// Plain services.
+    /// Services that are not model engines.
     pub services: Vec<Service>,
-    /// Labels of our own hosts.
+    /// Labels of the hosts that run the daemon.
     pub hosts: Vec<HostLabels>,
-    /// Which callers may reach which targets; nobody may unless a rule says so.
+    /// Which callers may reach which targets; without a matching rule a request is denied.
     pub admit: Vec<Admit>,
-    /// Where models may live; anywhere when there are no rules.
+    /// Which runners may hold which models; any runner if there are no rules.
     pub place: Vec<Place>,
-    /// Kinds of requests, by the labels of caller and target; the first match counts.
+    /// Request classes by the labels of caller and target; the first match applies.
     pub classes: Vec<Class>,
-    /// Which class yields to which.
+    /// Priorities between classes.
     pub yields: Vec<Yield>,
-    /// Targets whose requests run at most once and need an id.
+    /// Targets whose requests run at most once and must carry an idempotency key.
     pub once: Vec<Selector>,
-    /// How fast models can be loaded.
+    /// Load limits of the weight store.
     pub store: Store,
-    /// Expected requests within deadline that a move must gain to be worth it.
+    /// Cost of each load or unload, in requests expected to meet their deadline; a move must gain
+    /// more than it costs.
     pub move_price: u32,
 }
 
-/// Somebody who may call, known by a token.
+/// A client, identified by its bearer token.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Caller {
-    /// Name, used in logs and shares.
+    /// Name in logs; queueing is fair between callers.
     pub name: Name,
-    /// SHA-256 of the bearer token, in hex.
+    /// SHA-256 of the bearer token, hex-encoded.
     pub token_sha256: Name,
     /// Labels for selectors.
     #[serde(default)]
     pub labels: Labels,
 }
 
-/// A model with its versions, oldest first; requests for the model go to the newest resident.
+/// A model; requests that name no version go to the newest resident one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Name as callers write it.
+    /// Name in requests.
     pub name: Name,
-    /// Declared versions, oldest first.
+    /// Versions, oldest first.
     pub versions: Vec<Version>,
     /// Labels for selectors.
     #[serde(default)]
@@ -83,44 +84,44 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Version {
-    /// Name of the version; callers may write `MODEL@VERSION`.
+    /// Name of the version; callers select it as `MODEL@VERSION`.
     pub name: Name,
-    /// Memory for weights and the KV cache kept for them.
+    /// Memory for the weights and the KV cache reserved with them.
     pub size: Size,
 }
 
-/// An adapter, resident beside its base.
+/// An adapter, loaded on a runner together with its base.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adapter {
-    /// Name as callers write it.
+    /// Name in requests.
     pub name: Name,
-    /// The model version that it adapts, `MODEL@VERSION`.
+    /// The adapted model version, `MODEL@VERSION`.
     pub base: Name,
-    /// Memory that it takes.
+    /// Memory for the adapter.
     pub size: Size,
     /// Labels for selectors.
     #[serde(default)]
     pub labels: Labels,
 }
 
-/// A model engine on its accelerators.
+/// A model engine and its accelerators.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Runner {
-    /// Name, unique among upstreams.
+    /// Name, unique among all upstreams.
     pub name: Name,
-    /// Base address, `http://IP:PORT`.
+    /// Base URL, `http://IP:PORT`.
     pub url: Name,
     /// Failure domain.
     pub domain: Name,
-    /// Memory for entries.
+    /// Memory for models and adapters.
     pub capacity: Size,
-    /// Requests that it runs at full speed at once.
+    /// Number of requests that run in parallel at full speed.
     pub slots: u32,
-    /// Whether it checks who gives it an order (epoch and sequence).
+    /// Whether it rejects orders with an outdated epoch or sequence number.
     pub fenced: bool,
-    /// For a runner that does not check: no order is alive longer than this. None: no bound.
+    /// For an unfenced runner: maximum time from sending an order to its effect. `None`: unbounded.
     #[serde(default)]
     pub order_life: Option<Millis>,
     /// Labels for selectors; `leaving=yes` takes it out of use.
@@ -128,94 +129,94 @@
     pub labels: Labels,
 }
 
-/// A plain service with its instances.
+/// A service that is not a model engine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Name as callers write it in the path.
+    /// Name in the path of requests, `/services/NAME`.
     pub name: Name,
-    /// Where it runs.
+    /// Upstreams that serve it.
     pub instances: Vec<Instance>,
     /// Labels for selectors.
     #[serde(default)]
     pub labels: Labels,
 }
 
-/// One instance of a plain service.
+/// One instance of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Instance {
-    /// Name, unique among upstreams.
+    /// Name, unique among all upstreams.
     pub name: Name,
-    /// Base address, `http://IP:PORT`.
+    /// Base URL, `http://IP:PORT`.
     pub url: Name,
     /// Failure domain.
     pub domain: Name,
-    /// Requests at once.
+    /// Maximum number of parallel requests.
     pub slots: u32,
-    /// `leaving=yes` takes it out of use.
+    /// Labels; `leaving=yes` takes it out of use.
     #[serde(default)]
     pub labels: Labels,
 }
 
-/// Labels of one of our hosts; `gone=yes` states that it has been destroyed.
+/// Labels of a host; `gone=yes` states that it has been destroyed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostLabels {
     /// The host's name in the platform's list.
     pub name: Name,
-    /// Its labels.
+    /// Labels for selectors.
     #[serde(default)]
     pub labels: Labels,
 }
 
-/// Callers that may reach targets.
+/// A rule that lets callers reach targets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Admit {
-    /// Over the callers' labels.
+    /// Selector over the callers' labels.
     pub callers: Selector,
-    /// Over the labels of models, adapters and services.
+    /// Selector over the labels of models, adapters and services.
     pub targets: Selector,
 }
 
-/// Models that may live on runners.
+/// A rule that lets models be loaded on runners.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Place {
-    /// Over the models' labels.
+    /// Selector over the models' labels.
     pub models: Selector,
-    /// Over the runners' labels.
+    /// Selector over the runners' labels.
     pub runners: Selector,
 }
 
-/// A kind of requests.
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Name used in `yields`, logs and metrics.
+    /// Name in `yields`, logs and metrics.
     pub name: Name,
-    /// Over the labels of the caller and the target together.
+    /// Selector over the merged labels of caller and target.
     pub select: Selector,
 }
 
-/// One class yields to another.
+/// A priority rule between two classes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Yield {
     /// The class that waits.
     pub low: Name,
-    /// The class that goes first.
+    /// The class that is served first.
     pub high: Name,
 }
 
-/// The weight store's limits.
+/// Load limits of the weight store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
-    /// Loads started in 10 seconds.
+    /// Maximum number of loads started in 10 seconds.
     pub loads_per_10s: u32,
-    /// Loads at once.
+    /// Maximum number of parallel loads.
     pub slots: u32,
 }
 
@@ -225,23 +226,23 @@
     }
 }
 
-/// What a caller can ask for.
+/// A model, adapter or service that a request can address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// Model, adapter or service name: the unit of queueing and demand.
+    /// Name, by which requests are queued and demand is counted.
     pub name: Name,
-    /// Entries that can serve it, preferred first; empty for a service.
+    /// Ids of the entries that can serve it, preferred first; empty for a service.
     pub entries: Vec<Name>,
-    /// Labels that selectors look at.
+    /// Labels for selectors.
     pub labels: Labels,
 }
 
-/// Something that takes memory on a runner.
+/// A model version or adapter that a runner can load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     /// `MODEL@VERSION`, or an adapter's name.
     pub id: Name,
-    /// The entry that must be resident beside it.
+    /// Id of the entry that must be resident on the same runner.
     pub base: Option<Name>,
     /// Memory in bytes.
     pub size: u64,
@@ -249,12 +250,12 @@
     pub labels: Labels,
 }
 
-/// The id of a model version as an entry.
+/// Returns the entry id of a model version.
 pub fn entry_id(model: &str, version: &str) -> Name {
     format!("{model}@{version}").into()
 }
 
-/// Whether `labels` say that an upstream is leaving.
+/// Whether `labels` mark an upstream as leaving.
 pub fn is_leaving(labels: &Labels) -> bool {
     labels.get("leaving").is_some_and(|v| &**v == "yes")
 }
@@ -267,12 +268,12 @@
 }
 
 impl Catalog {
-    /// All entries: versions of models, then adapters.
+    /// Returns all entries: model versions, then adapters.
     pub fn entries(&self) -> Vec<Entry> {
-        let mut all = Vec::new();
+        let mut entries = Vec::new();
         for model in &self.models {
             for version in &model.versions {
-                all.push(Entry {
+                entries.push(Entry {
                     id: entry_id(&model.name, &version.name),
                     base: None,
                     size: version.size.0,
@@ -281,17 +282,17 @@
             }
         }
         for adapter in &self.adapters {
-            all.push(Entry {
+            entries.push(Entry {
                 id: adapter.name.clone(),
                 base: Some(adapter.base.clone()),
                 size: adapter.size.0,
                 labels: adapter.labels.clone(),
             });
         }
-        all
+        entries
     }
 
-    /// The model or adapter that `name` means; `MODEL@VERSION` means just that version.
+    /// Returns the model or adapter called `name`; `MODEL@VERSION` selects that version only.
     pub fn model_target(&self, name: &str) -> Option<Target> {
         if let Some((model, version)) = name.split_once('@') {
             let model = self.models.iter().find(|m| &*m.name == model)?;
@@ -308,7 +309,7 @@
         Some(Target { name: adapter.name.clone(), entries, labels: adapter.labels.clone() })
     }
 
-    /// The service that `name` means.
+    /// Returns the service called `name`.
     pub fn service_target(&self, name: &str) -> Option<Target> {
         let service = self.services.iter().find(|s| &*s.name == name)?;
         let name = service.name.clone();
@@ -320,10 +321,10 @@
         self.admit.iter().any(|a| a.callers.matches(caller) && a.targets.matches(target))
     }
 
-    /// Whether an entry with labels `entry` may live on a runner with labels `runner`.
+    /// Whether an entry with labels `entry` may be loaded on a runner with labels `runner`.
     pub fn allows_placement(&self, entry: &Labels, runner: &Labels) -> bool {
-        let matches = |p: &Place| p.models.matches(entry) && p.runners.matches(runner);
-        self.place.is_empty() || self.place.iter().any(matches)
+        let allows = |p: &Place| p.models.matches(entry) && p.runners.matches(runner);
+        self.place.is_empty() || self.place.iter().any(allows)
     }
 
     /// Whether requests for a target with `labels` run at most once.
@@ -331,21 +332,22 @@
         self.once.iter().any(|s| s.matches(labels))
     }
 
-    /// The class of a request: name and rank; a lower rank goes first.
+    /// Returns the name and rank of a request's class; lower ranks are served first.
     pub fn class_of(&self, caller: &Labels, target: &Labels) -> (Name, u8) {
-        let both = target.merged(caller);
-        match self.classes.iter().find(|c| c.select.matches(&both)) {
+        let merged = target.merged(caller);
+        match self.classes.iter().find(|c| c.select.matches(&merged)) {
             Some(class) => (class.name.clone(), self.rank(&class.name, 0)),
             None => ("default".into(), 0),
         }
     }
 
-    /// How many classes, one above the other, `class` yields to; `depth` bounds a cycle.
+    /// Length of the longest chain of classes that `class` yields to; `depth` bounds the recursion
+    /// if the rules have a cycle.
     fn rank(&self, class: &str, depth: u8) -> u8 {
         if usize::from(depth) > self.yields.len() {
             return depth;
         }
-        let above = self.yields.iter().filter(|y| &*y.low == class);
-        above.map(|y| 1 + self.rank(&y.high, depth + 1)).max().unwrap_or(0)
+        let rules = self.yields.iter().filter(|y| &*y.low == class);
+        rules.map(|y| 1 + self.rank(&y.high, depth + 1)).max().unwrap_or(0)
     }
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,13 +1,13 @@
-//! Checks of a catalog as a whole: names, references, sizes, addresses, cycles.
+//! Validation of a catalog: names, references, sizes, addresses and cycles.
 
 use crate::catalog::{Catalog, Entry};
 use std::collections::BTreeSet;
 use vanetally_types::Name;
 
-/// Largest catalog that the platform's service holds as one value, in bytes of JSON.
+/// Maximum size of a catalog as JSON; the platform stores it as a single value.
 pub const MAX_CATALOG_BYTES: usize = 1_000_000;
 
-/// All that is wrong with `catalog`, one line each; empty when it is sound.
+/// Returns one line for each fault in `catalog`; empty if it is valid.
 pub fn check(catalog: &Catalog) -> Vec<String> {
     let mut faults = Vec::new();
     check_names(catalog, &mut faults);
@@ -20,11 +20,15 @@
     faults
 }
 
-fn once_each<'a>(kind: &str, names: impl Iterator<Item = &'a Name>, faults: &mut Vec<String>) {
+fn check_unique_names<'a>(
+    kind: &str,
+    names: impl Iterator<Item = &'a Name>,
+    faults: &mut Vec<String>,
+) {
     let mut seen = BTreeSet::new();
     for name in names {
-        let good = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-        if name.is_empty() || !name.chars().all(good) {
+        let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+        if name.is_empty() || !name.chars().all(allowed) {
             faults.push(format!("{kind} `{name}`: use letters, digits, `-`, `_` and `.`"));
         }
         if !seen.insert(name) {
@@ -34,16 +38,16 @@
 }
 
 fn check_names(catalog: &Catalog, faults: &mut Vec<String>) {
-    once_each("caller", catalog.callers.iter().map(|c| &c.name), faults);
+    check_unique_names("caller", catalog.callers.iter().map(|c| &c.name), faults);
     let models = catalog.models.iter().map(|m| &m.name);
     let adapters = catalog.adapters.iter().map(|a| &a.name);
-    once_each("model or adapter", models.chain(adapters), faults);
-    once_each("service", catalog.services.iter().map(|s| &s.name), faults);
+    check_unique_names("model or adapter", models.chain(adapters), faults);
+    check_unique_names("service", catalog.services.iter().map(|s| &s.name), faults);
     let runners = catalog.runners.iter().map(|r| &r.name);
     let instances = catalog.services.iter().flat_map(|s| &s.instances).map(|i| &i.name);
-    once_each("upstream", runners.chain(instances), faults);
-    once_each("host", catalog.hosts.iter().map(|h| &h.name), faults);
-    once_each("class", catalog.classes.iter().map(|c| &c.name), faults);
+    check_unique_names("upstream", runners.chain(instances), faults);
+    check_unique_names("host", catalog.hosts.iter().map(|h| &h.name), faults);
+    check_unique_names("class", catalog.classes.iter().map(|c| &c.name), faults);
 }
 
 fn check_callers(catalog: &Catalog, faults: &mut Vec<String>) {
@@ -56,7 +60,7 @@
 }
 
 fn check_url(kind: &str, name: &str, url: &str, faults: &mut Vec<String>) {
-    let address = url.strip_prefix("http://").map(|rest| rest.trim_end_matches('/'));
+    let address = url.strip_prefix("http://").map(|a| a.trim_end_matches('/'));
     if address.is_none_or(|a| a.parse::<std::net::SocketAddr>().is_err()) {
         faults.push(format!("{kind} `{name}`: url `{url}` must be http://IP:PORT"));
     }
@@ -94,25 +98,25 @@
             faults.push(format!("model `{}`: has no version", model.name));
         }
         let names = model.versions.iter().map(|v| &v.name);
-        once_each(&format!("version of model `{}`", model.name), names, faults);
+        check_unique_names(&format!("version of model `{}`", model.name), names, faults);
     }
     let entries = catalog.entries();
     for entry in &entries {
         let base = entry.base.as_ref().map(|id| entries.iter().find(|e| e.id == *id));
         match base {
             Some(None) => faults.push(format!("adapter `{}`: its base is not declared", entry.id)),
-            Some(Some(base)) => check_fit(catalog, entry, base.size, faults),
-            None => check_fit(catalog, entry, 0, faults),
+            Some(Some(base)) => check_memory(catalog, entry, base.size, faults),
+            None => check_memory(catalog, entry, 0, faults),
         }
     }
 }
 
-fn check_fit(catalog: &Catalog, entry: &Entry, base: u64, faults: &mut Vec<String>) {
+fn check_memory(catalog: &Catalog, entry: &Entry, base_size: u64, faults: &mut Vec<String>) {
     if catalog.runners.is_empty() {
         return;
     }
     let fits = catalog.runners.iter().any(|r| {
-        catalog.allows_placement(&entry.labels, &r.labels) && entry.size + base <= r.capacity.0
+        catalog.allows_placement(&entry.labels, &r.labels) && entry.size + base_size <= r.capacity.0
     });
     if !fits {
         faults.push(format!("`{}`: no runner that may hold it has the memory", entry.id));
@@ -120,25 +124,25 @@
 }
 
 fn check_yields(catalog: &Catalog, faults: &mut Vec<String>) {
-    for y in &catalog.yields {
-        for name in [&y.low, &y.high] {
+    for rule in &catalog.yields {
+        for name in [&rule.low, &rule.high] {
             if !catalog.classes.iter().any(|c| c.name == *name) {
                 faults.push(format!("yields: class `{name}` is not declared"));
             }
         }
-        if reaches(catalog, &y.high, &y.low, catalog.yields.len()) {
-            faults.push(format!("yields: `{}` and `{}` yield to each other", y.low, y.high));
+        if yields_to(catalog, &rule.high, &rule.low, catalog.yields.len()) {
+            faults.push(format!("yields: `{}` and `{}` yield to each other", rule.low, rule.high));
         }
     }
 }
 
-/// Whether class `from` yields to class `to`, directly or over others.
-fn reaches(catalog: &Catalog, from: &str, to: &str, depth: usize) -> bool {
+/// Whether class `from` yields to class `to`, directly or through other classes.
+fn yields_to(catalog: &Catalog, from: &str, to: &str, depth: usize) -> bool {
     if from == to {
         return true;
     }
-    let above = catalog.yields.iter().filter(|y| &*y.low == from);
-    depth > 0 && above.into_iter().any(|y| reaches(catalog, &y.high, to, depth - 1))
+    let rules = catalog.yields.iter().filter(|y| &*y.low == from);
+    depth > 0 && rules.into_iter().any(|y| yields_to(catalog, &y.high, to, depth - 1))
 }
 
 fn check_size(catalog: &Catalog, faults: &mut Vec<String>) {
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,12 +1,12 @@
-//! What changes from one catalog to another, for operators to read.
+//! Human-readable differences between two catalogs.
 
 use crate::Catalog;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// One line per difference: `+ path value`, `- path value`.
+/// Returns a line for each difference: `- path value` if removed, `+ path value` if added.
 ///
-/// Elements of lists that have a name are compared by name, so that a new order is no change.
+/// List elements with a name are matched by name, so that reordering is no difference.
 pub fn diff(old: &Catalog, new: &Catalog) -> Vec<String> {
     let old = flatten(&serde_json::to_value(old).unwrap_or_default());
     let new = flatten(&serde_json::to_value(new).unwrap_or_default());
@@ -39,14 +39,14 @@
             }
         }
         Value::Array(list) => {
-            for (at, value) in list.iter().enumerate() {
-                let at = at.to_string();
-                let key = value.get("name").and_then(Value::as_str).unwrap_or(&at);
+            for (index, value) in list.iter().enumerate() {
+                let index = index.to_string();
+                let key = value.get("name").and_then(Value::as_str).unwrap_or(&index);
                 walk(value, join(&path, key), flat);
             }
         }
-        other => {
-            flat.insert(path, other.to_string());
+        scalar => {
+            flat.insert(path, scalar.to_string());
         }
     }
 }
--- a/crates/config/src/jsonc.rs
+++ b/crates/config/src/jsonc.rs
@@ -1,36 +1,36 @@
-//! JSON with comments, read into typed values.
+//! Deserialization of JSON with comments.
 
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// Why a text could not be read.
+/// An error from reading a file or text.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file could not be opened or is not UTF-8.
     #[error("{file}: {source}")]
     File {
-        /// The file as it was named.
+        /// The file's path as given.
         file: String,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The text is no JSON, or a value has the wrong shape.
+    /// The text is not JSON, or a value has the wrong type.
     #[error("{file}:{line}:{column}: at `{key}`: {message}")]
     Value {
-        /// The file, or what stands for it.
+        /// The file's path, or a name for the text.
         file: String,
-        /// Line, from 1.
+        /// Line, counted from 1.
         line: usize,
-        /// Column, from 1.
+        /// Column, counted from 1.
         column: usize,
-        /// The path of keys to the value, `.` for the whole.
+        /// Path of keys to the value; `.` is the whole document.
         key: String,
-        /// What is wrong.
+        /// Description of the error.
         message: String,
     },
 }
 
-/// Reads `text`; `file` is named in errors.
+/// Deserializes `text`; errors name `file` as its origin.
 pub fn from_str<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, Error> {
     let stripped = json_comments::StripComments::new(text.as_bytes());
     let mut reader = serde_json::Deserializer::from_reader(stripped);
@@ -42,7 +42,7 @@
     Ok(value)
 }
 
-/// Reads the file at `path`.
+/// Deserializes the file at `path`.
 pub fn from_path<T: DeserializeOwned>(path: &Path) -> Result<T, Error> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path)
@@ -52,6 +52,7 @@
 
 fn value_error(file: &str, key: String, e: &serde_json::Error) -> Error {
     let text = e.to_string();
+    // Drops the position, which the fields hold.
     let message = text.split(" at line ").next().unwrap_or(&text).to_owned();
     Error::Value { file: file.to_owned(), line: e.line(), column: e.column(), key, message }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,24 +1,24 @@
-//! What is configured: the settings of one process and the operators' catalog.
+//! Configuration: the settings of one process and the operators' catalog.
 //!
-//! Both are JSON with comments. Settings come from a file beside the process; the catalog is
-//! written through the command-line tool and kept by the platform's key-value service.
+//! Both are JSON with comments. Settings are read from a local file; operators write the catalog
+//! with the command-line tool, and the platform's key-value service stores it.
 #![deny(missing_docs, unsafe_code)]
 
-/// The operators' configuration: what is declared and the selectors over it.
+/// The operators' catalog: declared objects and the rules over them.
 pub mod catalog;
-/// Checks that a catalog is sound.
+/// Validation of a catalog.
 pub mod check;
-/// The difference between two catalogs.
+/// Differences between two catalogs.
 pub mod diff;
-/// Reading JSON with comments, with errors that name file, line and key.
+/// Deserialization of JSON with comments; errors name file, line and key.
 pub mod jsonc;
-/// Putting a new catalog in place of the present one.
+/// Replacement of the stored catalog.
 pub mod publish;
 /// The settings of one process.
 pub mod settings;
-/// Which revision of the catalog a process follows.
+/// Selection of the catalog revision that a process follows.
 pub mod tracker;
-/// Durations and sizes with their units.
+/// Durations and sizes with units.
 pub mod unit;
 
 pub use catalog::{Catalog, Revision};
--- a/crates/config/src/publish.rs
+++ b/crates/config/src/publish.rs
@@ -1,81 +1,81 @@
-//! Putting a new catalog in place of the present one, by compare-and-swap.
+//! Replacement of the stored catalog by compare-and-swap.
 //!
-//! A state machine, so that the tool and the model check drive the same steps. Whatever answers
-//! are lost, the writer ends up knowing whether its change took effect.
+//! It is a state machine that both the command-line tool and the model checker drive. The writer
+//! learns whether its change took effect even if answers are lost.
 
 use crate::{Catalog, Revision, catalog::MAX_EARLIER};
 use std::sync::Arc;
 use vanetally_types::Name;
 
-/// The head as the platform holds it.
+/// The newest revision stored by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Head {
-    /// The platform's version; 0 when there is none.
+    /// Version of the stored value; 0 if there is none.
     pub version: u64,
-    /// The revision; number 0 when there is none.
+    /// The revision; its number is 0 if there is none.
     pub revision: Arc<Revision>,
 }
 
-/// What happens to a publication.
+/// An input to a publication.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// The head was read.
     Read(Head),
     /// The write took effect.
     Written,
-    /// The write had no effect.
+    /// The write had no effect: the head had another version.
     Conflict,
     /// The platform did not answer.
     NoAnswer,
 }
 
-/// What the writer is to do next.
+/// The next action of the writer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
     /// Read the head.
     Read,
     /// Write by compare-and-swap on `base`.
     Write {
-        /// The version to replace.
+        /// Version to replace.
         base: u64,
-        /// The revision to write.
+        /// Revision to write.
         revision: Arc<Revision>,
     },
     /// The platform did not answer: wait, then read the head.
     Wait,
     /// The change is in effect under this number.
     Applied(u64),
-    /// The present catalog says the same already.
+    /// The stored catalog, of this number, is already the same.
     Unchanged(u64),
-    /// Somebody else changed the head first; this change had no effect.
+    /// Another writer replaced the head first, by this revision; this change had no effect.
     Conflict(Arc<Revision>),
 }
 
-/// One attempt to publish a catalog.
+/// The publication of one catalog.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Publication {
     change: Name,
     catalog: Catalog,
-    /// The number that the operator looked at; `None` for whatever is read first.
+    /// Number of the revision that the operator has seen; `None` accepts any.
     base: Option<u64>,
-    /// Numbers must exceed this one, which hosts are known to follow.
+    /// Lower bound of the new number: hosts are known to follow this revision.
     floor: u64,
-    /// The write that may have taken effect.
+    /// The write that may have taken effect, with its base version.
     sent: Option<(u64, Arc<Revision>)>,
 }
 
 impl Publication {
-    /// A change named `change` on top of the revision `base`, numbered above `floor`.
+    /// Creates a publication of `change` on top of the revision `base`, numbered above `floor`.
     pub fn new(change: Name, catalog: Catalog, base: Option<u64>, floor: u64) -> Self {
         Self { change, catalog, base, floor, sent: None }
     }
 
-    /// The first step.
+    /// Returns the first step.
     pub fn start(&self) -> Step {
         Step::Read
     }
 
-    /// What follows from `event`.
+    /// Handles `event` and returns the next step.
     pub fn next(&mut self, event: Event) -> Step {
         match event {
             Event::Read(head) => self.read(&head),
@@ -89,36 +89,36 @@
     }
 
     fn read(&mut self, head: &Head) -> Step {
-        let present = &head.revision;
-        if present.change == self.change || present.earlier.contains(&self.change) {
-            let number = self.sent.as_ref().map_or(present.number, |(_, r)| r.number);
+        let current = &head.revision;
+        if current.change == self.change || current.earlier.contains(&self.change) {
+            let number = self.sent.as_ref().map_or(current.number, |(_, r)| r.number);
             return Step::Applied(number);
         }
         if let Some((base, revision)) = &self.sent {
-            // The same write again: it has no effect if the first one had.
+            // Repeating the same write is safe: its base is outdated if the first one took effect.
             return match *base == head.version {
                 true => Step::Write { base: *base, revision: revision.clone() },
-                false => Step::Conflict(present.clone()),
+                false => Step::Conflict(current.clone()),
             };
         }
-        if self.base.is_some_and(|b| b != present.number) {
-            return Step::Conflict(present.clone());
+        if self.base.is_some_and(|b| b != current.number) {
+            return Step::Conflict(current.clone());
         }
-        if present.catalog == self.catalog && present.number >= self.floor.max(1) {
-            return Step::Unchanged(present.number);
+        if current.catalog == self.catalog && current.number >= self.floor.max(1) {
+            return Step::Unchanged(current.number);
         }
-        let revision = Arc::new(self.revision_after(present));
+        let revision = Arc::new(self.revision_after(current));
         self.sent = Some((head.version, revision.clone()));
         Step::Write { base: head.version, revision }
     }
 
-    fn revision_after(&self, present: &Revision) -> Revision {
-        let mut earlier = vec![present.change.clone()];
-        earlier.extend(present.earlier.iter().cloned());
+    fn revision_after(&self, current: &Revision) -> Revision {
+        let mut earlier = vec![current.change.clone()];
+        earlier.extend(current.earlier.iter().cloned());
         earlier.retain(|change| !change.is_empty());
         earlier.truncate(MAX_EARLIER);
         Revision {
-            number: present.number.max(self.floor) + 1,
+            number: current.number.max(self.floor) + 1,
             change: self.change.clone(),
             earlier,
             catalog: self.catalog.clone(),
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,49 +1,49 @@
-//! The settings of one daemon: its addresses, its failure domain, its limits.
+//! Settings of one daemon: addresses, failure domain, limits and timing.
 
 use crate::{Millis, Size, jsonc};
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, path::Path};
 use vanetally_types::Name;
 
-/// What a daemon needs to know before it can reach the platform.
+/// Settings that a daemon reads at its start, before it contacts the platform.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The host's name, as in the platform's list.
+    /// The host's name in the platform's list.
     pub host: Name,
     /// The host's failure domain.
     pub domain: Name,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub listen: SocketAddr,
-    /// Where operators and the balancer's health checks connect.
+    /// Listen address for operators and the load balancer's health checks.
     pub admin: SocketAddr,
-    /// Where other daemons connect.
+    /// Listen address for other daemons.
     pub peer: SocketAddr,
-    /// Base address of the platform's service, `http://IP:PORT`.
+    /// Base URL of the platform's service, `http://IP:PORT`.
     pub platform: String,
-    /// The credential shown to the platform.
+    /// Credential for the platform's service.
     pub credential: Name,
-    /// The key that all daemons share; at least 16 characters.
+    /// Key shared by all daemons; at least 16 characters.
     pub link_key: Name,
-    /// Limits on what callers may take.
+    /// Limits for callers' requests.
     #[serde(default)]
     pub limits: Limits,
-    /// Periods and time-outs.
+    /// Intervals and timeouts.
     #[serde(default)]
     pub timing: Timing,
 }
 
-/// Bounds on callers' requests.
+/// Limits for callers' requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Largest request body.
+    /// Maximum size of a request body.
     pub body: Size,
-    /// Most requests at once, streams included.
+    /// Maximum number of parallel requests, including streams.
     pub streams: usize,
-    /// Most requests waiting for a replica.
+    /// Maximum number of requests waiting for a replica.
     pub queue: usize,
-    /// Largest answer kept for repeats of a once-only request.
+    /// Maximum size of an answer that is stored for repeats of an at-most-once request.
     pub kept: Size,
 }
 
@@ -53,27 +53,27 @@
     }
 }
 
-/// Periods and time-outs.
+/// Intervals and timeouts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
-    /// Between two polls of a runner.
+    /// Interval between polls of a runner.
     pub poll: Millis,
-    /// Between two pings of a peer.
+    /// Interval between pings of a peer.
     pub ping: Millis,
-    /// Without word from a peer for this long, it is suspected.
+    /// Time without a message after which a peer is suspected.
     pub suspect: Millis,
-    /// The deadline of a request that names none.
+    /// Default deadline of a request, from its arrival.
     pub deadline: Millis,
-    /// The latest deadline that a request may name, and how long a once-only id is remembered.
+    /// Maximum deadline of a request, from its arrival; idempotency keys are stored as long.
     pub horizon: Millis,
-    /// To connect to an upstream.
+    /// Timeout for connecting to an upstream.
     pub connect: Millis,
-    /// Longest silence of an upstream within an answer.
+    /// Maximum time between two pieces of an upstream's answer.
     pub silence: Millis,
-    /// For one call of the platform's service.
+    /// Timeout of one call to the platform's service.
     pub platform: Millis,
-    /// How long a planned stop waits for requests in flight.
+    /// Maximum time that a planned stop waits for requests in flight.
     pub stop: Millis,
 }
 
@@ -93,31 +93,31 @@
     }
 }
 
-/// Why settings are refused.
+/// An error from reading settings.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The file can't be read or a value has the wrong shape.
+    /// The file can't be read or a value has the wrong type.
     #[error(transparent)]
     Read(#[from] jsonc::Error),
-    /// A value has the right shape and makes no sense.
+    /// A value is out of range or inconsistent with another one.
     #[error("{file}: at `{key}`: {message}")]
     Value {
-        /// The file as it was named.
+        /// The file's path as given.
         file: String,
-        /// The key of the value.
+        /// Key of the value.
         key: &'static str,
-        /// What is wrong with it.
+        /// Description of the error.
         message: &'static str,
     },
 }
 
-const LEAST_KEY: usize = 16;
+const MIN_KEY_LEN: usize = 16;
 
 impl Settings {
-    /// Reads and checks the settings in the file at `path`.
+    /// Reads and validates the settings in the file at `path`.
     pub fn from_path(path: &Path) -> Result<Self, Error> {
         let settings: Self = jsonc::from_path(path)?;
-        match settings.fault() {
+        match settings.first_fault() {
             None => Ok(settings),
             Some((key, message)) => {
                 Err(Error::Value { file: path.display().to_string(), key, message })
@@ -125,14 +125,14 @@
         }
     }
 
-    /// The first value that makes no sense, with what is wrong.
-    fn fault(&self) -> Option<(&'static str, &'static str)> {
+    /// Returns the key of the first invalid value and a description of the error.
+    fn first_fault(&self) -> Option<(&'static str, &'static str)> {
         let t = &self.timing;
         let faults = [
             (self.host.is_empty(), "host", "must not be empty"),
             (self.domain.is_empty(), "domain", "must not be empty"),
             (!self.platform.starts_with("http://"), "platform", "must start with http://"),
-            (self.link_key.len() < LEAST_KEY, "link_key", "must have at least 16 characters"),
+            (self.link_key.len() < MIN_KEY_LEN, "link_key", "must have at least 16 characters"),
             (self.limits.streams == 0, "limits.streams", "must be at least 1"),
             (self.limits.body.0 == 0, "limits.body", "must be at least 1B"),
             (t.poll.0 == 0, "timing.poll", "must be at least 1ms"),
--- a/crates/config/src/tracker.rs
+++ b/crates/config/src/tracker.rs
@@ -1,10 +1,10 @@
-//! Which revision a process follows: only checked ones, only newer ones.
+//! Selection of the catalog revision that a process follows: only valid and newer ones.
 
 use crate::{Revision, check::check};
 use std::sync::Arc;
 use vanetally_types::Name;
 
-/// Where a revision came from.
+/// Origin of a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Source {
@@ -14,30 +14,30 @@
     Peer,
 }
 
-/// What became of an offered revision.
+/// Result of offering a revision.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// It is in force from now on.
+    /// It is now in force.
     Accepted,
-    /// It was in force already.
+    /// It is already in force.
     Unchanged,
-    /// It is older than the one in force, or another change under the same number.
+    /// It is older than the one in force, or a different change with the same number.
     Stale {
-        /// The number that was offered.
+        /// Number of the offered revision.
         offered: u64,
-        /// The number that stays in force.
+        /// Number of the revision in force.
         current: u64,
     },
-    /// It fails its check; the one in force stays.
+    /// It is invalid for these reasons; the one in force stays.
     Invalid(Vec<String>),
 }
 
-/// Guards that the model check switches off one at a time to see that it notices.
+/// Checks that the model checker disables one at a time, to verify that it detects their absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// Only a newer revision replaces the one in force.
+    /// A revision must be newer than the one in force.
     pub newer: bool,
-    /// Only a revision that passes its check is taken.
+    /// A revision must pass validation.
     pub valid: bool,
 }
 
@@ -53,40 +53,40 @@
     guards: Guards,
     current: Arc<Revision>,
     source: Option<Source>,
-    behind: bool,
+    platform_behind: bool,
 }
 
 impl RevisionTracker {
-    /// A keeper with some guards off, for the model check.
+    /// Creates a tracker with some guards disabled, for the model checker.
     pub fn with_guards(guards: Guards) -> Self {
         Self { guards, ..Self::default() }
     }
 
-    /// The revision in force; number 0 when there is none yet.
+    /// Returns the revision in force; its number is 0 if there is none yet.
     pub fn current(&self) -> &Arc<Revision> {
         &self.current
     }
 
-    /// Number and change in force, to tell peers.
+    /// Returns the number and change id of the revision in force, for announcing to peers.
     pub fn head(&self) -> (u64, Name) {
         (self.current.number, self.current.change.clone())
     }
 
-    /// Where the revision in force came from.
+    /// Returns the origin of the revision in force.
     pub fn source(&self) -> Option<Source> {
         self.source
     }
 
-    /// Whether the platform last showed an older or a conflicting revision.
+    /// Whether the last revision read from the platform was older or conflicting.
     pub fn platform_behind(&self) -> bool {
-        self.behind
+        self.platform_behind
     }
 
-    /// Takes `offered` if it is sound and newer than the one in force.
+    /// Puts `offered` in force if it is valid and newer than the current one.
     pub fn offer(&mut self, offered: Arc<Revision>, source: Source) -> Outcome {
-        let outcome = self.judge(&offered);
+        let outcome = self.evaluate(&offered);
         if source == Source::Platform {
-            self.behind = matches!(outcome, Outcome::Stale { .. });
+            self.platform_behind = matches!(outcome, Outcome::Stale { .. });
         }
         if outcome == Outcome::Accepted {
             self.current = offered;
@@ -95,7 +95,7 @@
         outcome
     }
 
-    fn judge(&self, offered: &Revision) -> Outcome {
+    fn evaluate(&self, offered: &Revision) -> Outcome {
         let current = self.current.number;
         if offered.number == current && offered.change == self.current.change {
             return Outcome::Unchanged;
--- a/crates/config/src/unit.rs
+++ b/crates/config/src/unit.rs
@@ -1,6 +1,6 @@
 //! Durations (`"500ms"`, `"2s"`, `"10m"`, `"1h"`) and sizes (`"64KB"`, `"14GiB"`) as text.
 //!
-//! A bare number is refused, so that a unit can't be mistaken.
+//! A number without a unit is rejected, because its unit would be ambiguous.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::{fmt, str::FromStr, time::Duration};
@@ -13,24 +13,24 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Size(pub u64);
 
-/// Why a text is no quantity.
+/// An error from parsing a duration or size.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The number is missing, not whole or too large.
+    /// The number is missing, not an integer or too large.
     #[error("`{0}`: expected a whole number followed by a unit")]
     Number(String),
-    /// The unit is none of those known.
+    /// The unit is unknown.
     #[error("`{text}`: unknown unit; use one of {known}")]
     Unit {
-        /// What was written.
+        /// The parsed text.
         text: String,
-        /// The units that are known.
+        /// List of the known units.
         known: &'static str,
     },
 }
 
-const TIMES: &[(&str, u64)] = &[("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
-const SIZES: &[(&str, u64)] = &[
+const TIME_UNITS: &[(&str, u64)] = &[("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
+const SIZE_UNITS: &[(&str, u64)] = &[
     ("B", 1),
     ("KB", 1_000),
     ("MB", 1_000_000),
@@ -54,14 +54,14 @@
 }
 
 fn format(value: u64, units: &[(&str, u64)]) -> String {
-    let fits = |factor: u64| value.is_multiple_of(factor) && value >= factor;
-    let best = units.iter().filter(|(_, f)| fits(*f)).max_by_key(|(_, f)| *f);
-    let (unit, factor) = best.unwrap_or(&units[0]);
+    let divides = |factor: u64| value.is_multiple_of(factor) && value >= factor;
+    let largest = units.iter().filter(|(_, f)| divides(*f)).max_by_key(|(_, f)| *f);
+    let (unit, factor) = largest.unwrap_or(&units[0]);
     format!("{}{unit}", value / factor)
 }
 
 impl Millis {
-    /// The same span as the standard library's type.
+    /// Converts to the standard library's type.
     pub fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
@@ -71,7 +71,7 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        parse(text, TIMES, "ms, s, m, h").map(Millis)
+        parse(text, TIME_UNITS, "ms, s, m, h").map(Millis)
     }
 }
 
@@ -79,23 +79,23 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        parse(text, SIZES, "B, KB, MB, GB, KiB, MiB, GiB").map(Size)
+        parse(text, SIZE_UNITS, "B, KB, MB, GB, KiB, MiB, GiB").map(Size)
     }
 }
 
 impl fmt::Display for Millis {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&format(self.0, TIMES))
+        f.write_str(&format(self.0, TIME_UNITS))
     }
 }
 
 impl fmt::Display for Size {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&format(self.0, SIZES))
+        f.write_str(&format(self.0, SIZE_UNITS))
     }
 }
 
-macro_rules! as_text {
+macro_rules! impl_serde_as_text {
     ($type:ty) => {
         impl Serialize for $type {
             fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
@@ -112,5 +112,5 @@
     };
 }
 
-as_text!(Millis);
-as_text!(Size);
+impl_serde_as_text!(Millis);
+impl_serde_as_text!(Size);
--- a/crates/config/tests/catalogs.rs
+++ b/crates/config/tests/catalogs.rs
@@ -1,10 +1,10 @@
-//! What checks refuse and what differences say.
+//! Tests of catalog validation, target lookup and differences.
 
 use rstest::rstest;
 use vanetally_config::{Catalog, check::check, diff::diff, jsonc};
 use vanetally_types::Labels;
 
-const SOUND: &str = r#"{
+const VALID: &str = r#"{
   // two models on one runner
   "callers": [{"name": "desk", "token_sha256": "HASH", "labels": {"team": "desk"}}],
   "models": [
@@ -19,54 +19,54 @@
   "yields": [{"low": "low", "high": "high"}]
 }"#;
 
-fn catalog(old: &str, new: &str) -> Catalog {
-    let text = SOUND.replace("HASH", &"0".repeat(64));
+fn catalog_with(old: &str, new: &str) -> Catalog {
+    let text = VALID.replace("HASH", &"0".repeat(64));
     assert!(text.contains(old), "{old}");
     jsonc::from_str("test", &text.replacen(old, new, 1)).expect("readable")
 }
 
 #[test]
-fn sound_catalog() {
-    assert_eq!(check(&catalog("", "")), Vec::<String>::new());
+fn valid_catalog() {
+    assert_eq!(check(&catalog_with("", "")), Vec::<String>::new());
 }
 
 #[rstest]
-#[case::twice("\"name\": \"n\"", "\"name\": \"m\"", "declared twice")]
-#[case::name("\"name\": \"n\"", "\"name\": \"n n\"", "use letters")]
-#[case::hash("\"000", "\"00", "64 hex digits")]
-#[case::url("http://10.0.0.1:1", "http://engine:1", "must be http://IP:PORT")]
-#[case::base("m@v1", "m@v9", "base is not declared")]
-#[case::fit("12GiB", "50GiB", "no runner")]
-#[case::slots("\"slots\": 4", "\"slots\": 0", "slots must be")]
-#[case::class("\"high\": \"high\"", "\"high\": \"none\"", "not declared")]
-#[case::cycle(
+#[case::duplicate_name("\"name\": \"n\"", "\"name\": \"m\"", "declared twice")]
+#[case::bad_name("\"name\": \"n\"", "\"name\": \"n n\"", "use letters")]
+#[case::short_hash("\"000", "\"00", "64 hex digits")]
+#[case::bad_url("http://10.0.0.1:1", "http://engine:1", "must be http://IP:PORT")]
+#[case::unknown_base("m@v1", "m@v9", "base is not declared")]
+#[case::too_large("12GiB", "50GiB", "no runner")]
+#[case::no_slots("\"slots\": 4", "\"slots\": 0", "slots must be")]
+#[case::unknown_class("\"high\": \"high\"", "\"high\": \"none\"", "not declared")]
+#[case::yield_cycle(
     "\"low\": \"low\", \"high\": \"high\"",
     "\"low\": \"low\", \"high\": \"low\"",
     "yield to each other"
 )]
-#[case::instance(
+#[case::no_instance(
     "[\n    {\"name\": \"s1\", \"url\": \"http://10.0.0.2:1\", \"domain\": \"d\", \"slots\": 4}]",
     "[]",
     "no instance"
 )]
-fn unsound_catalog(#[case] old: &str, #[case] new: &str, #[case] fault: &str) {
-    let faults = check(&catalog(old, new));
+fn invalid_catalog(#[case] old: &str, #[case] new: &str, #[case] fault: &str) {
+    let faults = check(&catalog_with(old, new));
     assert!(faults.iter().any(|f| f.contains(fault)), "{faults:?}");
 }
 
 #[rstest]
 #[case::unknown_key("\"domain\"", "\"zone\"", "runners[0].zone")]
-#[case::bare_size("\"10GiB\"", "10", "models[0].versions[0].size")]
-#[case::selector("kind=a", "kind=", "classes[0].select")]
+#[case::size_without_unit("\"10GiB\"", "10", "models[0].versions[0].size")]
+#[case::bad_selector("kind=a", "kind=", "classes[0].select")]
 fn unreadable_catalog(#[case] old: &str, #[case] new: &str, #[case] key: &str) {
-    let text = SOUND.replacen(old, new, 1);
+    let text = VALID.replacen(old, new, 1);
     let error = jsonc::from_str::<Catalog>("test", &text).expect_err("unreadable").to_string();
     assert!(error.contains(key), "{error}");
 }
 
 #[test]
 fn class_ranks() {
-    let catalog = catalog("", "");
+    let catalog = catalog_with("", "");
     let rank = |kind: &str| catalog.class_of(&Labels::default(), &Labels::from([("kind", kind)]));
     assert_eq!(rank("a"), ("low".into(), 1));
     assert_eq!(rank("b"), ("high".into(), 0));
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn version_targets() {
-    let catalog = catalog("", "");
+fn model_target_entries() {
+    let catalog = catalog_with("", "");
     let entries = |name: &str| catalog.model_target(name).map(|t| t.entries);
     assert_eq!(entries("n"), Some(vec!["n@v2".into(), "n@v1".into()]), "newest first");
     assert_eq!(entries("n@v1"), Some(vec!["n@v1".into()]));
@@ -84,8 +84,8 @@
 }
 
 #[test]
-fn named_difference() {
-    let lines = diff(&catalog("", ""), &catalog("12GiB", "14GiB"));
+fn diff_by_name() {
+    let lines = diff(&catalog_with("", ""), &catalog_with("12GiB", "14GiB"));
     let path = "models.n.versions.v2.size";
     assert_eq!(lines, [format!("- {path} \"12GiB\""), format!("+ {path} \"14GiB\"")]);
 }
