--- a/crates/daemon/src/front.rs
+++ b/crates/daemon/src/front.rs
@@ -332,8 +332,8 @@
         return refuse(exchange, &Refusal::new(422, "idempotency_key_reused", text));
     }
     let reply = Reply::new(answer.status, &answer.content_type, answer.body.clone())
-        .with("X-Verdict", Verdict::Ran.as_str())
-        .with("X-Replayed", "true");
+        .with_header("X-Verdict", Verdict::Ran.as_str())
+        .with_header("X-Replayed", "true");
     exchange.answer(reply);
     "replayed".into()
 }
--- a/crates/daemon/src/proxy.rs
+++ b/crates/daemon/src/proxy.rs
@@ -111,7 +111,8 @@
     ) -> Outcome {
         telemetry::first_piece(self.host, self.started.elapsed().as_secs_f64());
         let answer = self.keep(status, kind, &body);
-        let mut reply = Reply::new(status, kind, body).with("X-Verdict", Verdict::Ran.as_str());
+        let mut reply =
+            Reply::new(status, kind, body).with_header("X-Verdict", Verdict::Ran.as_str());
         reply.headers.extend(headers);
         reply.headers.extend(self.job.closing.iter().cloned());
         exchange.answer(reply);
--- a/crates/daemon/src/refusal.rs
+++ b/crates/daemon/src/refusal.rs
@@ -46,10 +46,12 @@
 
     /// The whole answer.
     pub fn reply(&self) -> Reply {
-        let reply =
-            Reply::json(self.status, &self.object()).with("X-Verdict", self.verdict.as_str());
+        let reply = Reply::json(self.status, &self.object())
+            .with_header("X-Verdict", self.verdict.as_str());
         match self.retry_after {
-            Some(millis) => reply.with("Retry-After", millis.div_ceil(1_000).max(1).to_string()),
+            Some(millis) => {
+                reply.with_header("Retry-After", millis.div_ceil(1_000).max(1).to_string())
+            }
             None => reply,
         }
     }
--- a/crates/link/src/call.rs
+++ b/crates/link/src/call.rs
@@ -1,7 +1,7 @@
-//! Calls to upstreams.
+//! HTTP calls to upstreams.
 //!
-//! Every phase has a time-out, and every failure says whether the request may have run. A call
-//! is sent once: nothing here retries.
+//! Every phase has a timeout, and every failure states whether the request may have run. A call
+//! is sent once and never retried.
 
 use std::{io::Read, time::Duration};
 use ureq::{
@@ -10,12 +10,12 @@
 };
 use vanetally_types::Verdict;
 
-/// Time-outs and bounds of calls.
+/// Timeouts of all calls of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// To connect.
+    /// Timeout for connecting.
     pub connect_timeout: Duration,
-    /// Longest silence within an answer.
+    /// Maximum time that a single read or write may take.
     pub idle_timeout: Duration,
 }
 
@@ -24,51 +24,51 @@
 pub struct Call {
     /// HTTP method.
     pub method: String,
-    /// Full address.
+    /// Full URL.
     pub url: String,
-    /// Headers as name and value.
+    /// Headers as pairs of name and value.
     pub headers: Vec<(String, String)>,
     /// Body; empty for none.
     pub body: Vec<u8>,
-    /// Until the whole answer must have come.
+    /// Timeout until the answer is complete.
     pub timeout: Duration,
 }
 
-/// An answer whose body is still to be read.
+/// An answer whose body has not been read yet.
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Headers as name and value.
+    /// Headers as pairs of name and value.
     pub headers: Vec<(String, String)>,
-    /// The body, as it arrives; dropping it early cancels the call.
+    /// The body as it arrives; dropping it before its end cancels the call.
     pub body: Box<dyn Read + Send>,
 }
 
-/// A call that brought no answer.
+/// The error of a call without an answer.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{message}")]
 pub struct Error {
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Whether nobody accepts connections at the address.
+    /// Whether no connection could be made.
     pub unreachable: bool,
-    /// What went wrong.
+    /// Description of the error.
     pub message: String,
 }
 
-/// Makes calls over kept connections.
+/// An HTTP client that reuses connections.
 #[derive(Clone, Debug)]
 pub struct Client {
     agent: Agent,
 }
 
-/// Idle connections kept in all and to one upstream.
-const IDLE: (usize, usize) = (512, 64);
-/// How long an idle connection is kept; servers keep theirs longer.
-const IDLE_AGE: Duration = Duration::from_secs(5);
+/// Maximum number of idle connections: in total, and to one upstream.
+const MAX_IDLE: (usize, usize) = (512, 64);
+/// Maximum time that an idle connection is kept; servers keep theirs longer.
+const MAX_IDLE_AGE: Duration = Duration::from_secs(5);
 
 impl Client {
-    /// A caller with no connections yet.
+    /// Creates a client without connections.
     pub fn new(options: Options) -> Self {
         let agent = Agent::config_builder()
             .http_status_as_error(false)
@@ -79,9 +79,9 @@
             .timeout_connect(Some(options.connect_timeout))
             .timeout_per_read(Some(options.idle_timeout))
             .timeout_per_write(Some(options.idle_timeout))
-            .max_idle_connections(IDLE.0)
-            .max_idle_connections_per_host(IDLE.1)
-            .max_idle_age(IDLE_AGE)
+            .max_idle_connections(MAX_IDLE.0)
+            .max_idle_connections_per_host(MAX_IDLE.1)
+            .max_idle_age(MAX_IDLE_AGE)
             .input_buffer_size(16 * 1024)
             .output_buffer_size(16 * 1024)
             .build()
@@ -89,10 +89,11 @@
         Self { agent }
     }
 
-    /// Sends `call` once and returns as soon as the answer's head has come.
+    /// Sends `call` once and returns when the answer's head has arrived.
     ///
     /// # Errors
-    /// With a verdict: not run if no connection came about, else may have run.
+    /// If there is no answer. The verdict is `NotRun` if no connection was made, else
+    /// `MayHaveRun`.
     pub fn send(&self, call: &Call) -> Result<Answer, Error> {
         let mut builder = Request::builder().method(call.method.as_str()).uri(&call.url);
         for (name, value) in &call.headers {
@@ -108,9 +109,9 @@
     fn run<B: ureq::AsSendBody>(
         &self,
         request: Request<B>,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Response<Body>, ureq::Error> {
-        let request = self.agent.configure_request(request).timeout_global(Some(within)).build();
+        let request = self.agent.configure_request(request).timeout_global(Some(timeout)).build();
         self.agent.run(request)
     }
 }
@@ -126,7 +127,7 @@
     Error { verdict: Verdict::NotRun, unreachable: false, message: message.to_owned() }
 }
 
-/// What is known of a request whose call failed with `e`.
+/// Returns the error with its verdict for a call that failed with `e`.
 fn classify(e: &ureq::Error) -> Error {
     let refused = |e: &std::io::Error| e.kind() == std::io::ErrorKind::ConnectionRefused;
     let unreachable = match e {
--- a/crates/link/src/http.rs
+++ b/crates/link/src/http.rs
@@ -1,9 +1,9 @@
-//! An HTTP server on `tiny_http` that streams.
+//! An HTTP server with streaming answers, built on `tiny_http`.
 //!
-//! One thread accepts, each exchange runs on a thread of its own, and their number is bounded:
-//! beyond it the answer is 503 at once.
+//! One thread accepts requests, and each exchange runs on its own thread. The number of parallel
+//! exchanges is limited; further requests are answered with 503 at once.
 
-use crate::{nudge::Nudge, workers::Workers};
+use crate::{pool_waker::PoolWaker, workers::Workers};
 use std::{
     io::{Read, Write},
     net::SocketAddr,
@@ -15,12 +15,12 @@
 };
 use tiny_http::{Header, Request, Response};
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Most exchanges at once.
+    /// Maximum number of parallel exchanges.
     pub max_exchanges: usize,
-    /// Stack of an exchange's thread, in bytes.
+    /// Stack size of the thread of an exchange.
     pub stack_bytes: usize,
 }
 
@@ -36,10 +36,10 @@
     address: SocketAddr,
 }
 
-/// Most bytes of all headers of a request together.
-const MOST_HEADERS: usize = 32 * 1024;
+/// Maximum total size of a request's headers.
+const MAX_HEADER_BYTES: usize = 32 * 1024;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
 
 impl Server {
@@ -51,7 +51,8 @@
         let domain = socket2::Domain::for_address(address);
         let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
-        // Accepted connections inherit this: without it a token waits for an acknowledgement.
+        // Accepted connections inherit the option. Without it a piece of a stream is delayed until
+        // the preceding one is acknowledged.
         socket.set_tcp_nodelay(true)?;
         socket.bind(&address.into())?;
         socket.listen(BACKLOG)?;
@@ -62,12 +63,12 @@
         Ok(Self { inner: Arc::new(inner), address })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens at.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Starts to answer with `handler`, on threads named `name`.
+    /// Starts serving: `handler` runs for each exchange, on threads named `name`.
     pub fn serve(
         self,
         name: &str,
@@ -76,13 +77,13 @@
     ) -> Stopper {
         let server = self.inner.clone();
         let handler = Arc::new(handler);
-        let busy = Arc::new(AtomicUsize::new(0));
+        let active = Arc::new(AtomicUsize::new(0));
         let mut workers = Workers::new(name, options.stack_bytes);
-        let mut nudge = Nudge::start(name, self.address);
+        let mut pool_waker = PoolWaker::start(name, self.address);
         let run = move || {
             for request in server.incoming_requests() {
-                nudge.request_from(request.remote_addr());
-                dispatch(&mut workers, options, &busy, &handler, Exchange { request });
+                pool_waker.request_from(request.remote_addr());
+                dispatch(&mut workers, options, &active, &handler, Exchange { request });
             }
         };
         let spawned = thread::Builder::new().name(format!("{name}-accept")).spawn(run);
@@ -93,22 +94,22 @@
     }
 }
 
-/// Ends a server.
+/// Stops a server.
 pub struct Stopper {
     inner: Arc<tiny_http::Server>,
 }
 
 impl Stopper {
-    /// Takes no further requests.
+    /// Stops accepting requests.
     pub fn stop(&self) {
         self.inner.unblock();
     }
 }
 
-/// Counts an exchange as long as it lives.
-struct Busy(Arc<AtomicUsize>);
+/// Decrements the number of active exchanges when dropped.
+struct ActiveGuard(Arc<AtomicUsize>);
 
-impl Drop for Busy {
+impl Drop for ActiveGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
@@ -117,22 +118,22 @@
 fn dispatch(
     workers: &mut Workers,
     options: Options,
-    busy: &Arc<AtomicUsize>,
+    active: &Arc<AtomicUsize>,
     handler: &Arc<impl Fn(Exchange) + Send + Sync + 'static>,
     exchange: Exchange,
 ) {
-    let count = busy.fetch_add(1, Ordering::AcqRel);
-    let guard = Busy(busy.clone());
+    let count = active.fetch_add(1, Ordering::AcqRel);
+    let guard = ActiveGuard(active.clone());
     if count >= options.max_exchanges {
-        return exchange.answer(Reply::overload());
+        return exchange.answer(Reply::overloaded());
     }
-    let headers: usize = exchange
+    let header_bytes: usize = exchange
         .request
         .headers()
         .iter()
         .map(|h| h.field.as_str().as_str().len() + h.value.as_str().len())
         .sum();
-    if headers > MOST_HEADERS {
+    if header_bytes > MAX_HEADER_BYTES {
         return exchange.answer(Reply::new(431, "text/plain", "headers too large\n"));
     }
     let handler = handler.clone();
@@ -142,110 +143,110 @@
     }));
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// Headers as name and value.
+    /// Headers as pairs of name and value.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// An answer with a content type.
-    pub fn new(status: u16, kind: &str, body: impl Into<Vec<u8>>) -> Self {
-        let headers = vec![("Content-Type".to_owned(), kind.to_owned())];
+    /// Creates an answer with the content type `content_type`.
+    pub fn new(status: u16, content_type: &str, body: impl Into<Vec<u8>>) -> Self {
+        let headers = vec![("Content-Type".to_owned(), content_type.to_owned())];
         Self { status, headers, body: body.into() }
     }
 
-    /// An answer in JSON.
+    /// Creates an answer with a JSON body.
     pub fn json(status: u16, value: &serde_json::Value) -> Self {
         Self::new(status, "application/json", value.to_string())
     }
 
-    /// The same answer with another header.
-    pub fn with(mut self, name: &str, value: impl Into<String>) -> Self {
+    /// Adds a header.
+    pub fn with_header(mut self, name: &str, value: impl Into<String>) -> Self {
         self.headers.push((name.to_owned(), value.into()));
         self
     }
 
-    /// Too many exchanges at once: nothing ran.
-    fn overload() -> Self {
+    /// Creates the answer to a request beyond the maximum number of exchanges; it did not run.
+    fn overloaded() -> Self {
         let body = serde_json::json!({"error": {
             "message": "too many requests at once", "type": "overloaded", "code": "overloaded",
             "verdict": "not-run"}});
-        Self::json(503, &body).with("Retry-After", "1").with("X-Verdict", "not-run")
+        Self::json(503, &body).with_header("Retry-After", "1").with_header("X-Verdict", "not-run")
     }
 }
 
-/// Why a body was not read.
+/// An error from reading a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// Larger than allowed.
+    /// The body exceeds the limit.
     #[error("the body is too large")]
     TooLarge,
-    /// The connection broke.
+    /// The connection broke before the end of the body.
     #[error("the body did not arrive")]
     Broken,
 }
 
-/// A request and the way to answer it.
+/// A request that has not been answered yet.
 pub struct Exchange {
     request: Request,
 }
 
 impl Exchange {
-    /// The method in upper case.
+    /// Returns the method in upper case.
     pub fn method(&self) -> String {
         self.request.method().as_str().to_owned()
     }
 
-    /// Path and query.
+    /// Returns path and query.
     pub fn url(&self) -> &str {
         self.request.url()
     }
 
-    /// The path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.url().split('?').next().unwrap_or("/")
     }
 
-    /// The value of `key` in the query, not decoded.
+    /// Returns the value of `key` in the query, without decoding it.
     pub fn query(&self, key: &str) -> Option<&str> {
         let (_, query) = self.url().split_once('?')?;
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.into_iter().find(|(k, _)| *k == key).map(|(_, value)| value)
     }
 
-    /// The first header called `name`, in any case.
+    /// Returns the first header called `name`; the case is ignored.
     pub fn header(&self, name: &str) -> Option<&str> {
-        let named = |h: &&Header| h.field.as_str().as_str().eq_ignore_ascii_case(name);
-        self.request.headers().iter().find(named).map(|h| h.value.as_str())
+        let matches = |h: &&Header| h.field.as_str().as_str().eq_ignore_ascii_case(name);
+        self.request.headers().iter().find(matches).map(|h| h.value.as_str())
     }
 
-    /// All headers as name and value.
+    /// Returns all headers as pairs of name and value.
     pub fn headers(&self) -> Vec<(String, String)> {
         let pair = |h: &Header| (h.field.as_str().to_string(), h.value.to_string());
         self.request.headers().iter().map(pair).collect()
     }
 
-    /// Reads the body, at most `most` bytes.
+    /// Reads the body, up to `max_bytes`.
     ///
     /// # Errors
-    /// If it is larger or breaks off.
-    pub fn body(&mut self, most: u64) -> Result<Vec<u8>, BodyError> {
-        if self.request.body_length().is_some_and(|len| len as u64 > most) {
+    /// If the body is larger or incomplete.
+    pub fn body(&mut self, max_bytes: u64) -> Result<Vec<u8>, BodyError> {
+        if self.request.body_length().is_some_and(|len| len as u64 > max_bytes) {
             return Err(BodyError::TooLarge);
         }
         let mut body = Vec::new();
-        let mut reader = self.request.as_reader().take(most + 1);
+        let mut reader = self.request.as_reader().take(max_bytes + 1);
         reader.read_to_end(&mut body).map_err(|_| BodyError::Broken)?;
-        if body.len() as u64 > most { Err(BodyError::TooLarge) } else { Ok(body) }
+        if body.len() as u64 > max_bytes { Err(BodyError::TooLarge) } else { Ok(body) }
     }
 
-    /// Answers as a whole.
+    /// Sends a complete answer.
     pub fn answer(self, reply: Reply) {
         let mut response = Response::from_data(reply.body).with_status_code(reply.status);
         for (name, value) in &reply.headers {
@@ -258,27 +259,27 @@
         }
     }
 
-    /// Starts an answer whose body is sent piece by piece.
+    /// Starts an answer whose body is sent in pieces.
     ///
     /// # Errors
-    /// If the caller has gone.
+    /// If the caller has disconnected.
     pub fn stream(self, status: u16, headers: &[(String, String)]) -> std::io::Result<Stream> {
         let chunked = *self.request.http_version() >= tiny_http::HTTPVersion(1, 1);
-        let mut head = format!("HTTP/1.1 {status} {}\r\n", reason(status));
+        let mut head = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status));
         for (name, value) in headers {
             head.push_str(&format!("{name}: {value}\r\n"));
         }
         let framing = if chunked { "Transfer-Encoding: chunked" } else { "Connection: close" };
         head.push_str(framing);
         head.push_str("\r\n\r\n");
-        let mut stream = Stream { writer: self.request.into_writer(), chunked, frame: Vec::new() };
+        let mut stream = Stream { writer: self.request.into_writer(), chunked, buffer: Vec::new() };
         stream.writer.write_all(head.as_bytes())?;
         stream.writer.flush()?;
         Ok(stream)
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400..500 => "Refused",
@@ -287,38 +288,40 @@
     }
 }
 
-/// An answer under way.
+/// An answer that is being streamed.
 pub struct Stream {
     writer: Box<dyn Write + Send>,
     chunked: bool,
-    frame: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl Stream {
-    /// Sends a piece at once.
+    /// Sends a piece and flushes it.
     ///
     /// # Errors
-    /// If the caller has gone.
+    /// If the caller has disconnected.
     pub fn send(&mut self, piece: &[u8]) -> std::io::Result<()> {
         if piece.is_empty() {
             return Ok(());
         }
-        self.frame.clear();
+        self.buffer.clear();
         if self.chunked {
-            write!(self.frame, "{:x}\r\n", piece.len())?;
+            write!(self.buffer, "{:x}\r\n", piece.len())?;
         }
-        self.frame.extend_from_slice(piece);
+        self.buffer.extend_from_slice(piece);
         if self.chunked {
-            self.frame.extend_from_slice(b"\r\n");
+            self.buffer.extend_from_slice(b"\r\n");
         }
-        self.writer.write_all(&self.frame)?;
+        self.writer.write_all(&self.buffer)?;
         self.writer.flush()
     }
 
-    /// Ends the answer as cut short: what follows is no chunk, which every client reports as an
-    /// error. The server can't close the connection by itself.
+    /// Ends the answer as incomplete.
+    ///
+    /// It writes bytes that are not a valid chunk, which every client reports as an error, because
+    /// `tiny_http` gives no means to close the connection.
     pub fn abort(mut self) {
-        // The caller may have gone.
+        // Fails if the caller has disconnected.
         let _ = self.writer.write_all(b"cut short\r\n");
         let _ = self.writer.flush();
     }
@@ -326,7 +329,7 @@
     /// Ends the answer as complete.
     ///
     /// # Errors
-    /// If the caller has gone.
+    /// If the caller has disconnected.
     pub fn finish(mut self) -> std::io::Result<()> {
         if self.chunked {
             self.writer.write_all(b"0\r\n\r\n")?;
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,18 +1,18 @@
-//! Everything that touches sockets: HTTP towards callers and operators, calls to upstreams, the
-//! platform's service, and links between daemons. No decisions are made here.
+//! Network I/O: the HTTP server for callers and operators, calls to upstreams and to the platform's
+//! service, and links between daemons. It contains no decision logic.
 #![deny(missing_docs, unsafe_code)]
 
-/// Calls to upstreams, with what is known when they fail.
+/// HTTP calls to upstreams; errors state whether the request may have run.
 pub mod call;
-/// HTTP towards callers and operators.
+/// HTTP server for callers and operators.
 pub mod http;
-mod nudge;
 /// Authenticated links between daemons.
 pub mod peer;
-/// The platform's key-value service and list of hosts.
+/// Client of the platform's key-value service and list of hosts.
 pub mod platform;
-/// Proof that both ends of a link know the shared key.
+mod pool_waker;
+/// Challenge-response proof that both ends of a link know the shared key.
 pub mod proof;
-/// TCP connections that notice a silent peer.
+/// TCP connections that detect an unresponsive peer.
 pub mod socket;
 mod workers;
--- a/crates/link/src/peer.rs
+++ b/crates/link/src/peer.rs
@@ -1,8 +1,8 @@
-//! Links between daemons: WebSocket frames with CBOR inside, on one thread.
+//! Links between daemons: CBOR messages in WebSocket frames, on one thread.
 //!
-//! A link carries messages one way, from the daemon that dialed. It is dialed on first use and
-//! again after it broke. Messages that can't be sent soon are dropped and counted: whoever needs
-//! an answer repeats.
+//! A link carries messages in one direction, from the daemon that dialed. It is dialed on first use
+//! and again after it broke. Messages that can't be sent soon are dropped and counted; a sender
+//! that needs an answer must repeat them.
 
 use crate::{
     proof::{Hello, Side, prove, verify},
@@ -32,35 +32,35 @@
 };
 use vanetally_types::{HostId, Name};
 
-/// What the daemon's loop hears of links.
+/// An event of a link, passed to the handler.
 #[derive(Debug)]
 pub enum Event {
-    /// A message of a daemon that knows the key.
+    /// A message from an authenticated daemon.
     Message {
-        /// Its sender.
+        /// The sender.
         from: HostId,
-        /// The bytes of the message.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// The link to a peer could not be made or broke.
+    /// The link to a peer broke or could not be established.
     Broken {
         /// The peer's name.
         to: Name,
     },
 }
 
-/// Settings of all links of a daemon.
+/// Options of all links of a daemon.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// This process.
+    /// Id of this host.
     pub host_id: HostId,
-    /// The shared key.
+    /// Key shared by all daemons.
     pub key: Name,
-    /// Largest message in bytes.
+    /// Maximum size of a message.
     pub max_message_bytes: usize,
 }
 
-/// Bytes and messages that went over links, for metrics.
+/// Counters of messages and bytes on links, for metrics.
 #[derive(Debug, Default)]
 pub struct Traffic {
     /// Messages sent.
@@ -77,40 +77,43 @@
     pub refused: AtomicU64,
 }
 
-/// The sending side of all links.
+/// The sending end of all links.
 #[derive(Clone)]
 pub struct Links {
-    commands: mpsc::UnboundedSender<(Name, SocketAddr, Bytes)>,
+    outbox: mpsc::UnboundedSender<(Name, SocketAddr, Bytes)>,
     traffic: Arc<Traffic>,
 }
 
-type Sink = Arc<dyn Fn(Event) + Send + Sync>;
+type Handler = Arc<dyn Fn(Event) + Send + Sync>;
 
-/// For the handshake and for a connection to come about.
-const HANDSHAKE: Duration = Duration::from_secs(2);
-/// Messages waiting for one peer.
-const WAITING: usize = 1_024;
-/// Bytes that each link reads at once: hosts have links to all others, and messages are short.
-const READ_BUFFER: usize = 4 << 10;
-/// After a link broke, no new one is dialed for this long: where all hosts start at once, some dial others that
-/// listen a few tens of milliseconds later.
-const REDIAL: Duration = Duration::from_millis(100);
+/// Timeout for connecting and the handshake, and for sending a message.
+const LINK_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of messages queued for one peer.
+const MAX_QUEUED: usize = 1_024;
+/// Read buffer of each link; small, because a host has links to all others and messages are short.
+const READ_BUFFER_BYTES: usize = 4 << 10;
+/// Delay before a broken link is dialed again. If all hosts start together, some dial others that
+/// start listening a few tens of milliseconds later.
+const REDIAL_DELAY: Duration = Duration::from_millis(100);
 
 impl Links {
-    /// Accepts links at `listener` and hands what arrives to `sink`.
+    /// Accepts links at `listener` and passes their events to `handler`.
     ///
     /// # Errors
-    /// If the thread or its runtime can't be made.
+    /// If the thread or its runtime can't be created.
     pub fn try_start(
         listener: std::net::TcpListener,
         options: Options,
-        sink: impl Fn(Event) + Send + Sync + 'static,
+        handler: impl Fn(Event) + Send + Sync + 'static,
     ) -> anyhow::Result<Self> {
         listener.set_nonblocking(true)?;
-        let (commands, inbox) = mpsc::unbounded_channel();
+        let (outbox, inbox) = mpsc::unbounded_channel();
         let traffic = Arc::new(Traffic::default());
-        let shared =
-            Shared { options: Arc::new(options), sink: Arc::new(sink), traffic: traffic.clone() };
+        let shared = Shared {
+            options: Arc::new(options),
+            handler: Arc::new(handler),
+            traffic: traffic.clone(),
+        };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let run = move || {
             let local = tokio::task::LocalSet::new();
@@ -121,19 +124,20 @@
                     }
                     Err(e) => log::error!("event=links-unavailable error=\"{e}\""),
                 }
-                route(inbox, shared).await;
+                dispatch(inbox, shared).await;
             });
         };
         thread::Builder::new().name("links".into()).spawn(run)?;
-        Ok(Self { commands, traffic })
+        Ok(Self { outbox, traffic })
     }
 
-    /// Sends `message` to the peer `to` at `address`, or drops it.
+    /// Sends `message` to the peer `to` at `address`, or drops it if it can't be sent soon.
     pub fn send(&self, to: &Name, address: SocketAddr, message: &impl Serialize) {
         self.send_all([(to, address)].into_iter(), message);
     }
 
-    /// Sends `message` to all of `peers`, or drops it; it is encoded once. Gives back the bytes for all together.
+    /// Encodes `message` once and sends it to each of `peers`, or drops it. Returns the total
+    /// number of bytes for all peers.
     pub fn send_all<'a>(
         &self,
         peers: impl Iterator<Item = (&'a Name, SocketAddr)>,
@@ -146,64 +150,64 @@
                 return 0;
             }
         };
-        let mut sum = 0;
+        let mut total_bytes = 0;
         for (to, address) in peers {
-            sum += bytes.len();
-            if self.commands.send((to.clone(), address, bytes.clone())).is_err() {
+            total_bytes += bytes.len();
+            if self.outbox.send((to.clone(), address, bytes.clone())).is_err() {
                 self.traffic.dropped.fetch_add(1, Ordering::Relaxed);
             }
         }
-        sum
+        total_bytes
     }
 
-    /// What went over the links so far.
+    /// Returns the counters of the links.
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
     }
 }
 
-/// The bytes of a message.
+/// Encodes a message.
 ///
 /// # Errors
-/// If it can't be written.
+/// If it can't be serialized.
 pub fn encode(message: &impl Serialize) -> Result<Vec<u8>, ciborium::ser::Error<std::io::Error>> {
     let mut bytes = Vec::new();
     ciborium::into_writer(message, &mut bytes)?;
     Ok(bytes)
 }
 
-/// Reads a message; `None` for bytes that are none.
+/// Decodes a message; `None` if the bytes are not a valid one.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    // The recursion limit keeps a hostile frame from exhausting the stack.
-    ciborium::de::from_reader_with_recursion_limit(bytes, MOST_DEPTH).ok()
+    // Without the recursion limit, a malicious frame could exhaust the stack.
+    ciborium::de::from_reader_with_recursion_limit(bytes, MAX_DEPTH).ok()
 }
 
-/// How deep a message may be nested.
-const MOST_DEPTH: usize = 32;
+/// Maximum nesting depth of a message.
+const MAX_DEPTH: usize = 32;
 
 #[derive(Clone)]
 struct Shared {
     options: Arc<Options>,
-    sink: Sink,
+    handler: Handler,
     traffic: Arc<Traffic>,
 }
 
 impl Shared {
     fn config(&self) -> WebSocketConfig {
         WebSocketConfig::default()
-            .read_buffer_size(READ_BUFFER)
+            .read_buffer_size(READ_BUFFER_BYTES)
             .max_message_size(Some(self.options.max_message_bytes))
             .max_frame_size(Some(self.options.max_message_bytes))
     }
 }
 
-/// Hands messages to the task of their peer.
-async fn route(mut inbox: mpsc::UnboundedReceiver<(Name, SocketAddr, Bytes)>, shared: Shared) {
+/// Passes messages to the task of their peer.
+async fn dispatch(mut inbox: mpsc::UnboundedReceiver<(Name, SocketAddr, Bytes)>, shared: Shared) {
     let mut peers: HashMap<(Name, SocketAddr), mpsc::Sender<Bytes>> = HashMap::new();
     while let Some((to, address, bytes)) = inbox.recv().await {
         let sender = peers.entry((to.clone(), address)).or_insert_with(|| {
-            let (sender, queue) = mpsc::channel(WAITING);
-            tokio::task::spawn_local(feed(to, address, queue, shared.clone()));
+            let (sender, queue) = mpsc::channel(MAX_QUEUED);
+            tokio::task::spawn_local(send_to_peer(to, address, queue, shared.clone()));
             sender
         });
         if sender.try_send(bytes).is_err() {
@@ -212,19 +216,24 @@
     }
 }
 
-/// Owns the link to one peer.
-async fn feed(to: Name, address: SocketAddr, mut queue: mpsc::Receiver<Bytes>, shared: Shared) {
+/// Owns the link to one peer and sends the messages in `queue`.
+async fn send_to_peer(
+    to: Name,
+    address: SocketAddr,
+    mut queue: mpsc::Receiver<Bytes>,
+    shared: Shared,
+) {
     let mut link = None;
     while let Some(bytes) = queue.recv().await {
         if link.is_none() {
-            link = timeout(HANDSHAKE, dial(&to, address, &shared)).await.ok().flatten();
+            link = timeout(LINK_TIMEOUT, dial(&to, address, &shared)).await.ok().flatten();
         }
         let len = bytes.len() as u64;
         let sent = match &mut link {
             None => false,
             Some(socket) => {
                 let send = socket.send(Message::Binary(bytes));
-                matches!(timeout(HANDSHAKE, send).await, Ok(Ok(())))
+                matches!(timeout(LINK_TIMEOUT, send).await, Ok(Ok(())))
             }
         };
         if sent {
@@ -234,14 +243,15 @@
         }
         link = None;
         shared.traffic.dropped.fetch_add(1, Ordering::Relaxed);
-        (shared.sink)(Event::Broken { to: to.clone() });
-        tokio::time::sleep(REDIAL).await;
+        (shared.handler)(Event::Broken { to: to.clone() });
+        tokio::time::sleep(REDIAL_DELAY).await;
         while queue.try_recv().is_ok() {
             shared.traffic.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
+/// Connects to the peer `to` and authenticates both ends; `None` if either fails.
 async fn dial(
     to: &Name,
     address: SocketAddr,
@@ -253,15 +263,15 @@
     let connected = client_async_with_config(url, stream, Some(shared.config())).await;
     let (mut socket, _) = connected.ok()?;
     let options = &shared.options;
-    let theirs: Hello = read(&mut socket).await?;
-    let mine = Hello::new(options.host_id.clone());
-    let proof = prove(&options.key, Side::Dialer, &mine, &theirs);
-    write(&mut socket, &(&mine, proof)).await?;
+    let remote: Hello = read(&mut socket).await?;
+    let local = Hello::new(options.host_id.clone());
+    let proof = prove(&options.key, Side::Dialer, &local, &remote);
+    write(&mut socket, &(&local, proof)).await?;
     let answer: Vec<u8> = read(&mut socket).await?;
-    let known = verify(&options.key, Side::Acceptor, &mine, &theirs, &answer);
-    if !known || theirs.from.name != *to {
+    let verified = verify(&options.key, Side::Acceptor, &local, &remote, &answer);
+    if !verified || remote.from.name != *to {
         shared.traffic.refused.fetch_add(1, Ordering::Relaxed);
-        log::warn!("event=link-refused side=dialer to={to} claimed={}", theirs.from);
+        log::warn!("event=link-refused side=dialer to={to} claimed={}", remote.from);
         return None;
     }
     Some(socket)
@@ -275,15 +285,17 @@
             }
             Err(e) => {
                 log::warn!("event=link-accept-failed error=\"{e}\"");
-                tokio::time::sleep(REDIAL).await;
+                tokio::time::sleep(REDIAL_DELAY).await;
             }
         }
     }
 }
 
-/// Owns an accepted link.
+/// Owns an accepted link and passes its messages to the handler.
 async fn receive(stream: TcpStream, shared: Shared) {
-    let Ok(Some((mut socket, from))) = timeout(HANDSHAKE, greet(stream, &shared)).await else {
+    let Ok(Some((mut socket, from))) =
+        timeout(LINK_TIMEOUT, accept_handshake(stream, &shared)).await
+    else {
         return;
     };
     while let Some(Ok(message)) = socket.next().await {
@@ -292,25 +304,29 @@
         };
         shared.traffic.received.fetch_add(1, Ordering::Relaxed);
         shared.traffic.received_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
-        (shared.sink)(Event::Message { from: from.clone(), bytes: bytes.to_vec() });
+        (shared.handler)(Event::Message { from: from.clone(), bytes: bytes.to_vec() });
     }
 }
 
-async fn greet(stream: TcpStream, shared: &Shared) -> Option<(WebSocketStream<TcpStream>, HostId)> {
+/// Authenticates both ends of an accepted connection; `None` if it fails.
+async fn accept_handshake(
+    stream: TcpStream,
+    shared: &Shared,
+) -> Option<(WebSocketStream<TcpStream>, HostId)> {
     set_link_options(&stream).ok()?;
     let mut socket = accept_async_with_config(stream, Some(shared.config())).await.ok()?;
     let options = &shared.options;
-    let mine = Hello::new(options.host_id.clone());
-    write(&mut socket, &mine).await?;
-    let (theirs, proof): (Hello, Vec<u8>) = read(&mut socket).await?;
-    if !verify(&options.key, Side::Dialer, &theirs, &mine, &proof) {
+    let local = Hello::new(options.host_id.clone());
+    write(&mut socket, &local).await?;
+    let (remote, proof): (Hello, Vec<u8>) = read(&mut socket).await?;
+    if !verify(&options.key, Side::Dialer, &remote, &local, &proof) {
         shared.traffic.refused.fetch_add(1, Ordering::Relaxed);
-        log::warn!("event=link-refused side=acceptor claimed={}", theirs.from);
+        log::warn!("event=link-refused side=acceptor claimed={}", remote.from);
         return None;
     }
-    let answer = prove(&options.key, Side::Acceptor, &theirs, &mine);
+    let answer = prove(&options.key, Side::Acceptor, &remote, &local);
     write(&mut socket, &answer).await?;
-    Some((socket, theirs.from))
+    Some((socket, remote.from))
 }
 
 async fn read<T: DeserializeOwned>(socket: &mut WebSocketStream<TcpStream>) -> Option<T> {
--- a/crates/link/src/platform.rs
+++ b/crates/link/src/platform.rs
@@ -1,39 +1,39 @@
-//! The platform's key-value service and its list of hosts.
+//! Client of the platform's key-value service and its list of hosts.
 
 use crate::call::{Call, Client, Options};
 use std::{io::Read, time::Duration};
 use vanetally_types::{Name, Verdict};
 
-/// A value with its version.
+/// A stored value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Value {
     /// Changes with each write of the key; never 0.
     pub version: u64,
-    /// The bytes as written.
+    /// The stored bytes.
     pub bytes: Vec<u8>,
 }
 
-/// What became of a compare-and-swap.
+/// Result of a compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// It took effect and the key has this version.
+    /// The write took effect; the key now has this version.
     Written(u64),
-    /// The key had another version; nothing changed.
+    /// The key had another version, with this value; nothing changed.
     Conflict(Option<Value>),
 }
 
-/// Why the service gave no answer.
+/// An error of a call to the service.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Error {
-    /// Out of reach, slow or failing: a write may have taken effect.
+    /// The service is unreachable, slow or failing: a write may have taken effect.
     #[error("the platform did not answer: {0}")]
     Unavailable(String),
-    /// Refused without effect: credential, size or rate.
+    /// The service rejected the call without effect, because of its credential, size or rate.
     #[error("the platform refused: {0}")]
     Rejected(String),
 }
 
-/// The service as its users see it.
+/// Interface of the platform's service.
 pub trait Platform: Send + Sync {
     /// Reads a key.
     ///
@@ -41,43 +41,47 @@
     /// If the service does not answer.
     fn get(&self, key: &str) -> Result<Option<Value>, Error>;
 
-    /// Writes a key if it has version `base`; 0 means that it must not exist.
+    /// Writes a key if it has `expected_version`; 0 means that it must not exist.
     ///
     /// # Errors
-    /// If the service does not answer, in which case the write may have taken effect.
-    fn put(&self, key: &str, base: u64, bytes: &[u8]) -> Result<PutOutcome, Error>;
+    /// If the service does not answer; the write may have taken effect.
+    fn put(&self, key: &str, expected_version: u64, bytes: &[u8]) -> Result<PutOutcome, Error>;
 
-    /// Waits up to `wait` for a version of the key other than `seen`.
+    /// Waits up to `wait` for a version of the key other than `seen_version`.
     ///
     /// # Errors
     /// If the service does not answer.
-    fn watch(&self, key: &str, seen: u64, wait: Duration) -> Result<Option<Value>, Error>;
+    fn watch(&self, key: &str, seen_version: u64, wait: Duration) -> Result<Option<Value>, Error>;
 
-    /// The hosts, as JSON.
+    /// Returns the list of hosts as JSON.
     ///
     /// # Errors
     /// If the service does not answer.
     fn hosts(&self) -> Result<Vec<u8>, Error>;
 }
 
-/// The service over HTTP.
+/// The platform's service, called over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
-    base: String,
+    base_url: String,
     credential: Name,
-    within: Duration,
-    caller: Client,
+    timeout: Duration,
+    client: Client,
 }
 
-/// Values are at most this large, with room for the service's own limit.
-const MOST_VALUE: u64 = 2_000_000;
+/// Maximum size of an answer; the service's own limit for values is lower.
+const MAX_ANSWER_BYTES: u64 = 2_000_000;
 
 impl HttpPlatform {
-    /// The service at `base`, `http://IP:PORT`, each call bounded by `within`.
-    pub fn new(base: &str, credential: Name, within: Duration) -> Self {
-        let options = Options { connect_timeout: within.min(CONNECT), idle_timeout: WATCH_SILENCE };
-        let base = base.trim_end_matches('/').to_owned();
-        Self { base, credential, within, caller: Client::new(options) }
+    /// Creates a client of the service at `base_url`, `http://IP:PORT`; `timeout` applies to each
+    /// call.
+    pub fn new(base_url: &str, credential: Name, timeout: Duration) -> Self {
+        let options = Options {
+            connect_timeout: timeout.min(CONNECT_TIMEOUT),
+            idle_timeout: WATCH_IDLE_TIMEOUT,
+        };
+        let base_url = base_url.trim_end_matches('/').to_owned();
+        Self { base_url, credential, timeout, client: Client::new(options) }
     }
 
     fn call(
@@ -85,16 +89,16 @@
         method: &str,
         path: &str,
         body: &[u8],
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(u16, u64, Vec<u8>), Error> {
         let call = Call {
             method: method.to_owned(),
-            url: format!("{}{path}", self.base),
+            url: format!("{}{path}", self.base_url),
             headers: vec![("Authorization".into(), format!("Bearer {}", self.credential))],
             body: body.to_vec(),
-            timeout: within,
+            timeout,
         };
-        let answer = self.caller.send(&call).map_err(|e| match e.verdict {
+        let answer = self.client.send(&call).map_err(|e| match e.verdict {
             Verdict::NotRun if !e.unreachable => Error::Rejected(e.message),
             _ => Error::Unavailable(e.message),
         })?;
@@ -106,7 +110,7 @@
         let mut bytes = Vec::new();
         answer
             .body
-            .take(MOST_VALUE)
+            .take(MAX_ANSWER_BYTES)
             .read_to_end(&mut bytes)
             .map_err(|e| Error::Unavailable(e.to_string()))?;
         match answer.status {
@@ -120,24 +124,24 @@
     }
 }
 
-/// To connect to the service.
-const CONNECT: Duration = Duration::from_secs(1);
-/// A watch may be silent for long.
-const WATCH_SILENCE: Duration = Duration::from_secs(60);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Idle timeout of all calls; a watch gets no data until the value changes.
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// Returns the value; `None` for version 0, which means that the key does not exist.
 fn value(version: u64, bytes: Vec<u8>) -> Option<Value> {
     (version > 0).then_some(Value { version, bytes })
 }
 
 impl Platform for HttpPlatform {
     fn get(&self, key: &str) -> Result<Option<Value>, Error> {
-        let (_, version, bytes) = self.call("GET", &format!("/kv/{key}"), &[], self.within)?;
+        let (_, version, bytes) = self.call("GET", &format!("/kv/{key}"), &[], self.timeout)?;
         Ok(value(version, bytes))
     }
 
-    fn put(&self, key: &str, base: u64, bytes: &[u8]) -> Result<PutOutcome, Error> {
-        let path = format!("/kv/{key}?version={base}");
-        let (status, version, bytes) = self.call("PUT", &path, bytes, self.within)?;
+    fn put(&self, key: &str, expected_version: u64, bytes: &[u8]) -> Result<PutOutcome, Error> {
+        let path = format!("/kv/{key}?version={expected_version}");
+        let (status, version, bytes) = self.call("PUT", &path, bytes, self.timeout)?;
         match status {
             200 if version > 0 => Ok(PutOutcome::Written(version)),
             409 | 404 => Ok(PutOutcome::Conflict(value(version, bytes))),
@@ -145,14 +149,14 @@
         }
     }
 
-    fn watch(&self, key: &str, seen: u64, wait: Duration) -> Result<Option<Value>, Error> {
-        let path = format!("/kv/{key}?after={seen}&wait_ms={}", wait.as_millis());
-        let (_, version, bytes) = self.call("GET", &path, &[], wait + self.within)?;
+    fn watch(&self, key: &str, seen_version: u64, wait: Duration) -> Result<Option<Value>, Error> {
+        let path = format!("/kv/{key}?after={seen_version}&wait_ms={}", wait.as_millis());
+        let (_, version, bytes) = self.call("GET", &path, &[], wait + self.timeout)?;
         Ok(value(version, bytes))
     }
 
     fn hosts(&self) -> Result<Vec<u8>, Error> {
-        let (_, _, bytes) = self.call("GET", "/hosts", &[], self.within)?;
+        let (_, _, bytes) = self.call("GET", "/hosts", &[], self.timeout)?;
         Ok(bytes)
     }
 }
--- a/crates/link/src/socket.rs
+++ b/crates/link/src/socket.rs
@@ -1,53 +1,54 @@
-//! TCP connections that notice a silent peer.
+//! TCP connections that detect an unresponsive peer.
 
 use socket2::{SockRef, TcpKeepalive};
 use std::{io, net::SocketAddr, time::Duration};
 use tokio::{net::TcpStream, time::timeout};
 
-/// For a connection to come about.
-const CONNECT: Duration = Duration::from_millis(1_000);
-/// Sent bytes that nobody acknowledges end the connection after this long.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_000);
-/// A connection at rest is probed after this long, and again as often.
-const KEEPALIVE: Duration = Duration::from_secs(2);
-/// Probes without an answer that end a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Time after which a connection with unacknowledged bytes is closed.
+const USER_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Idle time before the first keep-alive probe, and interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Number of unanswered probes after which a connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// A link between hosts at rest is probed after this long, and again as often: a host has a link to each
-/// other, and one that is used shows a silent peer by what it does not acknowledge.
-const LINK_KEEPALIVE: Duration = Duration::from_secs(10);
+/// Keep-alive interval of a link between hosts. It is longer because a host has a link to each
+/// other host, and a link in use detects an unresponsive peer by its unacknowledged bytes.
+const LINK_KEEPALIVE_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Connects to `address`.
 ///
 /// # Errors
-/// If nobody listens there or nobody answers in time.
+/// If the connection is refused or times out.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let stream = timeout(CONNECT, TcpStream::connect(address)).await??;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     set_peer_options(&stream)?;
     Ok(stream)
 }
 
-/// Sets what makes a silent peer known, and sends small pieces at once.
+/// Sets the timeouts that detect an unresponsive peer, and disables Nagle's algorithm.
 ///
 /// # Errors
-/// If the socket takes no such options.
+/// If a socket option can't be set.
 pub fn set_peer_options(stream: &TcpStream) -> io::Result<()> {
-    watch(stream, KEEPALIVE)
+    set_options(stream, KEEPALIVE_INTERVAL)
 }
 
-/// The same for a link between hosts.
+/// Sets the same options for a link between hosts, with a longer keep-alive interval.
 ///
 /// # Errors
-/// If the socket takes no such options.
+/// If a socket option can't be set.
 pub fn set_link_options(stream: &TcpStream) -> io::Result<()> {
-    watch(stream, LINK_KEEPALIVE)
+    set_options(stream, LINK_KEEPALIVE_INTERVAL)
 }
 
-fn watch(stream: &TcpStream, rest: Duration) -> io::Result<()> {
+fn set_options(stream: &TcpStream, interval: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
-    let keepalive =
-        TcpKeepalive::new().with_time(rest).with_interval(rest).with_retries(KEEPALIVE_PROBES);
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
+    let keepalive = TcpKeepalive::new()
+        .with_time(interval)
+        .with_interval(interval)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)
 }
--- a/crates/link/src/workers.rs
+++ b/crates/link/src/workers.rs
@@ -1,6 +1,7 @@
-//! Threads that carry out jobs and wait for more for a while.
+//! A pool of threads that execute jobs.
 //!
-//! Making a thread for each exchange costs more than the exchange when many come at once.
+//! Idle threads are reused for a while, because under load creating a thread for each exchange
+//! costs more than the exchange itself.
 
 use std::{
     sync::{
@@ -13,31 +14,31 @@
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Idle threads, each by a number and the way to it.
-type Idle = Mutex<Vec<(u64, Sender<Job>)>>;
+/// Idle threads: the id and job sender of each.
+type IdleWorkers = Mutex<Vec<(u64, Sender<Job>)>>;
 
-/// A set of threads that grows with the jobs at once.
+/// A pool that grows with the number of parallel jobs.
 pub(crate) struct Workers {
     name: String,
-    stack: usize,
-    idle: Arc<Idle>,
-    next: u64,
+    stack_bytes: usize,
+    idle: Arc<IdleWorkers>,
+    last_id: u64,
 }
 
-/// A thread without a job ends after this long.
-const LINGER: Duration = Duration::from_secs(10);
+/// Time after which an idle thread ends.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-fn lock(idle: &Idle) -> MutexGuard<'_, Vec<(u64, Sender<Job>)>> {
+fn lock(idle: &IdleWorkers) -> MutexGuard<'_, Vec<(u64, Sender<Job>)>> {
     idle.lock().unwrap_or_else(|e| e.into_inner())
 }
 
 impl Workers {
-    /// No threads yet; `stack` in bytes.
-    pub fn new(name: &str, stack: usize) -> Self {
-        Self { name: name.to_owned(), stack, idle: Arc::default(), next: 0 }
+    /// Creates a pool without threads.
+    pub fn new(name: &str, stack_bytes: usize) -> Self {
+        Self { name: name.to_owned(), stack_bytes, idle: Arc::default(), last_id: 0 }
     }
 
-    /// Carries `job` out on an idle thread or on a new one.
+    /// Executes `job` on an idle thread or a new one.
     pub fn run(&mut self, job: Job) {
         let worker = lock(&self.idle).pop();
         let job = match worker {
@@ -47,42 +48,42 @@
                 Err(unsent) => unsent.0,
             },
         };
-        self.next += 1;
-        let (idle, number) = (self.idle.clone(), self.next);
-        let builder = thread::Builder::new().name(self.name.clone()).stack_size(self.stack);
-        if let Err(e) = builder.spawn(move || work(job, &idle, number)) {
+        self.last_id += 1;
+        let (idle, id) = (self.idle.clone(), self.last_id);
+        let builder = thread::Builder::new().name(self.name.clone()).stack_size(self.stack_bytes);
+        if let Err(e) = builder.spawn(move || run_worker(job, &idle, id)) {
             log::error!("event=thread-failed name={} error=\"{e}\"", self.name);
         }
     }
 }
 
-fn work(first: Job, idle: &Idle, number: u64) {
+fn run_worker(first: Job, idle: &IdleWorkers, id: u64) {
     let (sender, inbox) = channel();
     first();
     loop {
-        lock(idle).push((number, sender.clone()));
-        match next(&inbox, idle, number) {
+        lock(idle).push((id, sender.clone()));
+        match next_job(&inbox, idle, id) {
             Some(job) => job(),
             None => return,
         }
     }
 }
 
-/// The next job, or `None` when there was none for long.
-fn next(inbox: &Receiver<Job>, idle: &Idle, number: u64) -> Option<Job> {
-    if let Ok(job) = inbox.recv_timeout(LINGER) {
+/// Waits for the next job; `None` after the idle timeout.
+fn next_job(inbox: &Receiver<Job>, idle: &IdleWorkers, id: u64) -> Option<Job> {
+    if let Ok(job) = inbox.recv_timeout(IDLE_TIMEOUT) {
         return Some(job);
     }
-    let mut waiting = lock(idle);
-    let listed = waiting.iter().position(|(n, _)| *n == number);
-    match listed {
-        Some(at) => {
-            waiting.remove(at);
+    let mut workers = lock(idle);
+    let position = workers.iter().position(|(n, _)| *n == id);
+    match position {
+        Some(index) => {
+            workers.remove(index);
             None
         }
-        // Somebody has just chosen this thread: its job is on the way.
+        // `Workers::run` has just taken this thread from the list and is sending it a job.
         None => {
-            drop(waiting);
+            drop(workers);
             inbox.recv().ok()
         }
     }
--- a/crates/link/tests/burst.rs
+++ b/crates/link/tests/burst.rs
@@ -1,4 +1,4 @@
-//! Connections that come together are all served while all of them stay open.
+//! Guards against connections that arrive together and get no answer until another one closes.
 
 use std::{
     io::{Read, Write},
@@ -9,16 +9,16 @@
 };
 use vanetally_link::http::{Options, Reply, Server};
 
-/// Connections of one burst: more than threads wait for.
-const BURST: usize = 12;
+/// Number of connections in one burst; more than the library has idle threads.
+const BURST_SIZE: usize = 12;
 const BURSTS: usize = 40;
-/// An answer takes a millisecond.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// Timeout of an answer, which normally takes a millisecond.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Whether a request on a new connection is answered; the connection stays open.
-fn ask(address: SocketAddr) -> Option<TcpStream> {
+/// Sends a request on a new connection and returns the open connection if there is an answer.
+fn request(address: SocketAddr) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
     stream.write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n").ok()?;
     let mut byte = [0; 1];
     stream.read_exact(&mut byte).ok()?;
@@ -26,26 +26,26 @@
 }
 
 #[test]
-fn all_answered() {
+fn all_connections_are_answered() {
     for burst in 0..BURSTS {
         let server = Server::try_bind(([127, 0, 0, 1], 0).into()).unwrap();
         let address = server.address();
         let stopper = server.serve("burst", Options::default(), |exchange| {
             exchange.answer(Reply::new(200, "text/plain", "here\n"));
         });
-        let start = Arc::new(Barrier::new(BURST));
-        let callers: Vec<_> = (0..BURST)
+        let start = Arc::new(Barrier::new(BURST_SIZE));
+        let callers: Vec<_> = (0..BURST_SIZE)
             .map(|_| {
                 let start = start.clone();
                 thread::spawn(move || {
                     start.wait();
-                    ask(address)
+                    request(address)
                 })
             })
             .collect();
         let answers: Vec<_> = callers.into_iter().map(|caller| caller.join().unwrap()).collect();
         let unanswered = answers.iter().filter(|answer| answer.is_none()).count();
-        assert_eq!(unanswered, 0, "of {BURST} in burst {burst}");
+        assert_eq!(unanswered, 0, "of {BURST_SIZE} in burst {burst}");
         stopper.stop();
     }
 }
--- a/crates/link/tests/silent_peer.rs
+++ b/crates/link/tests/silent_peer.rs
@@ -1,4 +1,4 @@
-//! A peer that falls silent without a reset is noticed by the system's own time-outs.
+//! Tests of the socket options by which the system detects a peer that stops without a reset.
 
 use rstest::rstest;
 use socket2::SockRef;
@@ -6,25 +6,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use vanetally_link::socket::{set_link_options, set_peer_options};
 
-/// The longest that sent bytes may wait for their acknowledgement.
-const NOTICED: Duration = Duration::from_secs(2);
+/// Maximum time that sent bytes may stay unacknowledged.
+const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Loopback acknowledges whatever arrives, so that no silence can be played on it: the options are read back.
+/// Reads the options back: loopback acknowledges all bytes, so it can't simulate a silent peer.
 #[rstest]
 #[case::call(set_peer_options, 2)]
 #[case::link(set_link_options, 10)]
 #[tokio::test]
 async fn options_set(
-    #[case] watch: fn(&TcpStream) -> std::io::Result<()>,
-    #[case] rest_s: u64,
+    #[case] set_options: fn(&TcpStream) -> std::io::Result<()>,
+    #[case] keepalive_s: u64,
 ) -> std::io::Result<()> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let stream = TcpStream::connect(listener.local_addr()?).await?;
-    watch(&stream)?;
+    set_options(&stream)?;
     let socket = SockRef::from(&stream);
-    assert_eq!(socket.tcp_user_timeout()?, Some(NOTICED));
+    assert_eq!(socket.tcp_user_timeout()?, Some(USER_TIMEOUT));
     assert!(socket.keepalive()?);
-    assert_eq!(socket.tcp_keepalive_time()?, Duration::from_secs(rest_s));
+    assert_eq!(socket.tcp_keepalive_time()?, Duration::from_secs(keepalive_s));
     assert!(stream.nodelay()?);
     Ok(())
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -413,5 +413,5 @@
 
 fn refusal(status: u16, code: &str) -> Reply {
     Reply::json(status, &json!({"error": {"message": code, "type": "engine", "code": code}}))
-        .with("X-Verdict", "not-run")
+        .with_header("X-Verdict", "not-run")
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -198,7 +198,8 @@
         }
         state.version += 1;
         let cell = Cell { version: state.version, bytes, lease };
-        let reply = Reply::new(200, "text/plain", "").with("X-Version", cell.version.to_string());
+        let reply =
+            Reply::new(200, "text/plain", "").with_header("X-Version", cell.version.to_string());
         state.cells.insert(key.to_owned(), cell);
         drop(state);
         self.changed.notify_all();
@@ -289,6 +290,6 @@
     match cell {
         None => Reply::new(if status == 200 { 404 } else { status }, "text/plain", ""),
         Some(cell) => Reply::new(status, "application/octet-stream", cell.bytes.clone())
-            .with("X-Version", cell.version.to_string()),
+            .with_header("X-Version", cell.version.to_string()),
     }
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -60,7 +60,8 @@
         counts.requests += 1;
         if self.faults.now().leaving {
             counts.after_leaving += 1;
-            return Reply::json(503, &json!({"error": "leaving"})).with("X-Verdict", "not-run");
+            return Reply::json(503, &json!({"error": "leaving"}))
+                .with_header("X-Verdict", "not-run");
         }
         if let Some(key) = &key {
             *counts.runs.entry(key.clone()).or_insert(0) += 1;
