--- a/crates/daemon/src/front.rs
+++ b/crates/daemon/src/front.rs
@@ -21,7 +21,7 @@
 use vanetally_claim::Id;
 use vanetally_core::{Arrival, Event, service_entry};
 use vanetally_link::{
-    call::Caller,
+    call::Client,
     http::{BodyError, Exchange, Reply},
 };
 use vanetally_route::{AttemptEnd, Request};
@@ -80,7 +80,7 @@
 pub(crate) struct Front {
     pub board: Arc<Board>,
     pub hub: Sender<Input>,
-    pub caller: Caller,
+    pub caller: Client,
 }
 
 /// The loop answers within this long after a deadline.
@@ -332,8 +332,8 @@
         return refuse(exchange, &Refusal::new(422, "idempotency_key_reused", text));
     }
     let reply = Reply::new(answer.status, &answer.content_type, answer.body.clone())
-        .with("X-Verdict", Verdict::Ran.as_str())
-        .with("X-Replayed", "true");
+        .with_header("X-Verdict", Verdict::Ran.as_str())
+        .with_header("X-Replayed", "true");
     exchange.answer(reply);
     "replayed".into()
 }
