--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -104,10 +104,10 @@
     let (platform, _platform) = Platform::try_start(any, CREDENTIAL)?;
     let slow = engine::Options {
         slots: 2 * MANY as u32,
-        token: Duration::from_millis(TOKEN_MILLIS),
+        token_interval: Duration::from_millis(TOKEN_MILLIS),
         ..engine::Options::default()
     };
-    let fast = engine::Options { token: Duration::ZERO, ..slow.clone() };
+    let fast = engine::Options { token_interval: Duration::ZERO, ..slow.clone() };
     let (slow, _slow) = Engine::try_start(any, slow)?;
     let (fast, _fast) = Engine::try_start(any, fast)?;
     publish(platform, slow, fast)?;
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -37,11 +37,11 @@
     /// How fast it is.
     pub slots: u32,
     /// Between two tokens of a request that runs alone.
-    pub token: Duration,
+    pub token_interval: Duration,
     /// Between a load's start and its end, for each gibibyte.
     pub load_per_gib: Duration,
     /// The weight store, `http://IP:PORT`; none for loads that wait for nobody.
-    pub store: Option<String>,
+    pub store_url: Option<String>,
 }
 
 impl Default for Options {
@@ -50,9 +50,9 @@
             capacity: 80 << 30,
             fenced: true,
             slots: 16,
-            token: Duration::from_millis(20),
+            token_interval: Duration::from_millis(20),
             load_per_gib: Duration::from_millis(20),
-            store: None,
+            store_url: None,
         }
     }
 }
@@ -114,7 +114,11 @@
         address: SocketAddr,
         options: Options,
     ) -> anyhow::Result<(SocketAddr, Stopper)> {
-        let speed = Speed { slots: options.slots, token: options.token, prefill: PREFILL };
+        let speed = Speed {
+            slots: options.slots,
+            token_interval: options.token_interval,
+            prefill: PREFILL,
+        };
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?;
         let incarnation = unix.as_millis() as u64;
         let caller =
@@ -237,12 +241,12 @@
         let incarnation = self.incarnation.load(Ordering::Relaxed);
         let gib = bytes as f64 / f64::from(1 << 30);
         let span = self.options.load_per_gib.mul_f64(gib);
-        match &self.options.store {
+        match &self.options.store_url {
             None => thread::sleep(span),
-            Some(store) => {
+            Some(url) => {
                 let call = Call {
                     method: "POST".into(),
-                    url: format!("{store}/load?ms={}", span.as_millis()),
+                    url: format!("{url}/load?ms={}", span.as_millis()),
                     headers: Vec::new(),
                     body: Vec::new(),
                     within: LONGEST_LOAD,
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -13,7 +13,7 @@
     /// Requests at full speed at once.
     pub slots: u32,
     /// Between two tokens of a request that runs alone.
-    pub token: Duration,
+    pub token_interval: Duration,
     /// For a thousand characters of a prompt that is not cached.
     pub prefill: Duration,
 }
@@ -89,7 +89,7 @@
     /// Until the next token: longer when more run than there are slots.
     pub fn token(&self) -> Duration {
         let over = f64::from(self.lock().running) / f64::from(self.speed.slots.max(1));
-        self.speed.token.mul_f64(over.max(1.0))
+        self.speed.token_interval.mul_f64(over.max(1.0))
     }
 }
 
--- a/src/standin.rs
+++ b/src/standin.rs
@@ -54,9 +54,9 @@
                 args.engine.capacity = parser.value()?.parse::<u64>()? << 30;
             }
             Arg::Long("slots") => args.engine.slots = parser.value()?.parse()?,
-            Arg::Long("token-ms") => args.engine.token = millis(&mut parser)?,
+            Arg::Long("token-ms") => args.engine.token_interval = millis(&mut parser)?,
             Arg::Long("load-ms-per-gib") => args.engine.load_per_gib = millis(&mut parser)?,
-            Arg::Long("store") => args.engine.store = Some(parser.value()?.string()?),
+            Arg::Long("store") => args.engine.store_url = Some(parser.value()?.string()?),
             Arg::Long("unfenced") => args.engine.fenced = false,
             Arg::Long("per-10s") => args.per_10s = parser.value()?.parse()?,
             Arg::Long("takes-ms") => args.takes = millis(&mut parser)?,
--- a/src/tool/demo.rs
+++ b/src/tool/demo.rs
@@ -38,7 +38,7 @@
         let options = engine::Options {
             capacity: 48 * GIB,
             fenced: at != 2,
-            store: Some(format!("http://{store}")),
+            store_url: Some(format!("http://{store}")),
             ..engine::Options::default()
         };
         engines.push(Engine::try_start(any, options)?);
