--- a/crates/bench/benches/fleet.rs
+++ b/crates/bench/benches/fleet.rs
@@ -3,7 +3,7 @@
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use std::{collections::BTreeMap, hint::black_box, rc::Rc, time::Duration};
 use vanetally_dispatch::{
-    Action, BudgetOptions, Digest, Dispatch, Event, LoadRow, Options, RequestId,
+    Action, Digest, Dispatch, Event, LoadRow, Options, RequestId, RetryBudgetOptions,
 };
 use vanetally_fanout::Totals;
 use vanetally_pacing::{Pacer, Prompt};
@@ -100,7 +100,7 @@
     let options = Options {
         host: "front-0".into(),
         domain: "z1".into(),
-        budget: BudgetOptions { ratio: 0.2, window_ms: 10_000, slack: 630.0 },
+        retry_budget: RetryBudgetOptions { ratio: 0.2, window_ms: 10_000, slack: 630.0 },
         grace_ms: 8_000,
         revoke_ms: None,
     };
@@ -120,7 +120,7 @@
         path: "/offer/1".into(),
         wait_ms: Some(15_000),
         credential: vanetally_ports::Credential::Missing,
-        has_tokens: true,
+        has_token_count: true,
         model: Some(ModelRef { model: model(number as usize % models), adapter: None }),
         prompt_tokens: 1_460,
         output_tokens: 174,
@@ -139,7 +139,7 @@
             b.iter(|| {
                 number += 1;
                 let (id, request) = (RequestId(number), request(number, models(runners)));
-                let actions = dispatch.handle(NOW, Event::Arrived { id, request, content: 0 });
+                let actions = dispatch.handle(NOW, Event::Arrived { id, request, content_hash: 0 });
                 assert!(matches!(actions[..], [Action::Reserve { .. }]), "{actions:?}");
                 dispatch.handle(NOW, Event::CallerLeft { id })
             });
@@ -184,7 +184,7 @@
                 let id = RequestId(number);
                 let credential = Credential::Key(key(number as usize % ORGANISATIONS));
                 let request = CallerRequest { credential, ..request(number, models(runners)) };
-                let actions = dispatch.handle(NOW, Event::Arrived { id, request, content: 0 });
+                let actions = dispatch.handle(NOW, Event::Arrived { id, request, content_hash: 0 });
                 assert!(matches!(actions[..], [Action::Reserve { .. }]), "{actions:?}");
                 dispatch.handle(NOW, Event::CallerLeft { id })
             });
@@ -221,7 +221,7 @@
             b.iter_batched(
                 next,
                 |digest| {
-                    totals.take_sum(NOW, "front-2".into(), digest.loads.clone());
+                    totals.record_sum(NOW, "front-2".into(), digest.loads.clone());
                     let event = Event::PeerDigest { host: "front-2".into(), digest };
                     black_box(dispatch.handle(NOW, event))
                 },
@@ -249,7 +249,7 @@
     for runners in RUNNERS {
         let mut now = NOW;
         let mut holder =
-            Placement::new(placement::Options { holder: "front-1".into(), window_ms: 5_000 });
+            Placement::new(placement::Options { holder: "front-1".into(), load_window_ms: 5_000 });
         holder.handle(now, placement::Event::Configured(configuration(models(runners))));
         for number in 0..runners {
             let (id, state) = (runner(number), state(number, models(runners)));
@@ -259,7 +259,8 @@
         for number in 0..runners {
             let report = Report { models: held(number, models(runners)), ..Report::default() };
             let (runner, asked) = (runner(number), now);
-            let reported = placement::Event::Reported { runner, asked, report: Some(report) };
+            let reported =
+                placement::Event::Reported { runner, requested_at: asked, report: Some(report) };
             holder.handle(now, reported);
         }
         group.bench_function(BenchmarkId::from_parameter(runners), |b| {
@@ -290,7 +291,7 @@
                 gap_ms: 400,
             };
             let now = Tick(NOW.0 + number as u64);
-            black_box(pacer.told(now, &prompt.upstream, false));
+            black_box(pacer.record_outcome(now, &prompt.upstream, false));
             pacer.reserve(now, &prompt)
         });
     });
--- a/crates/check/tests/walks.rs
+++ b/crates/check/tests/walks.rs
@@ -8,7 +8,7 @@
     walk,
 };
 use vanetally_claim::Guards as ClaimGuards;
-use vanetally_config::keeper::Guards as ConfigGuards;
+use vanetally_config::tracker::Guards as ConfigGuards;
 use vanetally_ledger::Guards as LedgerGuards;
 
 /// Steps of a run.
@@ -96,7 +96,7 @@
 #[test]
 fn guard_matters() {
     // The runs reach deep enough to notice a missing guard.
-    let guards = ClaimGuards { doubt: false, ..ClaimGuards::ON };
+    let guards = ClaimGuards { unresolved: false, ..ClaimGuards::ON };
     let options = claims::Options { guards, ..claims() };
     let mut pick = 1_usize;
     let mut draw = || {
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -1,9 +1,9 @@
 //! Requests of callers at this entry host.
 
-use crate::{Action, Arrival, Core, Frame, Refused, Why};
+use crate::{Action, Arrival, Core, Frame, RefusalReason, Refused};
 use std::sync::Arc;
-use vanetally_claim::{Answer, Ask, Finish, Id, Reply, Ticket, slot_of};
-use vanetally_route::{Action as Do, End, Event as Route, Reason, Refusal, Request};
+use vanetally_claim::{Answer, ClaimRequest, Id, Outcome, Reply, Ticket, slot_of};
+use vanetally_route::{Action as Do, AttemptEnd, Event as Route, Reason, Refusal, Request};
 use vanetally_types::{HostId, Tick, Verdict};
 
 /// A once-only request at this entry host.
@@ -30,7 +30,7 @@
 
 impl Core {
     pub(crate) fn arrive(&mut self, arrival: Arrival) {
-        let Some(id) = arrival.once else {
+        let Some(id) = arrival.claim_id else {
             return self.route(arrival.request);
         };
         let number = arrival.request.id;
@@ -60,24 +60,30 @@
     fn refused(&mut self, id: u64, refusal: Refusal) {
         if let Some(attempt) = self.attempts.remove(&id) {
             let finish = match refusal.verdict {
-                Verdict::NotRun => Finish::NotRun,
-                Verdict::MayHaveRun => Finish::Unknown,
-                Verdict::Ran => Finish::Ran(None),
+                Verdict::NotRun => Outcome::NotRun,
+                Verdict::MayHaveRun => Outcome::Unknown,
+                Verdict::Ran => Outcome::Ran(None),
             };
             self.finish(attempt.id, id, finish);
         }
-        let why = match refusal.reason {
-            Reason::Late => Why::DeadlineUnmeetable,
-            Reason::Full => Why::Overloaded,
-            Reason::Nowhere => Why::NoUpstream,
-            Reason::Failed => Why::UpstreamFailed,
+        let reason = match refusal.reason {
+            Reason::DeadlineUnmeetable => RefusalReason::DeadlineUnmeetable,
+            Reason::QueueFull => RefusalReason::Overloaded,
+            Reason::NoUpstream => RefusalReason::NoUpstream,
+            Reason::UpstreamFailed => RefusalReason::UpstreamFailed,
         };
-        let retry = (refusal.verdict == Verdict::NotRun).then_some(refusal.retry_after);
-        self.refuse(id, why, refusal.verdict, retry);
+        let retry = (refusal.verdict == Verdict::NotRun).then_some(refusal.retry_after_ms);
+        self.refuse(id, reason, refusal.verdict, retry);
     }
 
-    fn refuse(&mut self, id: u64, why: Why, verdict: Verdict, retry_after: Option<u64>) {
-        self.out.push(Action::Refuse(id, Refused { why, verdict, retry_after }));
+    fn refuse(
+        &mut self,
+        id: u64,
+        reason: RefusalReason,
+        verdict: Verdict,
+        retry_after_ms: Option<u64>,
+    ) {
+        self.out.push(Action::Refuse(id, Refused { reason, verdict, retry_after_ms }));
     }
 
     fn ticket(&self, number: u64) -> Ticket {
@@ -94,14 +100,14 @@
         let (id, deadline, tries) = (attempt.id, attempt.request.deadline, attempt.tries);
         let slot = slot_of(id, self.options.slots);
         let holder = at.or_else(|| self.slot_heads.get(&slot).map(|h| h.1.clone()));
-        let ask = Ask { id, deadline: deadline.0, ticket: self.ticket(number) };
+        let ask = ClaimRequest { id, deadline: deadline.0, ticket: self.ticket(number) };
         let serves = |h: &HostId| self.members.is_reachable(self.now, h);
         match holder {
             _ if tries > MOST_TRIES => self.give_up(number),
             // Waiting for a successor would hold the answer back; the caller may come again.
             Some(holder) if !serves(&holder) => self.give_up(number),
             Some(holder) if holder != self.options.me => {
-                self.send(&holder.name, Frame::Ask(ask));
+                self.send(&holder.name, Frame::Claim(ask));
             }
             Some(_) => self.ask_here(ask),
             None => {}
@@ -114,9 +120,9 @@
         let Some(attempt) = self.attempts.remove(&number) else {
             return;
         };
-        self.finish(attempt.id, number, Finish::NotRun);
+        self.finish(attempt.id, number, Outcome::NotRun);
         // Another attempt with this id may have run elsewhere.
-        self.refuse(number, Why::IdUndecided, Verdict::MayHaveRun, Some(UNDECIDED));
+        self.refuse(number, RefusalReason::IdUndecided, Verdict::MayHaveRun, Some(UNDECIDED));
     }
 
     pub(crate) fn replied(&mut self, from: HostId, ticket: Ticket, id: Id, reply: Reply) {
@@ -126,7 +132,7 @@
         }
         let Some(attempt) = self.attempts.get_mut(&number) else {
             if reply == Reply::Grant && !self.unacked.contains_key(&ticket) {
-                self.finish(id, number, Finish::NotRun);
+                self.finish(id, number, Outcome::NotRun);
             }
             return;
         };
@@ -139,31 +145,39 @@
                 let request = attempt.request.clone();
                 self.route(request);
             }
-            Reply::Kept(answer) => {
+            Reply::Replay(answer) => {
                 self.attempts.remove(&number);
                 self.out.push(Action::Replay(number, answer));
             }
-            Reply::AlreadyRan => self.decline(number, Why::AlreadyRan, Verdict::Ran, None),
+            Reply::AlreadyRan => {
+                self.decline(number, RefusalReason::AlreadyRan, Verdict::Ran, None)
+            }
             Reply::MayHaveRun => {
-                self.decline(number, Why::IdUncertain, Verdict::MayHaveRun, None);
+                self.decline(number, RefusalReason::IdUncertain, Verdict::MayHaveRun, None);
             }
-            Reply::Later(millis) => {
-                self.decline(number, Why::IdUndecided, Verdict::MayHaveRun, Some(millis));
+            Reply::RetryAfter(millis) => {
+                self.decline(number, RefusalReason::IdUndecided, Verdict::MayHaveRun, Some(millis));
             }
             Reply::NotHolder(Some(holder)) if holder != from => self.ask(number, Some(holder)),
             Reply::NotHolder(_) => {}
         }
     }
 
-    fn decline(&mut self, number: u64, why: Why, verdict: Verdict, retry_after: Option<u64>) {
+    fn decline(
+        &mut self,
+        number: u64,
+        reason: RefusalReason,
+        verdict: Verdict,
+        retry_after_ms: Option<u64>,
+    ) {
         self.attempts.remove(&number);
-        self.refuse(number, why, verdict, retry_after);
+        self.refuse(number, reason, verdict, retry_after_ms);
     }
 
     /// Tells the slot's holder how an attempt ended, until it has heard.
-    fn finish(&mut self, id: Id, number: u64, finish: Finish) {
+    fn finish(&mut self, id: Id, number: u64, finish: Outcome) {
         let ticket = self.ticket(number);
-        let until = self.now + self.options.horizon;
+        let until = self.now + self.options.horizon_ms;
         self.unacked.insert(ticket.clone(), (id, finish, self.now, until));
         self.tell_finish(&ticket);
     }
@@ -180,9 +194,10 @@
         };
         if holder != self.options.me {
             let ticket = ticket.clone();
-            return self.send(&holder.name, Frame::Finished { id, ticket, finish });
+            return self.send(&holder.name, Frame::Finished { id, ticket, outcome: finish });
         }
-        let event = vanetally_claim::Event::Finished { id, ticket: ticket.clone(), finish };
+        let event =
+            vanetally_claim::Event::Finished { id, ticket: ticket.clone(), outcome: finish };
         self.unacked.remove(ticket);
         self.slot_event(slot, event);
     }
@@ -190,13 +205,14 @@
     pub(crate) fn attempt_ended(
         &mut self,
         id: u64,
-        end: End,
+        end: AttemptEnd,
         sent: bool,
         answer: Option<Arc<Answer>>,
     ) {
         let granted = self.attempts.get(&id).is_some_and(|a| a.granted);
-        let over = matches!(end, End::Done | End::Gone) || sent;
-        let actions = self.router.handle(self.now, Route::Ended { id, end, sent });
+        let over = matches!(end, AttemptEnd::Completed | AttemptEnd::CallerGone) || sent;
+        let actions =
+            self.router.handle(self.now, Route::Ended { id, end, response_started: sent });
         self.route_actions(actions);
         if !over {
             return;
@@ -205,9 +221,9 @@
             return;
         };
         let finish = match (granted, end) {
-            (true, End::Done) => Finish::Ran(answer),
-            (true, _) => Finish::Unknown,
-            (false, _) => Finish::NotRun,
+            (true, AttemptEnd::Completed) => Outcome::Ran(answer),
+            (true, _) => Outcome::Unknown,
+            (false, _) => Outcome::NotRun,
         };
         self.finish(attempt.id, id, finish);
     }
@@ -244,7 +260,7 @@
     /// Whether an attempt's end is unconfirmed and worth delaying a planned stop for.
     pub(crate) fn has_fresh_finishes(&self) -> bool {
         let mut ends = self.unacked.values();
-        ends.any(|(_, _, _, until)| self.now.since(*until - self.options.horizon) < STOP_TELLS)
+        ends.any(|(_, _, _, until)| self.now.since(*until - self.options.horizon_ms) < STOP_TELLS)
     }
 
     fn tell_finishes(&mut self) {
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -13,9 +13,9 @@
     thread,
     time::Duration,
 };
-use vanetally_core::{Event, Fenced, Ordered, Polled};
+use vanetally_core::{Event, FenceReply, OrderReply, PollReply};
 use vanetally_ledger::{Epoch, Order, Refusal, Report};
-use vanetally_link::call::{Call, Caller};
+use vanetally_link::call::{Call, Client};
 use vanetally_types::Name;
 
 /// What a runner is told or asked.
@@ -28,7 +28,7 @@
 /// The way to the runners' threads.
 pub(crate) struct Lanes {
     board: Arc<Board>,
-    caller: Caller,
+    caller: Client,
     hub: Sender<Input>,
     lanes: HashMap<(Name, Name), Sender<Job>>,
 }
@@ -59,7 +59,7 @@
 
 impl Lanes {
     /// No threads yet; what they learn goes to `hub`.
-    pub fn new(board: Arc<Board>, caller: Caller, hub: Sender<Input>) -> Self {
+    pub fn new(board: Arc<Board>, caller: Client, hub: Sender<Input>) -> Self {
         Self { board, caller, hub, lanes: HashMap::new() }
     }
 
@@ -114,7 +114,7 @@
     runner: Name,
     url: Name,
     board: Arc<Board>,
-    caller: Caller,
+    caller: Client,
 }
 
 impl Lane {
@@ -134,20 +134,20 @@
     fn poll(&self) -> Event {
         let asked = self.board.clock.now();
         let state = self.ask("GET", "/engine/state", Vec::new());
-        let polled = state.ok().filter(|(status, _)| *status == 200).map(|(_, s)| Polled {
+        let polled = state.ok().filter(|(status, _)| *status == 200).map(|(_, s)| PollReply {
             report: s.report,
             running: s.running + s.queued,
             leaving: s.leaving,
         });
-        Event::Polled { runner: self.runner.clone(), asked, polled }
+        Event::Polled { runner: self.runner.clone(), polled_at: asked, reply: polled }
     }
 
     fn fence(&self, epoch: Epoch) -> Event {
         let body = json!({"epoch": epoch}).to_string().into_bytes();
         let fenced = match self.ask("POST", "/engine/fence", body) {
-            Ok((200, state)) => Fenced::Accepted(state.report),
-            Ok((409, state)) => Fenced::Outranked(Epoch(state.report.epoch)),
-            _ => Fenced::Lost,
+            Ok((200, state)) => FenceReply::Accepted(state.report),
+            Ok((409, state)) => FenceReply::StaleEpoch(Epoch(state.report.epoch)),
+            _ => FenceReply::Unanswered,
         };
         Event::Fenced(self.runner.clone(), epoch, fenced)
     }
@@ -155,12 +155,12 @@
     fn order(&self, order: &Order) -> Event {
         let body = serde_json::to_vec(order).unwrap_or_default();
         let ordered = match self.ask("POST", "/engine/order", body) {
-            Ok((200 | 202, state)) => Ordered::Answered(Ok(()), state.report),
+            Ok((200 | 202, state)) => OrderReply::Answered(Ok(()), state.report),
             Ok((409, state)) => match state.refusal {
-                Some(Refusal::Stale) | None => Ordered::Outranked(Epoch(state.report.epoch)),
-                Some(refusal) => Ordered::Answered(Err(refusal), state.report),
+                Some(Refusal::Stale) | None => OrderReply::StaleEpoch(Epoch(state.report.epoch)),
+                Some(refusal) => OrderReply::Answered(Err(refusal), state.report),
             },
-            _ => Ordered::Lost,
+            _ => OrderReply::Unanswered,
         };
         Event::Ordered(self.runner.clone(), order.epoch, order.seq, ordered)
     }
@@ -171,7 +171,7 @@
             url: format!("{}{path}", self.url.trim_end_matches('/')),
             headers: vec![("Content-Type".into(), "application/json".into())],
             body,
-            within: WITHIN,
+            timeout: WITHIN,
         };
         let answer = self.caller.send(&call)?;
         let mut bytes = Vec::new();
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -1,71 +1,71 @@
-//! The budget for repeated sendings, of which each host holds a share.
+//! Retry budget of a service, of which each host has a share.
 
 use std::collections::VecDeque;
 use vanetally_types::Tick;
 
-/// What all hosts together may repeat.
+/// Bounds on the retries of all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetOptions {
-    /// Repeats for each request.
+pub struct RetryBudgetOptions {
+    /// Retries per request.
     pub ratio: f64,
-    /// The sliding window, in milliseconds.
+    /// Length of the sliding window.
     pub window_ms: u64,
-    /// Repeats beyond the ratio in one window.
+    /// Retries per window in addition to the ratio.
     pub slack: f64,
 }
 
-/// This host's share of the budget of one service.
+/// This host's share of the retry budget of one service.
 #[derive(Clone, Debug)]
-pub struct Budget {
-    options: BudgetOptions,
+pub struct RetryBudget {
+    options: RetryBudgetOptions,
     hosts: usize,
     requests: VecDeque<Tick>,
-    repeats: VecDeque<Tick>,
+    retries: VecDeque<Tick>,
 }
 
-/// Share of the bound that is used: clocks and windows of hosts don't line up.
-const SAFETY: f64 = 0.8;
+/// Share of the budget that is used: clocks and windows of the hosts are not aligned.
+const SAFETY_FACTOR: f64 = 0.8;
 
-/// Hosts that may live beside those that are known.
-const UNKNOWN_HOSTS: usize = 2;
+/// Hosts that may exist in addition to the known ones.
+const SPARE_HOSTS: usize = 2;
 
-impl Budget {
-    /// An untouched budget.
-    pub fn new(options: BudgetOptions) -> Self {
-        Self { options, hosts: 1, requests: VecDeque::new(), repeats: VecDeque::new() }
+impl RetryBudget {
+    /// Creates a full budget for a single host.
+    pub fn new(options: RetryBudgetOptions) -> Self {
+        Self { options, hosts: 1, requests: VecDeque::new(), retries: VecDeque::new() }
     }
 
-    /// The slack is shared by `hosts` that may live.
-    pub fn share_among(&mut self, hosts: usize) {
+    /// Sets the number of hosts that share the slack.
+    pub fn set_hosts(&mut self, hosts: usize) {
         self.hosts = hosts.max(1);
     }
 
-    /// A request arrived.
-    pub fn earn(&mut self, now: Tick) {
+    /// Records a request, which adds to the budget.
+    pub fn record_request(&mut self, now: Tick) {
         self.forget(now);
         self.requests.push_back(now);
     }
 
-    /// Whether a repeat is allowed now; takes it from the budget.
+    /// Takes a retry from the budget if one is left. Returns whether it did.
     pub fn try_spend(&mut self, now: Tick) -> bool {
         self.forget(now);
-        let slack = self.options.slack / (self.hosts + UNKNOWN_HOSTS) as f64;
-        let most = SAFETY * (self.options.ratio * self.requests.len() as f64 + slack);
-        if (self.repeats.len() + 1) as f64 > most {
+        let slack = self.options.slack / (self.hosts + SPARE_HOSTS) as f64;
+        let allowed = SAFETY_FACTOR * (self.options.ratio * self.requests.len() as f64 + slack);
+        if (self.retries.len() + 1) as f64 > allowed {
             return false;
         }
-        self.repeats.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
     fn forget(&mut self, now: Tick) {
         let window = self.options.window_ms;
-        let is_old = |at: &Tick| now.since(*at) > window;
-        while self.requests.front().is_some_and(is_old) {
+        let is_expired = |at: &Tick| now.since(*at) > window;
+        while self.requests.front().is_some_and(is_expired) {
             self.requests.pop_front();
         }
-        while self.repeats.front().is_some_and(is_old) {
-            self.repeats.pop_front();
+        while self.retries.front().is_some_and(is_expired) {
+            self.retries.pop_front();
         }
     }
 }
--- a/crates/dispatch/src/ending.rs
+++ b/crates/dispatch/src/ending.rs
@@ -1,64 +1,67 @@
-//! How attempts and requests end: what is learned, what may be sent again, what the caller is told.
+//! End of attempts and requests: what is learned from it, whether the request is retried, and the
+//! final answer.
 
 use crate::{
-    Action, AttemptEnd, Dispatch, RequestId, Standing,
-    request::{Request, Sending, Stage},
-    sending::WANT_AGAIN_MS,
+    Action, AttemptEnd, Dispatch, RefusalContext, RequestId,
+    request::{ActiveAttempt, Request, Stage},
+    sending::MODEL_REQUEST_INTERVAL_MS,
 };
 use vanetally_ports::{Refusal, RefusalCause, RequestKind};
-use vanetally_quarantine::{Content, Sign};
+use vanetally_quarantine::{ContentHash, CrashSign};
 use vanetally_types::{Incarnation, Tick, Verdict};
 
-/// An upstream that was full is left alone for this long, in milliseconds.
-const FULL_MS: u64 = 60;
-/// Most doublings of that, where it turns one after the other away: 69 hosts that each come back after 60 ms ask one
-/// upstream a thousand times a second, and use up what they may repeat.
-const MOST_DOUBLINGS: u32 = 3;
-/// An upstream that could not be reached is left alone for this long, in milliseconds.
-const UNREACHABLE_MS: u64 = 250;
-/// A request that was turned away waits this long before it is sent again, in milliseconds.
-const AGAIN_MS: u64 = 30;
-/// The final answer at the deadline leaves the upstream this long to give its own, in milliseconds.
+/// How long an upstream that was full gets no requests.
+const FULL_PAUSE_MS: u64 = 60;
+/// Maximum number of times that [`FULL_PAUSE_MS`] is doubled while an upstream rejects one request
+/// after another. With a constant pause of 60 ms, 69 hosts would send one upstream a thousand
+/// requests per second and use up their retry budget.
+const MAX_DOUBLINGS: u32 = 3;
+/// How long an upstream that could not be reached gets no requests.
+const UNREACHABLE_PAUSE_MS: u64 = 250;
+/// How long a rejected request waits before it is sent again.
+const RETRY_DELAY_MS: u64 = 30;
+/// Time past the deadline in which the upstream's answer is awaited before the final answer.
 const DEADLINE_GRACE_MS: u64 = 120;
-/// A request that was turned away by all upstreams allowed to it waits this long for one of them.
-const EXHAUSTED_MS: u64 = 150;
-/// Sendings of one request, those that were turned away included.
-const MOST_SENDINGS: u32 = 4;
-/// Least time left for a sending to make sense, in milliseconds.
-const LEAST_LEFT_MS: u64 = 20;
-/// A content is not sent while it is looked at what an attempt of it left behind, in milliseconds: at most.
-const DOUBT_MS: u64 = 600;
-/// A host that keeps the evidence has said what it thinks of a sign within this time, in milliseconds.
-const VERDICT_MS: u64 = 100;
-/// When to come back if nothing better is known, in milliseconds.
-pub(crate) const RETRY_MS: u64 = 500;
-/// A host knows a configuration this long after its start, in milliseconds: 0.27 to 0.55 s where all of 295 hosts
-/// start together.
-const START_MS: u64 = 550;
-/// When to come back to a host that knows no configuration yet, in milliseconds, at least: one that is late already
-/// is seldom ready sooner.
-const LEAST_START_RETRY_MS: u64 = 250;
-/// A store that is there has answered the first call of a process by now, in milliseconds: the call goes out with
-/// the first tick, after 20 ms, and answers take four and the way.
+/// How long a request that was rejected by all upstreams allowed to it waits for one of them.
+const EXHAUSTED_WAIT_MS: u64 = 150;
+/// Maximum number of attempts of one request, including rejected ones.
+const MAX_ATTEMPTS: u32 = 4;
+/// Minimum time left at which an attempt makes sense.
+const MIN_REMAINING_MS: u64 = 20;
+/// Maximum time for which a content is not sent while the upstream of a broken attempt is probed.
+const PROBE_HOLD_MS: u64 = 600;
+/// How long a content stays on hold for the verdict on a crash report from the host that keeps the
+/// evidence.
+const REPORT_HOLD_MS: u64 = 100;
+/// Default `Retry-After`.
+pub(crate) const RETRY_AFTER_MS: u64 = 500;
+/// Time from the start of a host until it has a configuration: 270 to 550 ms when 295 hosts start
+/// together.
+const STARTUP_MS: u64 = 550;
+/// Minimum `Retry-After` of a host without a configuration. A host that is late already is rarely
+/// ready sooner.
+const MIN_STARTUP_RETRY_MS: u64 = 250;
+/// Time within which a reachable store has answered the first call of a process. The call is sent
+/// at the first tick after 20 ms; an answer takes 4 ms plus the network latency.
 const STORE_ANSWER_MS: u64 = 60;
-/// When to come back to a host whose store is away, in milliseconds.
-const STORE_RETRY_MS: u64 = 1_000;
-/// When to come back after a refusal by a host that stops, in milliseconds.
-pub(crate) const STOP_RETRY_MS: u64 = 50;
-/// When to come back for a model that nobody holds, in milliseconds.
-const LOAD_RETRY_MS: u64 = 3_000;
+/// `Retry-After` of a host whose store is unavailable.
+const STORE_RETRY_AFTER_MS: u64 = 1_000;
+/// `Retry-After` of a host that is stopping.
+pub(crate) const STOP_RETRY_AFTER_MS: u64 = 50;
+/// `Retry-After` for a model that no upstream holds.
+const LOAD_RETRY_AFTER_MS: u64 = 3_000;
 
-/// When to come back to a host that knows no configuration `age_ms` after its start, in milliseconds.
+/// Returns the `Retry-After` of a host without a configuration, `age_ms` after its start.
 ///
-/// Callers that were refused while all hosts started are then served within their objective of a second; with a
-/// whole second for all of them 820 of 1,885 were late. Where the store is away, those that come back that soon
-/// are refused again.
-pub(crate) fn start_retry_ms(age_ms: u64, has_store: bool) -> u64 {
+/// When all hosts start together, callers are then served within their objective of one second; a
+/// fixed second for all made nearly half of them late. If the store is unavailable, callers that
+/// return earlier are only refused again.
+pub(crate) fn startup_retry_ms(age_ms: u64, has_store: bool) -> u64 {
     let is_store_late = age_ms > STORE_ANSWER_MS && !has_store;
-    if is_store_late || age_ms > START_MS + LEAST_START_RETRY_MS {
-        return STORE_RETRY_MS;
+    if is_store_late || age_ms > STARTUP_MS + MIN_STARTUP_RETRY_MS {
+        return STORE_RETRY_AFTER_MS;
     }
-    START_MS.saturating_sub(age_ms).max(LEAST_START_RETRY_MS)
+    STARTUP_MS.saturating_sub(age_ms).max(MIN_STARTUP_RETRY_MS)
 }
 
 impl Dispatch {
@@ -73,41 +76,43 @@
         let Some(mut request) = self.requests.remove(&id) else {
             return;
         };
-        let Stage::Sent(sending) = std::mem::replace(&mut request.stage, Stage::Waiting) else {
+        let Stage::Sent(attempt) = std::mem::replace(&mut request.stage, Stage::Waiting) else {
             self.requests.insert(id, request);
             return;
         };
         if matches!(end, AttemptEnd::Unreachable | AttemptEnd::Withdrawn) {
-            let upstream = sending.upstream.clone();
-            actions.extend(sending.permit.map(|rate| Action::ReturnPermit { upstream, rate }));
+            let upstream = attempt.upstream.clone();
+            actions.extend(attempt.permit_rate.map(|rate| Action::ReturnPermit { upstream, rate }));
         }
-        self.learn_end(now, &request, &sending, end);
-        self.tell_end(&request, &sending, end, actions);
-        self.weigh_content(now, &request, &sending, end, actions);
+        self.record_end(now, &request, &attempt, end);
+        self.report_outcome(&request, &attempt, end, actions);
+        self.update_quarantine(now, &request, &attempt, end, actions);
         match end {
             AttemptEnd::Served => return,
-            // The upstream's own failure went to the caller, unless it may be tried again.
+            // The upstream's error was passed to the caller, unless the request may be retried.
             AttemptEnd::Failed if answered || !request.route.is_repeatable() => return,
             AttemptEnd::Failed => request.verdict = Verdict::Ran,
             AttemptEnd::Unreachable | AttemptEnd::Withdrawn => {
-                if request.sendings == 1 {
+                if request.attempts == 1 {
                     request.tried.clear();
                 }
             }
             AttemptEnd::Broken => request.verdict = Verdict::MayHaveRun,
             AttemptEnd::Full | AttemptEnd::Absent | AttemptEnd::Replaced => {
-                request.not_before = now + AGAIN_MS;
+                request.not_before = now + RETRY_DELAY_MS;
             }
         }
         if request.verdict == Verdict::NotRun && request.is_exhausted() {
-            // Only where it was turned away may it be sent again: its caller does better elsewhere.
-            request.patience = request.patience.min(now + EXHAUSTED_MS);
+            // The request may only be sent again to upstreams that rejected it; the caller has
+            // better chances at another host.
+            request.wait_limit = request.wait_limit.min(now + EXHAUSTED_WAIT_MS);
         }
-        let barred = self.bar(now, &request).map(|bar| bar.with_verdict(request.verdict));
-        match barred.or_else(|| self.why_not_again(now, &request, end, answered)) {
+        let blocked =
+            self.send_refusal(now, &request).map(|refusal| refusal.with_verdict(request.verdict));
+        match blocked.or_else(|| self.retry_refusal(now, &request, end, answered)) {
             Some(refusal) => {
-                let standing = Standing::from(&request);
-                actions.push(Action::Refuse { id, refusal, standing });
+                let context = RefusalContext::from(&request);
+                actions.push(Action::Refuse { id, refusal, context });
             }
             None => {
                 self.queue.insert(id, &request);
@@ -116,32 +121,34 @@
         }
     }
 
-    /// An attempt that broke off speaks against its content, unless such requests are answered elsewhere.
-    fn weigh_content(
+    /// Updates the quarantine state of a request's content. A broken attempt counts against its
+    /// content and has its upstream probed, unless the content was answered elsewhere a short time
+    /// ago.
+    fn update_quarantine(
         &mut self,
         now: Tick,
         request: &Request,
-        sending: &Sending,
+        attempt: &ActiveAttempt,
         end: AttemptEnd,
         actions: &mut Vec<Action>,
     ) {
-        let content = request.content;
+        let content = request.content_hash;
         match end {
-            AttemptEnd::Served => self.held.answered(now, content),
-            AttemptEnd::Broken if !self.held.was_just_answered(now, content) => {
-                let upstream = sending.upstream.clone();
+            AttemptEnd::Served => self.quarantine.record_answer(now, content),
+            AttemptEnd::Broken if !self.quarantine.was_answered_recently(now, content) => {
+                let upstream = attempt.upstream.clone();
                 let Some(known) = self.upstreams.get(&upstream) else {
                     return;
                 };
                 let is_common = self.is_common(request);
                 if !is_common {
-                    self.held.doubt(now, content, DOUBT_MS);
+                    self.quarantine.suspend(now, content, PROBE_HOLD_MS);
                 }
-                actions.push(Action::LookAt {
+                actions.push(Action::Probe {
                     upstream,
                     address: known.state.address,
                     is_engine: self.is_engine(&request.service),
-                    content,
+                    content_hash: content,
                     is_common,
                 });
             }
@@ -149,64 +156,73 @@
         }
     }
 
-    /// Whether many callers send what a request says.
+    /// Whether many callers send the content of this request.
     pub(crate) fn is_common(&self, request: &Request) -> bool {
         let is_repeated = request.route.kind == RequestKind::Idempotent;
-        is_repeated || self.held.was_answered(request.content)
+        is_repeated || self.quarantine.was_answered(request.content_hash)
     }
 
-    /// Somebody looked whether an upstream lives: one that shows no life gets nothing for a while.
-    pub(crate) fn looked_at(
+    /// Handles the result of a probe. An upstream that does not respond gets no requests for a
+    /// while.
+    pub(crate) fn probed(
         &mut self,
         now: Tick,
         upstream: &Incarnation,
-        contents: &[Content],
-        sign: Option<Sign>,
+        content_hashes: &[ContentHash],
+        sign: Option<CrashSign>,
     ) {
         if sign.is_none() {
-            return contents.iter().for_each(|content| self.held.trust(*content));
+            return content_hashes.iter().for_each(|content| self.quarantine.resume(*content));
         }
-        let doubted = contents.iter().filter(|content| self.held.is_doubted(now, **content));
-        for content in doubted.copied().collect::<Vec<_>>() {
-            self.held.doubt(now, content, VERDICT_MS);
+        let suspended =
+            content_hashes.iter().filter(|content| self.quarantine.is_suspended(now, **content));
+        for content in suspended.copied().collect::<Vec<_>>() {
+            self.quarantine.suspend(now, content, REPORT_HOLD_MS);
         }
         if let Some(upstream) = self.upstreams.get_mut(upstream) {
-            upstream.health.doubt(now);
+            upstream.health.mark_unresponsive(now);
         }
     }
 
-    fn learn_end(&mut self, now: Tick, request: &Request, sending: &Sending, end: AttemptEnd) {
+    fn record_end(
+        &mut self,
+        now: Tick,
+        request: &Request,
+        attempt: &ActiveAttempt,
+        end: AttemptEnd,
+    ) {
         if end == AttemptEnd::Served && !self.is_engine(&request.service) {
-            let answers = self.answers.entry(request.service.clone()).or_default();
-            answers.learn(now.since(sending.at));
+            let answer_times = self.answer_times.entry(request.service.clone()).or_default();
+            answer_times.record(now.since(attempt.sent_at));
         }
-        let Some(upstream) = self.upstreams.get_mut(&sending.upstream) else {
+        let Some(upstream) = self.upstreams.get_mut(&attempt.upstream) else {
             return;
         };
-        upstream.own.take(sending.load);
+        upstream.own_load.subtract(attempt.load);
         let is_answered =
             !matches!(end, AttemptEnd::Broken | AttemptEnd::Unreachable | AttemptEnd::Withdrawn);
-        upstream.rest.ended(now, sending.at, is_answered);
+        upstream.cooldown.record_end(now, attempt.sent_at, is_answered);
         match end {
             AttemptEnd::Served => {
-                upstream.health.ended(now, true);
-                upstream.refusals = 0;
+                upstream.health.record(now, true);
+                upstream.consecutive_refusals = 0;
             }
-            // An upstream's own failure of a request that may be repeated says little: others that
-            // are asked fail as well, where the request is at fault.
+            // An error for an idempotent request says little about the upstream: if the request is
+            // at fault, other upstreams fail as well.
             AttemptEnd::Failed if request.route.kind == RequestKind::Idempotent => {}
             AttemptEnd::Withdrawn => {}
-            AttemptEnd::Failed | AttemptEnd::Broken => upstream.health.ended(now, false),
+            AttemptEnd::Failed | AttemptEnd::Broken => upstream.health.record(now, false),
             AttemptEnd::Unreachable => {
-                upstream.health.ended(now, false);
-                upstream.full_until = now + UNREACHABLE_MS;
+                upstream.health.record(now, false);
+                upstream.full_until = now + UNREACHABLE_PAUSE_MS;
             }
             AttemptEnd::Full => {
-                upstream.full_until = now + (FULL_MS << upstream.refusals.min(MOST_DOUBLINGS));
-                upstream.refusals += 1;
+                upstream.full_until =
+                    now + (FULL_PAUSE_MS << upstream.consecutive_refusals.min(MAX_DOUBLINGS));
+                upstream.consecutive_refusals += 1;
                 let load = upstream.total(now);
-                // An upstream with free places that says it is full is at fault.
-                upstream.health.ended(now, load.running * 2 >= upstream.state.slots);
+                // An upstream that rejects requests as full although it has free slots is at fault.
+                upstream.health.record(now, load.running * 2 >= upstream.state.slots);
             }
             AttemptEnd::Replaced => upstream.is_replaced = true,
             AttemptEnd::Absent => {
@@ -215,16 +231,16 @@
                 }
             }
         }
-        let (good, bad) = upstream.peer_ends(now);
+        let (good, bad) = upstream.peer_outcomes(now);
         upstream.health.review(now, good, bad);
     }
 
-    /// The engine's pacer hears of bad ends, so that other hosts stop sending there at once, and how a trial
-    /// ended. One that turned the request away has answered.
-    fn tell_end(
+    /// Reports failed attempts to the engine's pacer, so that other hosts stop sending there at
+    /// once, and the outcome of a trial. An engine that rejected the request has answered.
+    fn report_outcome(
         &self,
         request: &Request,
-        sending: &Sending,
+        attempt: &ActiveAttempt,
         end: AttemptEnd,
         actions: &mut Vec<Action>,
     ) {
@@ -235,14 +251,14 @@
                 true
             }
         };
-        let is_news = !is_good || (sending.is_trial && !sending.has_begun);
-        if is_news && self.is_engine(&request.service) {
-            actions.push(Action::Tell { upstream: sending.upstream.clone(), is_good });
+        let is_relevant = !is_good || (attempt.is_trial && !attempt.has_begun);
+        if is_relevant && self.is_engine(&request.service) {
+            actions.push(Action::ReportOutcome { upstream: attempt.upstream.clone(), is_good });
         }
     }
 
-    /// The final answer to a request that may not be sent again.
-    fn why_not_again(
+    /// Returns the final answer of a request that can't be retried.
+    fn retry_refusal(
         &mut self,
         now: Tick,
         request: &Request,
@@ -257,22 +273,27 @@
         if !may_run_again {
             return Some(Refusal::may_have_run(cause));
         }
-        let is_over_there = matches!(end, AttemptEnd::Absent | AttemptEnd::Replaced);
-        if is_over_there && request.is_exhausted() && request.verdict == Verdict::NotRun {
-            // Nobody is left who may take it: its caller comes back as a new request.
-            return Some(self.refusal(request, RefusalCause::NoUpstream, Some(STOP_RETRY_MS)));
+        let cannot_serve = matches!(end, AttemptEnd::Absent | AttemptEnd::Replaced);
+        if cannot_serve && request.is_exhausted() && request.verdict == Verdict::NotRun {
+            // No upstream is left that may take the request; the caller retries it as a new
+            // request.
+            return Some(self.refusal(
+                request,
+                RefusalCause::NoUpstream,
+                Some(STOP_RETRY_AFTER_MS),
+            ));
         }
-        let is_worn_out = request.sendings >= MOST_SENDINGS;
-        if is_worn_out || (end == AttemptEnd::Failed && request.sendings > 1) {
-            return Some(self.refusal(request, cause, Some(RETRY_MS)));
+        let is_at_max_attempts = request.attempts >= MAX_ATTEMPTS;
+        if is_at_max_attempts || (end == AttemptEnd::Failed && request.attempts > 1) {
+            return Some(self.refusal(request, cause, Some(RETRY_AFTER_MS)));
         }
-        // The next sending is paid for here: one that never was sent costs nothing.
+        // A retry is charged here. An attempt that was never sent costs nothing.
         let service = &request.service;
         let is_unsent = matches!(end, AttemptEnd::Unreachable | AttemptEnd::Withdrawn);
-        let is_paid =
-            is_unsent || self.budgets.get_mut(service).is_some_and(|budget| budget.try_spend(now));
-        if !is_paid || now + LEAST_LEFT_MS >= request.deadline {
-            return Some(self.refusal(request, cause, Some(RETRY_MS)));
+        let is_charged = is_unsent
+            || self.retry_budgets.get_mut(service).is_some_and(|budget| budget.try_spend(now));
+        if !is_charged || now + MIN_REMAINING_MS >= request.deadline {
+            return Some(self.refusal(request, cause, Some(RETRY_AFTER_MS)));
         }
         None
     }
@@ -284,36 +305,37 @@
         }
     }
 
-    /// Ends what has no time left, and reviews the upstreams' health.
+    /// Ends requests that are out of time, and reviews the health of the upstreams.
     pub(crate) fn expire(&mut self, now: Tick, actions: &mut Vec<Action>) {
-        let is_leaving = self.is_late_in_stop(now);
+        let refuses_new = self.refuses_new_requests(now);
         let late = self.requests.iter().filter_map(|(id, request)| {
             let is_late = match request.stage {
                 Stage::Sent(_) => now >= request.deadline + DEADLINE_GRACE_MS,
-                // What has not begun by now might not end before the process does.
-                _ if is_leaving => true,
+                // A request that has not begun by now might not end before the process does.
+                _ if refuses_new => true,
                 _ if request.verdict == Verdict::NotRun => {
-                    now >= request.patience || request.waits_for_nobody(now)
+                    now >= request.wait_limit || request.lacks_upstream_too_long(now)
                 }
-                _ => now + LEAST_LEFT_MS >= request.deadline,
+                _ => now + MIN_REMAINING_MS >= request.deadline,
             };
-            is_late.then(|| (*id, self.late_refusal(now, request), Standing::from(request)))
+            is_late
+                .then(|| (*id, self.timeout_refusal(now, request), RefusalContext::from(request)))
         });
-        let late: Vec<(RequestId, Refusal, Standing)> = late.collect();
-        for (id, refusal, standing) in late {
+        let late: Vec<(RequestId, Refusal, RefusalContext)> = late.collect();
+        for (id, refusal, context) in late {
             self.end(id);
-            actions.push(Action::Refuse { id, refusal, standing });
+            actions.push(Action::Refuse { id, refusal, context });
         }
         for upstream in self.upstreams.values_mut() {
-            let (good, bad) = upstream.peer_ends(now);
+            let (good, bad) = upstream.peer_outcomes(now);
             upstream.health.review(now, good, bad);
         }
-        self.wanted.retain(|_, at| now.since(*at) < WANT_AGAIN_MS);
+        self.requested_models.retain(|_, at| now.since(*at) < MODEL_REQUEST_INTERVAL_MS);
     }
 
-    fn late_refusal(&self, now: Tick, request: &Request) -> Refusal {
-        if !request.stage.is_sent() && self.is_late_in_stop(now) {
-            return self.refusal(request, RefusalCause::Stopping, Some(STOP_RETRY_MS));
+    fn timeout_refusal(&self, now: Tick, request: &Request) -> Refusal {
+        if !request.stage.is_sent() && self.refuses_new_requests(now) {
+            return self.refusal(request, RefusalCause::Stopping, Some(STOP_RETRY_AFTER_MS));
         }
         if request.stage.is_sent() {
             return Refusal::may_have_run(RefusalCause::TimedOut);
@@ -322,9 +344,9 @@
             self.upstreams.values().any(|upstream| upstream.holds(subject, now))
         });
         let retry = match is_held {
-            true if request.is_exhausted() => EXHAUSTED_MS,
-            true => RETRY_MS,
-            false => LOAD_RETRY_MS,
+            true if request.is_exhausted() => EXHAUSTED_WAIT_MS,
+            true => RETRY_AFTER_MS,
+            false => LOAD_RETRY_AFTER_MS,
         };
         self.refusal(request, RefusalCause::Overloaded, Some(retry))
     }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,42 +1,42 @@
-//! Decisions about requests at one host: route, queue, choice of an upstream, retries, limits.
+//! Request dispatch of one host: routing, queueing, choice of an upstream, retries and limits.
 //!
-//! [`Dispatch::handle`] is the only door: `handle(now, event) -> actions`. No clock, socket or
-//! random source inside.
+//! [`Dispatch::handle`] is the only entry point: `handle(now, event) -> actions`. The crate uses no
+//! clock, socket or random source.
 #![deny(missing_docs, unsafe_code)]
 
 mod access;
-mod answers;
+mod answer_times;
 mod budget;
 mod choice;
 mod choose;
-/// What hosts tell each other of their load.
+mod cooldown;
+/// Load reports that hosts exchange.
 pub mod digest;
 mod directory;
 mod ending;
 mod event;
 mod fit;
-mod former;
 mod health;
-mod leavers;
+mod leaving;
 mod limits;
 mod machine;
 mod pace;
+mod previous;
 mod queue;
 mod request;
 mod reserving;
-mod rest;
 mod roster;
 mod routes;
 mod sending;
 mod shortage;
 mod upstream;
 
-pub use budget::{Budget, BudgetOptions};
+pub use budget::{RetryBudget, RetryBudgetOptions};
 pub use digest::{DemandRow, Digest, LimitRow, LoadRow};
 pub use event::{Action, Attempt, AttemptEnd, Event, Options, Prediction, Presence, RequestId};
 pub use health::Health;
-pub use leavers::Leavers;
+pub use leaving::LeavingUpstreams;
 pub use machine::{Counts, Dispatch, UpstreamSummary};
-pub use roster::{News, Roster};
+pub use roster::{Roster, RosterUpdate};
 pub use routes::RouteIndex;
-pub use shortage::{Lack, Shortage, Standing};
+pub use shortage::{RefusalContext, Shortage, ShortageKind};
--- a/crates/dispatch/src/limits.rs
+++ b/crates/dispatch/src/limits.rs
@@ -1,11 +1,11 @@
-//! What upstreams in need take from all hosts: what answers and other hosts say of it.
+//! Stated rate limits of upstreams, from answers and from other hosts.
 
 use crate::{Action, Digest, Dispatch, LimitRow};
-use vanetally_limit::Statement;
+use vanetally_limit::LimitStatement;
 use vanetally_types::{Incarnation, Name, Tick};
 
 impl Dispatch {
-    /// An answer stated a limit, or none.
+    /// Records the rate limit stated in an answer, or that it stated none.
     pub(crate) fn stated(
         &mut self,
         now: Tick,
@@ -15,11 +15,15 @@
         actions: &mut Vec<Action>,
     ) {
         let upstream = self.upstreams.get_mut(&id);
-        let news = upstream.and_then(|upstream| upstream.limit.answered(now, sent, rate));
-        actions.extend(news.map(|news| Action::Limited { upstream: id, news, by: None }));
+        let change = upstream.and_then(|upstream| upstream.limit.record_answer(now, sent, rate));
+        actions.extend(change.map(|change| Action::LimitChanged {
+            upstream: id,
+            change,
+            reported_by: None,
+        }));
     }
 
-    /// Another host told what upstreams stated.
+    /// Records the rate limits that another host reported.
     pub(crate) fn peer_limits(
         &mut self,
         now: Tick,
@@ -31,16 +35,19 @@
         for (id, row) in rows {
             let at = Tick(now.0.saturating_sub(u64::from(row.age_ms)));
             let upstream = self.upstreams.get_mut(id);
-            let news =
-                upstream.and_then(|known| known.limit.told(Statement { rate: row.rate, at }));
-            let limited =
-                |news| Action::Limited { upstream: id.clone(), news, by: Some(host.clone()) };
-            actions.extend(news.map(limited));
+            let change = upstream
+                .and_then(|known| known.limit.record_report(LimitStatement { rate: row.rate, at }));
+            let limited = |change| Action::LimitChanged {
+                upstream: id.clone(),
+                change,
+                reported_by: Some(host.clone()),
+            };
+            actions.extend(change.map(limited));
         }
     }
 }
 
-/// What a digest tells of a statement.
-pub(crate) fn row(now: Tick, told: Statement) -> LimitRow {
-    LimitRow { rate: told.rate, age_ms: now.since(told.at) as u32 }
+/// Converts a statement for a digest.
+pub(crate) fn limit_row(now: Tick, statement: LimitStatement) -> LimitRow {
+    LimitRow { rate: statement.rate, age_ms: now.since(statement.at) as u32 }
 }
--- a/crates/dispatch/src/machine.rs
+++ b/crates/dispatch/src/machine.rs
@@ -1,17 +1,17 @@
-//! The state machine of one host's requests.
+//! State machine for the requests of one host.
 
 use crate::{
-    Action, Budget, DemandRow, Digest, Event, LoadRow, Options, Prediction, Presence, RequestId,
-    RouteIndex, Standing,
+    Action, DemandRow, Digest, Event, LoadRow, Options, Prediction, Presence, RefusalContext,
+    RequestId, RetryBudget, RouteIndex,
     access::KeyIndex,
-    answers::Answers,
+    answer_times::AnswerTimes,
+    cooldown::Cooldown,
     directory::Directory,
-    ending::{RETRY_MS, STOP_RETRY_MS, start_retry_ms},
-    limits::row,
-    pace::Pace,
+    ending::{RETRY_AFTER_MS, STOP_RETRY_AFTER_MS, startup_retry_ms},
+    limits::limit_row,
+    pace::PaceModel,
     queue::Queue,
     request::{Request, Stage},
-    rest::Rest,
     routes,
     upstream::{Load, Upstream},
 };
@@ -22,121 +22,122 @@
 use vanetally_ports::{
     CallerRequest, Configuration, ModelRef, Refusal, RefusalCause, Route, UpstreamState,
 };
-use vanetally_quarantine::{Content, Held, Sign, Suspicion};
+use vanetally_quarantine::{BlockedContents, ContentHash, CrashReport, CrashSign};
 use vanetally_types::{Incarnation, Name, Tick, Verdict, hash64};
 
-/// All decisions about requests of one host.
+/// All request decisions of one host.
 pub struct Dispatch {
     pub(crate) options: Options,
     /// When the process started.
-    started: Tick,
-    /// Whether the store has answered it.
+    started_at: Tick,
+    /// Whether the store has answered this process.
     has_store: bool,
     pub(crate) configuration: Option<Rc<Configuration>>,
     pub(crate) routes: RouteIndex,
     pub(crate) keys: KeyIndex,
-    /// When the configuration in force was the newest, by the store's word.
-    pub(crate) confirmed: Option<Tick>,
-    pub(crate) held: Held,
+    /// When the store last confirmed that the configuration in force was the newest.
+    pub(crate) confirmed_at: Option<Tick>,
+    pub(crate) quarantine: BlockedContents,
     pub(crate) upstreams: BTreeMap<Incarnation, Upstream>,
-    /// Rests of upstreams whose announcements are gone: the same life may announce itself again.
-    rests: BTreeMap<Incarnation, Rest>,
+    /// Cooldowns of upstreams whose announcements are gone: the same incarnation may announce
+    /// itself again.
+    cooldowns: BTreeMap<Incarnation, Cooldown>,
     pub(crate) directory: Directory,
     pub(crate) requests: HashMap<RequestId, Request>,
     pub(crate) queue: Queue,
-    pub(crate) budgets: BTreeMap<Name, Budget>,
-    pub(crate) pace: Pace,
-    /// How long answers of plain services take.
-    pub(crate) answers: BTreeMap<Name, Answers>,
+    pub(crate) retry_budgets: BTreeMap<Name, RetryBudget>,
+    pub(crate) pace: PaceModel,
+    /// Average time of complete answers, per plain service.
+    pub(crate) answer_times: BTreeMap<Name, AnswerTimes>,
     pub(crate) hosts: usize,
     pub(crate) stopping_since: Option<Tick>,
     demand: BTreeMap<(Name, ModelRef), Demand>,
-    pub(crate) wanted: HashMap<(Name, ModelRef), Tick>,
+    pub(crate) requested_models: HashMap<(Name, ModelRef), Tick>,
 }
 
-/// Requests since the last digest.
+/// Demand since the last digest.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
     arrived: u32,
     work_ms: f64,
 }
 
-/// What is believed of one upstream.
+/// Known state of one upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamSummary {
-    /// Its incarnation.
+    /// The upstream.
     pub upstream: Incarnation,
-    /// Requests of all hosts there.
+    /// Open requests of all hosts.
     pub running: u32,
-    /// Prompt tokens that it has not read.
+    /// Prompt tokens that the upstream has not read.
     pub unread_tokens: u32,
-    /// Whether it is leaving.
+    /// Whether the upstream is leaving.
     pub is_draining: bool,
-    /// Whether it is ejected.
+    /// Whether the upstream is ejected.
     pub is_suspect: bool,
 }
 
-/// Figures for metrics.
+/// Values for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Requests that wait for an upstream.
     pub waiting: usize,
-    /// Requests that have not ended.
+    /// Open requests.
     pub open: usize,
-    /// Upstreams known.
+    /// Known upstreams.
     pub upstreams: usize,
-    /// Upstreams ejected.
+    /// Ejected upstreams.
     pub suspects: usize,
-    /// Upstreams in need.
+    /// Rate-limited upstreams.
     pub limited: usize,
 }
 
-/// Between two hosts that come back to an upstream that has rested, in milliseconds on average.
-const RETURN_MS: u64 = 5;
-/// They are all back within this part of the rest.
-const RETURN_PART: u64 = 8;
-/// A planned stop takes requests for this share of its time.
-const STOP_SHARE: f64 = 0.3;
+/// Average interval between hosts that return to an upstream after its cooldown.
+const RETURN_SPACING_MS: u64 = 5;
+/// All hosts return within the cooldown divided by this.
+const RETURN_SPREAD_DIVISOR: u64 = 8;
+/// Share of a planned stop in which requests are accepted.
+const STOP_ACCEPT_SHARE: f64 = 0.3;
 pub(crate) const MICROS_PER_MILLI: f64 = 1_000.0;
 
 impl Dispatch {
-    /// Nothing is known yet; the process starts at `now`.
+    /// Creates a dispatch without any known state for a process that starts at `now`.
     pub fn new(now: Tick, options: Options) -> Self {
         Self {
             options,
-            started: now,
+            started_at: now,
             has_store: false,
             configuration: None,
             routes: RouteIndex::default(),
             keys: KeyIndex::default(),
-            confirmed: None,
-            held: Held::default(),
+            confirmed_at: None,
+            quarantine: BlockedContents::default(),
             upstreams: BTreeMap::new(),
-            rests: BTreeMap::new(),
+            cooldowns: BTreeMap::new(),
             directory: Directory::default(),
             requests: HashMap::new(),
             queue: Queue::default(),
-            budgets: BTreeMap::new(),
-            pace: Pace::default(),
-            answers: BTreeMap::new(),
+            retry_budgets: BTreeMap::new(),
+            pace: PaceModel::default(),
+            answer_times: BTreeMap::new(),
             hosts: 1,
             stopping_since: None,
             demand: BTreeMap::new(),
-            wanted: HashMap::new(),
+            requested_models: HashMap::new(),
         }
     }
 
-    /// Takes in what happened; tells what has to be done.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, now: Tick, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Configured(configuration) => self.configure(configuration),
-            Event::Confirmed(at) => self.confirmed = self.confirmed.max(Some(at)),
+            Event::Confirmed(at) => self.confirmed_at = self.confirmed_at.max(Some(at)),
             Event::Quarantined(quarantine) => {
-                self.held.hold(now, quarantine);
+                self.quarantine.apply(now, quarantine);
             }
-            Event::LookedAt { upstream, contents, sign } => {
-                self.looked_at(now, &upstream, &contents, sign);
+            Event::Probed { upstream, content_hashes, sign } => {
+                self.probed(now, &upstream, &content_hashes, sign);
             }
             Event::UpstreamSeen { id, state } => self.upstream_seen(now, id, state),
             Event::UpstreamUnreadable { id } => {
@@ -146,12 +147,12 @@
             }
             Event::UpstreamEnded { id } => {
                 self.upstream_gone(now, &id);
-                self.abandon(&id, &mut actions);
+                self.abandon_attempts(&id, &mut actions);
             }
             Event::UpstreamGone { id } => self.upstream_gone(now, &id),
-            Event::Placed { runner, subject, presence } => {
+            Event::PresenceReported { runner, subject, presence } => {
                 if presence == Presence::Present {
-                    self.directory.told(&runner, &subject.model);
+                    self.directory.add_holder(&runner, &subject.model);
                 }
                 if let Some(upstream) = self.upstreams.get_mut(&runner) {
                     upstream.set_presence(subject, presence, now);
@@ -161,23 +162,25 @@
                 self.peer_limits(now, &host, &digest, &mut actions);
                 self.peer_digest(now, &host, digest);
             }
-            Event::Permitted { id, turn, question, answer } => {
-                self.permitted(now, (id, turn), question, answer, &mut actions);
+            Event::PermitAnswered { id, reservation, request, answer } => {
+                self.permit_answered(now, (id, reservation), request, answer, &mut actions);
             }
-            Event::Stated { upstream, sent, rate } => {
+            Event::LimitStated { upstream, sent, rate } => {
                 self.stated(now, upstream, sent, rate, &mut actions);
             }
-            Event::RestAsked { upstream, for_ms } => self.rest_asked(now, &upstream, for_ms),
+            Event::CooldownRequested { upstream, for_ms } => {
+                self.cooldown_requested(now, &upstream, for_ms)
+            }
             Event::PeerGone { host } => self.peer_gone(&host),
-            Event::Hosts(hosts) => {
+            Event::HostCount(hosts) => {
                 self.hosts = hosts.max(1);
-                self.budgets.values_mut().for_each(|budget| budget.share_among(hosts));
+                self.retry_budgets.values_mut().for_each(|budget| budget.set_hosts(hosts));
             }
-            Event::Arrived { id, request, content } => {
-                self.arrived(now, id, request, content, &mut actions);
+            Event::Arrived { id, request, content_hash } => {
+                self.arrived(now, id, request, content_hash, &mut actions);
             }
-            Event::Reserved { id, turn, slot } => {
-                self.reserved(now, id, turn, slot, &mut actions);
+            Event::Reserved { id, reservation, slot } => {
+                self.reserved(now, id, reservation, slot, &mut actions);
             }
             Event::FirstPiece { id } => self.first_piece(now, id, &mut actions),
             Event::AttemptEnded { id, end, answered } => {
@@ -190,53 +193,53 @@
             Event::StoreAnswered => self.has_store = true,
             Event::Tick => self.expire(now, &mut actions),
         }
-        self.pump(now, &mut actions);
+        self.send_waiting(now, &mut actions);
         actions
     }
 
-    /// The version in force, if any.
+    /// Returns the version of the configuration in force, if any.
     pub fn version(&self) -> Option<u64> {
         self.configuration.as_ref().map(|c| c.version)
     }
 
-    /// The configuration in force, if any.
+    /// Returns the configuration in force, if any.
     pub fn configuration(&self) -> Option<&Rc<Configuration>> {
         self.configuration.as_ref()
     }
 
-    /// Whether the host can serve requests: it knows a configuration and some upstream.
+    /// Whether the host can serve requests: it has a configuration and knows an upstream.
     pub fn is_ready(&self, now: Tick) -> bool {
         let knows = self.configuration.is_some() && !self.upstreams.is_empty();
         knows && self.stopping_since.is_none() && self.serves_keys(now)
     }
 
-    /// An upstream asked this host for rest. Hosts come back to it one after the other: each a little later than it
-    /// asked, so that all that it turned away together do not return together.
-    fn rest_asked(&mut self, now: Tick, upstream: &Incarnation, for_ms: u64) {
+    /// Applies a cooldown requested by an upstream. Each host adds a delay of its own, so that the
+    /// hosts that were rejected together do not return together.
+    fn cooldown_requested(&mut self, now: Tick, upstream: &Incarnation, for_ms: u64) {
         let Some(known) = self.upstreams.get_mut(upstream) else {
             return;
         };
-        let spread_ms = (self.hosts as u64 * RETURN_MS).min(for_ms / RETURN_PART);
+        let spread_ms = (self.hosts as u64 * RETURN_SPACING_MS).min(for_ms / RETURN_SPREAD_DIVISOR);
         let own = hash64(self.options.host.as_bytes()) % (spread_ms + 1);
-        known.rest.ask(now, for_ms.saturating_add(own));
+        known.cooldown.request(now, for_ms.saturating_add(own));
     }
 
-    /// Milliseconds for which an upstream wants nothing from this host.
-    pub fn rest_left_ms(&self, now: Tick, upstream: &Incarnation) -> Option<u64> {
-        self.upstreams.get(upstream)?.rest.left_ms(now)
+    /// Returns the remaining cooldown of an upstream, in milliseconds.
+    pub fn cooldown_left_ms(&self, now: Tick, upstream: &Incarnation) -> Option<u64> {
+        self.upstreams.get(upstream)?.cooldown.left_ms(now)
     }
 
-    /// What an upstream announces.
-    pub fn state_of(&self, upstream: &Incarnation) -> Option<&UpstreamState> {
+    /// Returns the announced state of an upstream.
+    pub fn upstream_state(&self, upstream: &Incarnation) -> Option<&UpstreamState> {
         self.upstreams.get(upstream).map(|known| &known.state)
     }
 
-    /// The contents that are kept back.
-    pub fn held(&self) -> &Held {
-        &self.held
+    /// Returns the quarantined content hashes.
+    pub fn quarantine(&self) -> &BlockedContents {
+        &self.quarantine
     }
 
-    /// Figures for metrics.
+    /// Returns values for metrics.
     pub fn counts(&self) -> Counts {
         Counts {
             waiting: self.queue.len(),
@@ -247,8 +250,8 @@
         }
     }
 
-    /// What is believed of each upstream, for people.
-    pub fn loads(&self, now: Tick) -> Vec<UpstreamSummary> {
+    /// Returns the known state of each upstream, for operators.
+    pub fn summaries(&self, now: Tick) -> Vec<UpstreamSummary> {
         let loads = self.upstreams.iter().map(|(id, upstream)| {
             let load = upstream.total(now);
             UpstreamSummary {
@@ -262,14 +265,15 @@
         loads.collect()
     }
 
-    /// What other hosts have to know of this one's load; arrivals since the last call.
+    /// Returns this host's load for other hosts, with the requests that arrived since the last
+    /// call.
     pub fn digest(&mut self, now: Tick) -> Digest {
         let loads = self.upstreams.iter_mut().filter_map(|(id, upstream)| {
             let (good, bad) = upstream.health.recent(now);
-            let own = upstream.own;
-            let limit = upstream.limit.to_tell(now);
+            let own = upstream.own_load;
+            let limit = upstream.limit.announcement(now);
             (own.running > 0 || good + bad > 0 || limit.is_some()).then(|| LoadRow {
-                limit: limit.map(|told| row(now, told)),
+                limit: limit.map(|statement| limit_row(now, statement)),
                 upstream: id.clone(),
                 running: own.running,
                 unread_tokens: own.unread_tokens,
@@ -297,10 +301,10 @@
         self.routes = RouteIndex::new(&configuration);
         self.keys = KeyIndex::new(&configuration);
         for service in configuration.services.keys() {
-            let (options, hosts) = (self.options.budget, self.hosts);
-            self.budgets.entry(service.clone()).or_insert_with(|| {
-                let mut budget = Budget::new(options);
-                budget.share_among(hosts);
+            let (options, hosts) = (self.options.retry_budget, self.hosts);
+            self.retry_budgets.entry(service.clone()).or_insert_with(|| {
+                let mut budget = RetryBudget::new(options);
+                budget.set_hosts(hosts);
                 budget
             });
         }
@@ -308,8 +312,8 @@
     }
 
     fn upstream_seen(&mut self, now: Tick, id: Incarnation, state: UpstreamState) {
-        let told = self.upstreams.get(&id).into_iter().flat_map(Upstream::told_present);
-        self.directory.announced(&id, &state, told);
+        let reported = self.upstreams.get(&id).into_iter().flat_map(Upstream::reported_models);
+        self.directory.insert(&id, &state, reported);
         match self.upstreams.get_mut(&id) {
             Some(upstream) => upstream.update(state, now),
             None => {
@@ -317,36 +321,36 @@
                     upstream.successor_seen(&id, &state, now);
                 }
                 let mut upstream = Upstream::new(state, now);
-                upstream.rest = self.rests.remove(&id).unwrap_or_default();
+                upstream.cooldown = self.cooldowns.remove(&id).unwrap_or_default();
                 self.upstreams.insert(id, upstream);
             }
         }
     }
 
     fn upstream_gone(&mut self, now: Tick, id: &Incarnation) {
-        self.rests.retain(|_, rest| rest.left_ms(now).is_some());
+        self.cooldowns.retain(|_, cooldown| cooldown.left_ms(now).is_some());
         let gone = self.upstreams.remove(id);
-        if let Some(gone) = gone.filter(|gone| gone.rest.left_ms(now).is_some()) {
-            self.rests.insert(id.clone(), gone.rest);
+        if let Some(gone) = gone.filter(|gone| gone.cooldown.left_ms(now).is_some()) {
+            self.cooldowns.insert(id.clone(), gone.cooldown);
         }
-        self.directory.gone(id);
+        self.directory.remove(id);
         self.pace.forget(id);
         self.upstreams.values_mut().for_each(|upstream| upstream.successor_gone(id));
     }
 
-    /// Gives up the attempts that are at an upstream that has ended; that it did under them speaks against their
+    /// Cancels the attempts at an upstream that has ended. Its end is a crash sign against their
     /// contents.
-    fn abandon(&self, upstream: &Incarnation, actions: &mut Vec<Action>) {
+    fn abandon_attempts(&self, upstream: &Incarnation, actions: &mut Vec<Action>) {
         let is_there = |request: &Request| match &request.stage {
-            Stage::Sent(sending) => sending.upstream == *upstream,
+            Stage::Sent(attempt) => attempt.upstream == *upstream,
             Stage::Waiting | Stage::Reserving(_) => false,
         };
         for (id, request) in self.requests.iter().filter(|(_, request)| is_there(request)) {
-            actions.push(Action::Abandon { id: *id, number: request.sendings });
-            actions.push(Action::Suspect(Suspicion {
-                content: request.content,
+            actions.push(Action::Abandon { id: *id, number: request.attempts });
+            actions.push(Action::ReportCrash(CrashReport {
+                content: request.content_hash,
                 upstream: upstream.clone(),
-                sign: Sign::Ended,
+                sign: CrashSign::Ended,
                 is_common: self.is_common(request),
             }));
         }
@@ -374,14 +378,14 @@
         now: Tick,
         id: RequestId,
         head: CallerRequest,
-        content: Content,
+        content_hash: ContentHash,
         actions: &mut Vec<Action>,
     ) {
-        let standing = Standing::default();
+        let context = RefusalContext::default();
         let refuse = |cause, retry| Action::Refuse {
             id,
             refusal: Refusal::not_run(cause, retry),
-            standing: Standing::default(),
+            context: RefusalContext::default(),
         };
         let admitted = self.route(now, &head).and_then(|route| {
             let access = self.access(now, &route, &head)?;
@@ -389,19 +393,19 @@
         });
         let (route, access) = match admitted {
             Ok(admitted) => admitted,
-            Err(refusal) => return actions.push(Action::Refuse { id, refusal, standing }),
+            Err(refusal) => return actions.push(Action::Refuse { id, refusal, context }),
         };
-        if self.is_late_in_stop(now) {
-            return actions.push(refuse(RefusalCause::Stopping, Some(STOP_RETRY_MS)));
+        if self.refuses_new_requests(now) {
+            return actions.push(refuse(RefusalCause::Stopping, Some(STOP_RETRY_AFTER_MS)));
         }
         let Some(target) = routes::target(&route, &head.id) else {
-            return actions.push(refuse(RefusalCause::NoUpstream, Some(RETRY_MS)));
+            return actions.push(refuse(RefusalCause::NoUpstream, Some(RETRY_AFTER_MS)));
         };
         let service = target.service.clone();
-        if let Some(budget) = self.budgets.get_mut(&service) {
-            budget.earn(now);
+        if let Some(budget) = self.retry_budgets.get_mut(&service) {
+            budget.record_request(now);
         }
-        let request = Request { content, ..Request::new(head, route, access, service, now) };
+        let request = Request { content_hash, ..Request::new(head, route, access, service, now) };
         if let Some(subject) = &request.head.model {
             let demand = self.demand.entry((request.service.clone(), subject.clone()));
             let demand = demand.or_default();
@@ -412,19 +416,20 @@
         self.requests.insert(id, request);
     }
 
-    /// The route that takes a request.
+    /// Returns the route that matches a request.
     pub(crate) fn route(&self, now: Tick, head: &CallerRequest) -> Result<Rc<Route>, Refusal> {
         if self.configuration.is_none() {
-            let retry_ms = start_retry_ms(now.since(self.started), self.has_store);
+            let retry_ms = startup_retry_ms(now.since(self.started_at), self.has_store);
             return Err(Refusal::not_run(RefusalCause::NotConfigured, Some(retry_ms)));
         }
         let route = self.routes.find(&head.host, &head.path).cloned();
         route.ok_or(Refusal::not_run(RefusalCause::NoRoute, None))
     }
 
-    pub(crate) fn is_late_in_stop(&self, now: Tick) -> bool {
-        let most = (self.options.grace_ms as f64 * STOP_SHARE) as u64;
-        self.stopping_since.is_some_and(|since| now.since(since) > most)
+    /// Whether a planned stop has reached the part in which no requests are accepted.
+    pub(crate) fn refuses_new_requests(&self, now: Tick) -> bool {
+        let accept_ms = (self.options.grace_ms as f64 * STOP_ACCEPT_SHARE) as u64;
+        self.stopping_since.is_some_and(|since| now.since(since) > accept_ms)
     }
 
     fn first_piece(&mut self, now: Tick, id: RequestId, actions: &mut Vec<Action>) {
@@ -432,53 +437,54 @@
             return;
         };
         request.verdict = Verdict::Ran;
-        let Stage::Sent(sending) = &mut request.stage else {
+        let Stage::Sent(attempt) = &mut request.stage else {
             return;
         };
-        if std::mem::replace(&mut sending.has_begun, true) {
+        if std::mem::replace(&mut attempt.has_begun, true) {
             return;
         }
-        if sending.is_trial {
-            actions.push(Action::Tell { upstream: sending.upstream.clone(), is_good: true });
+        if attempt.is_trial {
+            actions
+                .push(Action::ReportOutcome { upstream: attempt.upstream.clone(), is_good: true });
         }
-        let read = Load { unread_tokens: sending.load.unread_tokens, ..Load::default() };
-        sending.load.unread_tokens = 0;
+        let read = Load { unread_tokens: attempt.load.unread_tokens, ..Load::default() };
+        attempt.load.unread_tokens = 0;
         let model = request.head.model.as_ref().map(|subject| &subject.model);
-        let took_ms = now.since(sending.at) as f64;
+        let took_ms = now.since(attempt.sent_at) as f64;
         if let Some(model) = model {
             let prediction = Prediction {
                 request: request.head.id.clone(),
-                upstream: sending.upstream.clone(),
-                expected_ms: self.pace.first_piece_ms(&sending.upstream, model, sending.expected),
+                upstream: attempt.upstream.clone(),
+                expected_ms: self.pace.first_piece_ms(&attempt.upstream, model, attempt.expected),
                 took_ms,
-                unread_tokens: sending.expected.unread,
-                ahead_ms: sending.expected.ahead_ms,
-                per_token_us: self.pace.per_token(Some(model)) * MICROS_PER_MILLI,
+                unread_tokens: attempt.expected.unread_tokens,
+                ahead_ms: attempt.expected.ahead_ms,
+                per_token_us: self.pace.per_token_ms(Some(model)) * MICROS_PER_MILLI,
             };
             actions.push(Action::Predicted { id, prediction });
         }
-        self.pace.learn(&sending.upstream, model, sending.expected, took_ms);
-        if let Some(upstream) = self.upstreams.get_mut(&sending.upstream) {
-            upstream.own.take(read);
-            upstream.rest.ended(now, sending.at, true);
+        self.pace.observe(&attempt.upstream, model, attempt.expected, took_ms);
+        if let Some(upstream) = self.upstreams.get_mut(&attempt.upstream) {
+            upstream.own_load.subtract(read);
+            upstream.cooldown.record_end(now, attempt.sent_at, true);
         }
     }
 
-    fn free(&mut self, upstream: &Incarnation, load: Load) {
+    fn release_load(&mut self, upstream: &Incarnation, load: Load) {
         if let Some(upstream) = self.upstreams.get_mut(upstream) {
-            upstream.own.take(load);
+            upstream.own_load.subtract(load);
         }
     }
 
-    /// Forgets a request; its upstream is free of it.
+    /// Removes a request and releases its load.
     pub(crate) fn end(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else {
             return;
         };
         match &request.stage {
             Stage::Waiting => self.queue.remove(id, &request),
-            Stage::Reserving(open) => self.free(&open.choice.upstream, open.load),
-            Stage::Sent(sending) => self.free(&sending.upstream, sending.load),
+            Stage::Reserving(open) => self.release_load(&open.choice.upstream, open.load),
+            Stage::Sent(attempt) => self.release_load(&attempt.upstream, attempt.load),
         }
     }
 }
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -1,58 +1,58 @@
-//! One request from its arrival to its end.
+//! State of a request from its arrival to its end.
 
 use crate::{
     access::Access,
-    choice::{Choice, Expected},
-    shortage::{Lack, Shortage},
+    choice::{Choice, ReadEstimate},
+    shortage::{Shortage, ShortageKind},
     upstream::{Load, shared_prefixes},
 };
 use std::rc::Rc;
 use vanetally_pacing::Prefix;
 use vanetally_ports::{CallerRequest, Route};
-use vanetally_quarantine::Content;
+use vanetally_quarantine::ContentHash;
 use vanetally_types::{Incarnation, Name, Tick, Verdict};
 
-/// Where a request is.
+/// Stage of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Stage {
-    /// It waits for an upstream.
+    /// Waits for an upstream.
     Waiting,
-    /// An engine was chosen; its pacer is asked for the moment.
+    /// Waits for a permit or a pacer slot at the chosen upstream.
     Reserving(Reservation),
-    /// It is at an upstream.
-    Sent(Sending),
+    /// Was sent to an upstream.
+    Sent(ActiveAttempt),
 }
 
 impl Stage {
-    /// Whether it is at an upstream.
+    /// Whether the request was sent to an upstream.
     pub(crate) fn is_sent(&self) -> bool {
         matches!(self, Self::Sent(_))
     }
 }
 
-/// A moment that was asked for and not given yet.
+/// An open request for a permit or a pacer slot.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Reservation {
-    pub turn: u32,
+    pub reservation: u32,
     pub choice: Choice,
-    /// What it adds to the engine's load.
+    /// Load that the request adds to the upstream.
     pub load: Load,
 }
 
-/// What is known of a sending that has not ended.
+/// An attempt that has not ended.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Sending {
+pub(crate) struct ActiveAttempt {
     pub upstream: Incarnation,
-    pub at: Tick,
-    /// What it adds to the upstream's load.
+    pub sent_at: Tick,
+    /// Load that the request adds to the upstream.
     pub load: Load,
-    /// What was expected when it was sent.
-    pub expected: Expected,
+    /// What the upstream was expected to read.
+    pub expected: ReadEstimate,
     pub has_begun: bool,
-    /// Whether the engine's pacer has to hear of its answer.
+    /// Whether the engine's pacer needs the outcome, because this request probes the engine.
     pub is_trial: bool,
-    /// The rate by which it got its moment, if the upstream is in need.
-    pub permit: Option<f64>,
+    /// Rate under which the permit was granted, if the upstream is rate-limited.
+    pub permit_rate: Option<f64>,
 }
 
 /// A request that has not ended.
@@ -61,40 +61,40 @@
     pub head: CallerRequest,
     pub route: Rc<Route>,
     pub access: Access,
-    pub content: Content,
-    /// The parts of its prompt that others may share.
-    pub shared: Vec<Prefix>,
+    pub content_hash: ContentHash,
+    /// Prefixes of the prompt that other requests may share.
+    pub shared_prefixes: Vec<Prefix>,
     pub service: Name,
     pub arrived: Tick,
-    /// The latest moment for a final answer.
+    /// Latest time of the final answer.
     pub deadline: Tick,
-    /// The latest moment to be sent for the first time.
-    pub patience: Tick,
+    /// Latest time of the first attempt.
+    pub wait_limit: Tick,
     pub stage: Stage,
-    /// Upstreams that it was sent to.
+    /// Upstreams to which the request was sent.
     pub tried: Vec<Incarnation>,
-    pub sendings: u32,
-    /// Moments asked for.
+    pub attempts: u32,
+    /// Number of reservations so far.
     pub reservations: u32,
     pub verdict: Verdict,
-    /// No sending before this.
+    /// Earliest time of the next attempt.
     pub not_before: Tick,
-    /// What it lacked when it last looked for an upstream in vain.
+    /// Result of the last unsuccessful choice of an upstream.
     pub shortage: Option<Shortage>,
 }
 
-/// A stream's caller leaves after a gap of this many milliseconds, or of some objectives.
-const LEAST_PATIENCE_MS: u64 = 2_000;
-/// Objectives after which a stream's caller leaves.
-const PATIENCE_TARGETS: u64 = 4;
-/// A request that is no stream is refused if it was not sent within this many objectives: beyond that two of three
-/// waited for nothing, at the cost of all that their callers could still have done.
-const LATE_TARGETS: u64 = 2;
-/// Kept back from the caller's patience, in milliseconds.
-const PATIENCE_MARGIN_MS: u64 = 100;
+/// Minimum wait limit of a stream; the caller leaves after such a gap.
+const MIN_STREAM_WAIT_MS: u64 = 2_000;
+/// Wait limit of a stream, as a multiple of the target latency.
+const STREAM_WAIT_TARGETS: u64 = 4;
+/// Wait limit of other requests, as a multiple of the target latency. Of those that waited longer,
+/// two of three were refused in the end, and their callers had no time left to retry.
+const MAX_WAIT_TARGETS: u64 = 2;
+/// Margin by which a request is refused before its caller leaves.
+const WAIT_MARGIN_MS: u64 = 100;
 
-/// The longest pause between events where the route states none, in milliseconds.
-const GAP_MS: u64 = 300;
+/// Target for the longest gap between events if the route states none.
+const DEFAULT_GAP_MS: u64 = 300;
 
 impl Request {
     pub(crate) fn new(
@@ -106,31 +106,31 @@
     ) -> Self {
         let wait = head.wait_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
         let deadline = now + wait;
-        let patience = match route.kind {
+        let wait_limit = match route.kind {
             vanetally_ports::RequestKind::Stream => {
-                let gap = LEAST_PATIENCE_MS.max(PATIENCE_TARGETS * route.target_ms);
-                deadline.min(now + gap) - PATIENCE_MARGIN_MS
+                let gap = MIN_STREAM_WAIT_MS.max(STREAM_WAIT_TARGETS * route.target_ms);
+                deadline.min(now + gap) - WAIT_MARGIN_MS
             }
             _ => {
-                let late = now + LATE_TARGETS * route.target_ms;
-                late.min(deadline - PATIENCE_MARGIN_MS).max(now)
+                let late = now + MAX_WAIT_TARGETS * route.target_ms;
+                late.min(deadline - WAIT_MARGIN_MS).max(now)
             }
         };
         let subject = head.model.as_ref();
         let shared = subject.map(|subject| shared_prefixes(subject, &head.parts));
         Self {
-            shared: shared.unwrap_or_default(),
+            shared_prefixes: shared.unwrap_or_default(),
             head,
             route,
             access,
-            content: 0,
+            content_hash: 0,
             service,
             arrived: now,
             deadline,
-            patience,
+            wait_limit,
             stage: Stage::Waiting,
             tried: Vec::new(),
-            sendings: 0,
+            attempts: 0,
             reservations: 0,
             verdict: Verdict::NotRun,
             not_before: now,
@@ -138,57 +138,60 @@
         }
     }
 
-    /// Its rank among waiting requests: its organisation's goes before its route's.
+    /// Returns the priorities by which requests are queued: that of the organisation, then that of
+    /// the route.
     pub(crate) fn rank(&self) -> (u8, u8) {
         let own = self.route.priority;
         (self.access.priority.unwrap_or(own), own)
     }
 
-    /// What it adds to the load of an upstream that has to read `unread_tokens` of its prompt.
+    /// Returns the load that the request adds to an upstream that has to read `unread_tokens` of
+    /// its prompt.
     pub(crate) fn load(&self, unread_tokens: u32) -> Load {
-        Load { running: 1, unread_tokens, held_tokens: self.tokens() }
+        Load { running: 1, unread_tokens, held_tokens: self.max_tokens() }
     }
 
-    /// Tokens that it may come to hold at an engine.
-    pub(crate) fn tokens(&self) -> u32 {
+    /// Returns the maximum number of tokens that the request may hold in an engine's memory.
+    pub(crate) fn max_tokens(&self) -> u32 {
         self.head.prompt_tokens + self.head.output_tokens
     }
 
-    /// The longest pause between events that the operators want, in milliseconds.
+    /// Returns the target for the longest gap between events, in milliseconds.
     pub(crate) fn gap_ms(&self) -> u64 {
-        self.route.gap_ms.unwrap_or(GAP_MS)
+        self.route.gap_ms.unwrap_or(DEFAULT_GAP_MS)
     }
 
-    /// Whether its answer would come after the time that the operators want.
+    /// Whether an answer now would miss the target latency.
     pub(crate) fn is_late(&self, now: Tick) -> bool {
         self.is_late_after(now, 0)
     }
 
-    /// Whether an answer that takes `answer_ms` from now on would come after the time that the operators want.
+    /// Whether an answer that takes another `answer_ms` would miss the target latency.
     pub(crate) fn is_late_after(&self, now: Tick, answer_ms: u64) -> bool {
         now.since(self.arrived) + answer_ms > self.route.target_ms
     }
 
-    /// Whether no upstream of its service is there, and it has waited as long as its answer may take: a wait
-    /// until its deadline would only keep its caller from asking again.
-    pub(crate) fn waits_for_nobody(&self, now: Tick) -> bool {
-        let is_nobody = self.shortage.is_some_and(|shortage| shortage.lack == Lack::Upstream);
-        is_nobody && self.is_late(now)
+    /// Whether the service has no upstream and the request has waited for its target latency.
+    /// Waiting until its deadline would only keep the caller from retrying.
+    pub(crate) fn lacks_upstream_too_long(&self, now: Tick) -> bool {
+        let lacks_upstream =
+            self.shortage.is_some_and(|shortage| shortage.kind == ShortageKind::Upstream);
+        lacks_upstream && self.is_late(now)
     }
 
-    /// Milliseconds that it may yet wait to be sent.
-    pub(crate) fn waits_ms(&self, now: Tick) -> u64 {
-        let until = if self.verdict == Verdict::NotRun { self.patience } else { self.deadline };
+    /// Returns how long the request may still wait for an attempt, in milliseconds.
+    pub(crate) fn remaining_wait_ms(&self, now: Tick) -> u64 {
+        let until = if self.verdict == Verdict::NotRun { self.wait_limit } else { self.deadline };
         until.since(now)
     }
 
-    /// Whether it was sent to as many upstreams as are allowed to it.
+    /// Whether the request was tried at its maximum number of upstreams.
     pub(crate) fn is_exhausted(&self) -> bool {
         self.tried.len() >= self.route.max_attempts as usize
     }
 
-    /// Whether it may be sent to `upstream` without exceeding the upstreams allowed to it.
-    pub(crate) fn may_go_to(&self, upstream: &Incarnation) -> bool {
+    /// Whether the request may be sent to `upstream` within its maximum number of upstreams.
+    pub(crate) fn may_try(&self, upstream: &Incarnation) -> bool {
         self.tried.contains(upstream) || !self.is_exhausted()
     }
 }
--- a/crates/dispatch/src/reserving.rs
+++ b/crates/dispatch/src/reserving.rs
@@ -1,85 +1,91 @@
-//! The moment for a request is asked for before it is sent to an upstream in need, and before its prompt is sent to an
-//! engine.
+//! Reserving a send time: a permit before a request is sent to a rate-limited upstream, and a slot
+//! of the engine's pacer before a prompt is sent to an engine.
 
 use crate::{
-    Action, Dispatch, Lack, RequestId, Shortage,
-    choice::{Choice, Expected},
+    Action, Dispatch, RequestId, Shortage, ShortageKind,
+    choice::{Choice, ReadEstimate},
     machine::MICROS_PER_MILLI,
     request::{Reservation, Stage},
-    sending::CROWDED_MS,
+    sending::SATURATED_MS,
 };
-use vanetally_limit::{Answer as Permit, Question};
-use vanetally_pacing::{Moment, Prompt, Slot};
+use vanetally_limit::{PermitAnswer, PermitRequest};
+use vanetally_pacing::{Prompt, SendSlot, SlotReply};
 use vanetally_ports::RefusalCause;
 use vanetally_types::Tick;
 
 impl Dispatch {
-    /// Asks the engine's pacer for the moment; the request counts as the engine's load meanwhile.
+    /// Asks the engine's pacer for a slot. The request counts as load of the engine meanwhile.
     pub(crate) fn reserve(&mut self, now: Tick, id: RequestId, choice: Choice) -> Option<Action> {
         let upstream = choice.upstream.clone();
-        let turn = self.open_reservation(now, id, choice)?;
+        let reservation = self.open_reservation(now, id, choice)?;
         let request = self.requests.get(&id)?;
         let model = request.head.model.as_ref().map(|subject| subject.model.clone());
-        let per_token_us = self.pace.per_token(model.as_ref()) * MICROS_PER_MILLI;
+        let per_token_us = self.pace.per_token_ms(model.as_ref()) * MICROS_PER_MILLI;
         let prompt = Prompt {
             upstream,
             model: model.unwrap_or_else(|| "".into()),
-            shared: request.shared.clone(),
+            shared: request.shared_prefixes.clone(),
             tokens: request.head.prompt_tokens,
             per_token_us: per_token_us.round() as u32,
             gap_ms: request.gap_ms() as u32,
         };
-        Some(Action::Reserve { id, turn, prompt })
+        Some(Action::Reserve { id, reservation, prompt })
     }
 
-    /// A request waits no more in the queue, but for a moment at the upstream that was chosen; it counts as that one's
-    /// load. Gives back the number of the reservation.
+    /// Moves a request from the queue to a reservation at the chosen upstream, where it counts as
+    /// load. Returns the number of the reservation.
     fn open_reservation(&mut self, now: Tick, id: RequestId, choice: Choice) -> Option<u32> {
         let request = self.requests.get_mut(&id)?;
         let upstream = self.upstreams.get_mut(&choice.upstream)?;
         self.queue.remove(id, request);
-        let load = request.load(choice.expected.unread);
-        upstream.own.add(load);
-        upstream.rest.sent(now);
+        let load = request.load(choice.expected.unread_tokens);
+        upstream.own_load.add(load);
+        upstream.cooldown.record_send(now);
         request.reservations += 1;
-        let turn = request.reservations;
-        request.stage = Stage::Reserving(Reservation { turn, choice, load });
-        Some(turn)
+        let reservation = request.reservations;
+        request.stage = Stage::Reserving(Reservation { reservation, choice, load });
+        Some(reservation)
     }
 
-    /// The pacer answered: the request goes, or waits for this or another engine.
+    /// Handles the pacer's answer: sends the request, or queues it again for this or another
+    /// engine.
     pub(crate) fn reserved(
         &mut self,
         now: Tick,
         id: RequestId,
-        turn: u32,
-        slot: Slot,
+        reservation: u32,
+        slot: SlotReply,
         actions: &mut Vec<Action>,
     ) {
-        let Some(choice) = self.take_reservation(id, turn) else {
+        let Some(choice) = self.close_reservation(id, reservation) else {
             return;
         };
-        // One that has gone or leaves takes nothing new, whatever its pacer says.
+        // An upstream that is gone or leaving takes nothing new, whatever its pacer answered.
         let Some(upstream) = self.upstreams.get_mut(&choice.upstream) else {
             return;
         };
-        let is_open = upstream.takes_now(now) && upstream.is_permitted(&choice);
+        let is_open = upstream.accepts_now(now) && upstream.is_permitted(&choice);
         match slot {
-            Slot::Granted(Moment { delay_ms, unread, ahead_ms, is_trial }) if is_open => {
-                let expected = Expected { unread, ahead_ms };
+            SlotReply::Granted(SendSlot {
+                delay_ms,
+                unread: unread_tokens,
+                ahead_ms,
+                is_trial,
+            }) if is_open => {
+                let expected = ReadEstimate { unread_tokens, ahead_ms };
                 let choice = Choice { expected, is_trial, ..choice };
                 actions.extend(self.send(now, id, choice, delay_ms));
                 return;
             }
-            Slot::Granted(_) => {}
-            Slot::Busy { retry_ms } => upstream.paced_until = now + u64::from(retry_ms),
+            SlotReply::Granted(_) => {}
+            SlotReply::Busy { retry_ms } => upstream.paced_until = now + u64::from(retry_ms),
         }
-        upstream.rest.ended(now, now, false);
+        upstream.cooldown.record_end(now, now, false);
         actions.extend(choice.unused_permit());
     }
 
-    /// Asks when the request may go to an upstream in need; it counts as the upstream's load meanwhile.
-    pub(crate) fn ask_permit(
+    /// Asks the grantor for a permit. The request counts as load of the upstream meanwhile.
+    pub(crate) fn request_permit(
         &mut self,
         now: Tick,
         id: RequestId,
@@ -87,28 +93,30 @@
     ) -> Option<Action> {
         let limit = choice.limit?;
         let upstream = choice.upstream.clone();
-        let turn = self.open_reservation(now, id, choice)?;
-        let waits_ms = self.requests.get(&id)?.waits_ms(now).max(1);
-        let most_ms = if limit.may_wait { waits_ms.try_into().unwrap_or(u32::MAX) } else { 0 };
-        let question = Question { upstream, rate: limit.rate, most_ms };
-        Some(Action::Permit { id, turn, question })
+        let reservation = self.open_reservation(now, id, choice)?;
+        let remaining_wait_ms = self.requests.get(&id)?.remaining_wait_ms(now).max(1);
+        let max_wait_ms =
+            if limit.may_wait { remaining_wait_ms.try_into().unwrap_or(u32::MAX) } else { 0 };
+        let request = PermitRequest { upstream, rate: limit.rate, max_wait_ms };
+        Some(Action::RequestPermit { id, reservation, request })
     }
 
-    /// Who grants answered: the request goes, goes elsewhere, or is refused with the time at which there is room.
-    pub(crate) fn permitted(
+    /// Handles the grantor's answer: the request is sent, queued again for another upstream, or
+    /// refused with the time after which there is capacity.
+    pub(crate) fn permit_answered(
         &mut self,
         now: Tick,
-        (id, turn): (RequestId, u32),
-        question: Question,
-        answer: Permit,
+        (id, reservation): (RequestId, u32),
+        request: PermitRequest,
+        answer: PermitAnswer,
         actions: &mut Vec<Action>,
     ) {
         let granted = match answer {
-            Permit::Granted { delay_ms } => Some(delay_ms),
-            Permit::Busy { .. } | Permit::NotGranting => None,
+            PermitAnswer::Granted { delay_ms } => Some(delay_ms),
+            PermitAnswer::Busy { .. } | PermitAnswer::NotGranting => None,
         };
-        let Some(mut choice) = self.take_reservation(id, turn) else {
-            let Question { upstream, rate, .. } = question;
+        let Some(mut choice) = self.close_reservation(id, reservation) else {
+            let PermitRequest { upstream, rate, .. } = request;
             actions.extend(granted.map(|_| Action::ReturnPermit { upstream, rate }));
             return;
         };
@@ -119,23 +127,26 @@
         if let (Some(_), Some(limit)) = (granted, &mut choice.limit) {
             limit.is_granted = true;
         }
-        let is_open = upstream.takes_now(now);
+        let is_open = upstream.accepts_now(now);
         match answer {
-            Permit::Granted { .. } if !is_open => actions.extend(choice.unused_permit()),
-            Permit::Granted { delay_ms: 0 } if is_engine => {
+            PermitAnswer::Granted { .. } if !is_open => actions.extend(choice.unused_permit()),
+            PermitAnswer::Granted { delay_ms: 0 } if is_engine => {
                 actions.extend(self.reserve(now, id, choice));
             }
-            // In line its prompt meets few others.
-            Permit::Granted { delay_ms } => actions.extend(self.send(now, id, choice, delay_ms)),
-            Permit::Busy { retry_ms } if question.most_ms > 0 => {
+            // A request that waited for its permit meets few other prompts, so no pacer slot is
+            // needed.
+            PermitAnswer::Granted { delay_ms } => {
+                actions.extend(self.send(now, id, choice, delay_ms))
+            }
+            PermitAnswer::Busy { retry_ms } if request.max_wait_ms > 0 => {
                 self.refuse_limited(now, id, retry_ms, actions);
             }
-            Permit::Busy { retry_ms } => upstream.limited_until = now + u64::from(retry_ms),
-            Permit::NotGranting => {}
+            PermitAnswer::Busy { retry_ms } => upstream.limited_until = now + u64::from(retry_ms),
+            PermitAnswer::NotGranting => {}
         }
     }
 
-    /// Refuses a request that only upstreams in need could take.
+    /// Refuses a request that only rate-limited upstreams could take.
     fn refuse_limited(
         &mut self,
         now: Tick,
@@ -147,18 +158,25 @@
             return;
         };
         let holders = request.shortage.map_or(1, |shortage| shortage.holders);
-        let shortage = Shortage { lack: Lack::Limit, holders };
+        let shortage = Shortage { kind: ShortageKind::Limit, holders };
         let (service, subject) = (request.service.clone(), request.head.model.clone());
-        self.refuse_at_once(id, shortage, RefusalCause::Limited, retry_ms.into(), actions);
+        self.refuse_at_once(id, shortage, RefusalCause::RateLimited, retry_ms.into(), actions);
         if let Some(subject) = subject {
-            self.tell_shortage(now, &service, subject, Lack::Limit, CROWDED_MS, actions);
+            self.report_shortage(
+                now,
+                &service,
+                subject,
+                ShortageKind::Limit,
+                SATURATED_MS,
+                actions,
+            );
         }
     }
 
-    /// Ends the reservation `turn` of a request, if it is open: the request waits again.
-    fn take_reservation(&mut self, id: RequestId, turn: u32) -> Option<Choice> {
+    /// Closes the reservation if it is open, and queues the request again.
+    fn close_reservation(&mut self, id: RequestId, reservation: u32) -> Option<Choice> {
         let request = self.requests.get_mut(&id)?;
-        if !matches!(&request.stage, Stage::Reserving(open) if open.turn == turn) {
+        if !matches!(&request.stage, Stage::Reserving(open) if open.reservation == reservation) {
             return None;
         }
         let stage = std::mem::replace(&mut request.stage, Stage::Waiting);
@@ -167,7 +185,7 @@
         };
         self.queue.insert(id, request);
         if let Some(upstream) = self.upstreams.get_mut(&choice.upstream) {
-            upstream.own.take(load);
+            upstream.own_load.subtract(load);
         }
         Some(choice)
     }
--- a/crates/dispatch/src/roster.rs
+++ b/crates/dispatch/src/roster.rs
@@ -1,44 +1,45 @@
-//! Which lives of upstreams are announced.
+//! Incarnations of upstreams, derived from their announcements.
 //!
-//! Announcements lie in the store, one under each id, and an upstream may start again under its id. Here each
-//! announcement is taken for what it says of which life, in the order in which the store took them: another
-//! start is another life, and the one before it has ended. What this tells, each once, is all that the other
-//! decisions hear of it.
+//! The store holds one announcement per upstream id. An upstream that restarts keeps its id and
+//! gets another start time, so an announcement with another start time belongs to a new incarnation
+//! and ends the previous one. Announcements are processed in the order of their store revisions.
+//! The other decisions learn of upstreams only through the [`RosterUpdate`]s returned here; each
+//! change is returned once.
 
-use crate::former::{Former, FormerLives};
+use crate::previous::{PreviousIncarnation, PreviousIncarnations};
 use std::collections::{BTreeMap, BTreeSet};
 use vanetally_ports::{Announcement, AnnouncementError, Revision, UpstreamState};
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// What an announcement, or its end, means.
+/// Result of an announcement.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
-    /// A life announced itself, or changed what it announces.
+pub enum RosterUpdate {
+    /// An incarnation announced itself, or changed its announcement.
     Seen {
-        /// The life.
-        life: Incarnation,
-        /// What it says.
+        /// The announced incarnation.
+        incarnation: Incarnation,
+        /// The announced state.
         state: UpstreamState,
-        /// Whether nothing was known of it before.
+        /// Whether the incarnation was unknown before.
         is_new: bool,
     },
-    /// What lies under its id can't be read: it gets nothing new until it can.
+    /// The announcement can't be read; the upstream gets no new requests until it can.
     Unreadable {
-        /// The life that was announced last, if any.
-        life: Option<Incarnation>,
-        /// Why.
+        /// The incarnation that was announced last, if any.
+        incarnation: Option<Incarnation>,
+        /// Why the announcement can't be read.
         error: AnnouncementError,
     },
-    /// A copy of the store tells what is known to be over.
+    /// A copy of the store returned an announcement that is known to be out of date.
     Outdated {
-        /// The life that it tells of.
-        life: Incarnation,
+        /// The incarnation in that announcement.
+        incarnation: Incarnation,
     },
-    /// A life has ended: another one is announced under its id.
+    /// An incarnation ended: another one was announced under its id.
     Ended {
-        /// The life that ended.
-        life: Incarnation,
-        /// The one after it.
+        /// The incarnation that ended.
+        incarnation: Incarnation,
+        /// The incarnation that replaced it.
         next: Incarnation,
     },
 }
@@ -47,112 +48,119 @@
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     entries: BTreeMap<Name, Entry>,
-    /// Ids under which nothing was ever read, only what can't be.
-    strangers: BTreeSet<Name>,
-    former: FormerLives,
+    /// Ids of which no announcement could be read so far.
+    unreadable_ids: BTreeSet<Name>,
+    previous: PreviousIncarnations,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
-    life: Incarnation,
-    /// The last announcement under the id.
+    incarnation: Incarnation,
+    /// Revision of the last announcement under the id.
     revision: Revision,
-    /// The last one of this life.
-    seen: Revision,
+    /// Revision of the last readable announcement of this incarnation.
+    last_seen: Revision,
     is_readable: bool,
-    /// Where the life said that it leaves.
+    /// Revision at which the incarnation announced that it leaves.
     leaving: Option<Revision>,
 }
 
-/// Ids under which nothing can be read are told once each, up to so many.
-const MOST_STRANGERS: usize = 1_024;
+/// Maximum number of ids without a readable announcement; each of them is reported once.
+const MAX_UNREADABLE_IDS: usize = 1_024;
 
 impl Roster {
-    /// What lies under `id` as of `revision` was read, or can't be.
-    pub fn announced(
+    /// Records the announcement of `id` at `revision`, as read or with the error.
+    pub fn record(
         &mut self,
         now: Tick,
         id: &Name,
         revision: Revision,
         read: Result<Announcement, AnnouncementError>,
-    ) -> Vec<News> {
+    ) -> Vec<RosterUpdate> {
         let Some(entry) = self.entries.get_mut(id) else {
-            return self.first(now, id, revision, read);
+            return self.record_first(now, id, revision, read);
         };
         if revision < entry.revision {
             return Vec::new();
         }
         entry.revision = revision;
-        let read = read.and_then(|told| entry.check(told));
-        let Announcement { life, mut state } = match read {
-            Ok(told) => told,
-            Err(error) => return entry.unreadable(error),
+        let read = read.and_then(|announcement| entry.check(announcement));
+        let Announcement { incarnation, mut state } = match read {
+            Ok(announcement) => announcement,
+            Err(error) => return entry.mark_unreadable(error),
         };
-        if entry.life == life {
+        if entry.incarnation == incarnation {
             entry.is_readable = true;
-            entry.seen = revision;
+            entry.last_seen = revision;
             entry.note_leaving(revision, &mut state);
-            return vec![News::Seen { life, state, is_new: false }];
+            return vec![RosterUpdate::Seen { incarnation, state, is_new: false }];
         }
-        let former = self.former.get(now, &life);
-        if entry.is_younger(&life, revision) || former.is_some_and(|f| f.is_told_again(revision)) {
-            return vec![News::Outdated { life }];
+        let previous = self.previous.get(now, &incarnation);
+        if entry.is_newer_than(&incarnation, revision)
+            || previous.is_some_and(|previous| previous.is_replay(revision))
+        {
+            return vec![RosterUpdate::Outdated { incarnation }];
         }
-        if former.is_some_and(|former| former.is_late(now)) {
+        if previous.is_some_and(|previous| previous.may_be_late(now)) {
             return Vec::new();
         }
-        let leaving = self.former.remove(&life).and_then(|former| former.leaving);
-        let next = Entry::new(life.clone(), revision, leaving, &mut state);
-        let before = std::mem::replace(entry, next);
-        self.former.insert(before.life.clone(), before.end(now, true));
+        let leaving = self.previous.remove(&incarnation).and_then(|previous| previous.leaving);
+        let next = Entry::new(incarnation.clone(), revision, leaving, &mut state);
+        let replaced = std::mem::replace(entry, next);
+        self.previous.insert(replaced.incarnation.clone(), replaced.to_previous(now, true));
         vec![
-            News::Ended { life: before.life, next: life.clone() },
-            News::Seen { life, state, is_new: true },
+            RosterUpdate::Ended { incarnation: replaced.incarnation, next: incarnation.clone() },
+            RosterUpdate::Seen { incarnation, state, is_new: true },
         ]
     }
 
-    /// Nothing is known under `id`. What can't be read names nobody.
-    fn first(
+    /// Records the first announcement of an unknown `id`. An unreadable one names no incarnation.
+    fn record_first(
         &mut self,
         now: Tick,
         id: &Name,
         revision: Revision,
         read: Result<Announcement, AnnouncementError>,
-    ) -> Vec<News> {
-        let Announcement { life, mut state } = match read {
-            Ok(told) => told,
-            Err(error) => return self.stranger(id, error),
+    ) -> Vec<RosterUpdate> {
+        let Announcement { incarnation, mut state } = match read {
+            Ok(announcement) => announcement,
+            Err(error) => return self.record_unreadable(id, error),
         };
-        self.strangers.remove(id);
-        let former = self.former.get(now, &life);
-        if former.is_some_and(|former| former.is_told_again(revision)) {
-            return vec![News::Outdated { life }];
+        self.unreadable_ids.remove(id);
+        let previous = self.previous.get(now, &incarnation);
+        if previous.is_some_and(|previous| previous.is_replay(revision)) {
+            return vec![RosterUpdate::Outdated { incarnation }];
         }
-        let leaving = self.former.remove(&life).and_then(|former| former.leaving);
-        let entry = Entry::new(life.clone(), revision, leaving, &mut state);
+        let leaving = self.previous.remove(&incarnation).and_then(|previous| previous.leaving);
+        let entry = Entry::new(incarnation.clone(), revision, leaving, &mut state);
         self.entries.insert(id.clone(), entry);
-        vec![News::Seen { life, state, is_new: true }]
+        vec![RosterUpdate::Seen { incarnation, state, is_new: true }]
     }
 
-    fn stranger(&mut self, id: &Name, error: AnnouncementError) -> Vec<News> {
-        let is_new = self.strangers.len() < MOST_STRANGERS && self.strangers.insert(id.clone());
-        if is_new { vec![News::Unreadable { life: None, error }] } else { Vec::new() }
+    fn record_unreadable(&mut self, id: &Name, error: AnnouncementError) -> Vec<RosterUpdate> {
+        let is_new = self.unreadable_ids.len() < MAX_UNREADABLE_IDS
+            && self.unreadable_ids.insert(id.clone());
+        if is_new {
+            vec![RosterUpdate::Unreadable { incarnation: None, error }]
+        } else {
+            Vec::new()
+        }
     }
 
-    /// The announcement under `id` is gone, and with it the life.
-    pub fn gone(&mut self, now: Tick, id: &Name) -> Option<Incarnation> {
-        self.strangers.remove(id);
+    /// Records that the announcement of `id` is gone. Returns the incarnation that ended with it.
+    pub fn remove(&mut self, now: Tick, id: &Name) -> Option<Incarnation> {
+        self.unreadable_ids.remove(id);
         let entry = self.entries.remove(id)?;
-        self.former.insert(entry.life.clone(), entry.end(now, false));
-        Some(entry.life)
+        self.previous.insert(entry.incarnation.clone(), entry.to_previous(now, false));
+        Some(entry.incarnation)
     }
 
-    /// Whether anything is known under `id`.
-    pub fn knows(&self, id: &Name) -> bool {
+    /// Whether an incarnation is known under `id`.
+    pub fn contains(&self, id: &Name) -> bool {
         self.entries.contains_key(id)
     }
 
-    /// All ids under which something is known.
+    /// Returns all ids with a known incarnation.
     pub fn ids(&self) -> impl Iterator<Item = &Name> {
         self.entries.keys()
     }
@@ -160,27 +168,36 @@
 
 impl Entry {
     fn new(
-        life: Incarnation,
+        incarnation: Incarnation,
         revision: Revision,
         leaving: Option<Revision>,
         state: &mut UpstreamState,
     ) -> Self {
-        let mut entry = Self { life, revision, seen: revision, is_readable: true, leaving };
+        let mut entry =
+            Self { incarnation, revision, last_seen: revision, is_readable: true, leaving };
         entry.note_leaving(revision, state);
         entry
     }
 
-    /// What is remembered of the life when it is over.
-    fn end(&self, now: Tick, is_replaced: bool) -> Former {
-        Former { at: now, last: self.seen, leaving: self.leaving, is_replaced }
+    /// Returns what is kept of the incarnation after its end.
+    fn to_previous(&self, now: Tick, is_replaced: bool) -> PreviousIncarnation {
+        PreviousIncarnation {
+            ended_at: now,
+            last_revision: self.last_seen,
+            leaving: self.leaving,
+            is_replaced,
+        }
     }
 
-    /// Whether a copy of the store tells of a life that began before this one.
-    fn is_younger(&self, other: &Incarnation, revision: Revision) -> bool {
-        revision.era > self.seen.era && other.born.is_some() && other.born < self.life.born
+    /// Whether `revision` comes from a copy of the store and `other` began before this incarnation.
+    fn is_newer_than(&self, other: &Incarnation, revision: Revision) -> bool {
+        revision.era > self.last_seen.era
+            && other.born.is_some()
+            && other.born < self.incarnation.born
     }
 
-    /// A copy does not take back that a life leaves; the life itself may, in the era in which it said so.
+    /// Updates the leaving state. Only the incarnation itself, in the era in which it announced
+    /// that it leaves, can take that back; an announcement from a copy of the store can't.
     fn note_leaving(&mut self, revision: Revision, state: &mut UpstreamState) {
         if state.draining {
             self.leaving = Some(revision);
@@ -190,18 +207,19 @@
         state.draining = self.leaving.is_some();
     }
 
-    /// An announcement that leaves out the start that the one before it told comes from another writer.
-    fn check(&self, told: Announcement) -> Result<Announcement, AnnouncementError> {
-        if self.life.born.is_some() && told.life.born.is_none() {
-            return Err(AnnouncementError::Unborn);
+    /// Rejects an announcement without a start time if the previous one had it: another writer
+    /// wrote it.
+    fn check(&self, announcement: Announcement) -> Result<Announcement, AnnouncementError> {
+        if self.incarnation.born.is_some() && announcement.incarnation.born.is_none() {
+            return Err(AnnouncementError::StartMissing);
         }
-        Ok(told)
+        Ok(announcement)
     }
 
-    fn unreadable(&mut self, error: AnnouncementError) -> Vec<News> {
+    fn mark_unreadable(&mut self, error: AnnouncementError) -> Vec<RosterUpdate> {
         if !std::mem::replace(&mut self.is_readable, false) {
             return Vec::new();
         }
-        vec![News::Unreadable { life: Some(self.life.clone()), error }]
+        vec![RosterUpdate::Unreadable { incarnation: Some(self.incarnation.clone()), error }]
     }
 }
--- a/crates/fanout/src/lib.rs
+++ b/crates/fanout/src/lib.rs
@@ -1,36 +1,38 @@
-//! Which hosts follow the store for the others of their failure domain, and gather their loads.
+//! Distribution of store data from host to host, and aggregation of the hosts' loads.
 //!
-//! In a large deployment one host, the root, watches the store and passes on what it reads to one host
-//! of each failure domain, the aggregator, and that one to the others, which report their load to it and
-//! hear the sum of all. The calls to the store and the messages of a host do not grow with the number of
-//! hosts. No agreement is needed: any host may be asked, and one that is passes on what it knows and how
-//! old that is. State machines only: no clock, no socket.
+//! In a large deployment one host, the root, watches the store and forwards what it reads to one host
+//! of each failure domain, the aggregator. The aggregator forwards it to the other hosts of its domain,
+//! which report their load to the aggregator and receive the total. The number of store calls and the
+//! number of messages per host do not grow with the number of hosts. No consensus is needed: any host
+//! accepts subscriptions, and then forwards what it knows together with the age of that data.
+//!
+//! The crate holds state machines only: the caller supplies the time and does all I/O.
 #![deny(missing_docs, unsafe_code)]
 
 mod candidate;
 mod contact;
 mod event;
-mod follow;
 mod freshness;
-mod heard;
 mod mirror;
 mod pack;
 mod path;
 mod pull;
-mod review;
+mod source_selector;
+mod source_state;
 mod spacing;
+mod timeouts;
 mod totals;
 mod versions;
 
-pub use candidate::{Candidate, FEW_HOSTS, aggregators, root};
-pub use contact::{Contact, StoreState};
+pub use candidate::{Candidate, MAX_DIRECT_READERS, aggregators, root};
+pub use contact::{StoreContact, StoreState};
 pub use event::{Action, Event, Reason, Source};
-pub use follow::Follow;
-pub use freshness::{Freshness, Life, Word as FreshWord};
+pub use freshness::{Freshness, HostIncarnation, SourceStatus};
 pub use mirror::{Gap, Mirror};
 pub use pack::Packed;
-pub use path::{Mark, Path, mark};
+pub use path::{Hop, Path, hop};
 pub use pull::Pull;
-pub use spacing::{Spacing, telling_ms};
-pub use totals::{Reported, Totals};
+pub use source_selector::SourceSelector;
+pub use spacing::{Spacing, status_interval_ms};
+pub use totals::{IncludedReport, Totals};
 pub use versions::{Error, Patch, Versions};
--- a/crates/fanout/tests/aggregators.rs
+++ b/crates/fanout/tests/aggregators.rs
@@ -1,7 +1,7 @@
 //! Which hosts are aggregators.
 
 use rstest::rstest;
-use vanetally_fanout::{Candidate, FEW_HOSTS, aggregators};
+use vanetally_fanout::{Candidate, MAX_DIRECT_READERS, aggregators};
 
 fn candidates(domains: &[(&str, usize, u32)]) -> Vec<Candidate> {
     let rows = domains.iter().flat_map(|(domain, count, capacity)| {
@@ -15,15 +15,15 @@
 }
 
 #[test]
-fn few_all() {
-    let hosts = candidates(&[("a", FEW_HOSTS / 2, 12), ("b", FEW_HOSTS / 2, 50)]);
-    assert_eq!(aggregators(&hosts).len(), FEW_HOSTS);
+fn few_hosts_all_aggregators() {
+    let hosts = candidates(&[("a", MAX_DIRECT_READERS / 2, 12), ("b", MAX_DIRECT_READERS / 2, 50)]);
+    assert_eq!(aggregators(&hosts).len(), MAX_DIRECT_READERS);
 }
 
 #[rstest]
 #[case(&[("a", 23, 12), ("b", 18, 12), ("c", 24, 12)], 3)]
 #[case(&[("a", 300, 12), ("b", 1, 12)], 2)]
-fn one_each(#[case] domains: &[(&str, usize, u32)], #[case] expected: usize) {
+fn one_per_domain(#[case] domains: &[(&str, usize, u32)], #[case] expected: usize) {
     assert_eq!(aggregators(&candidates(domains)).len(), expected);
 }
 
--- a/crates/placement/src/adapters.rs
+++ b/crates/placement/src/adapters.rs
@@ -1,14 +1,14 @@
-//! Adapters that hosts miss are brought to a runner that holds their model.
+//! Loads requested adapters on runners that hold their model.
 
-use crate::{Action, Placement, Room, machine::announce};
+use crate::{Action, Fit, Placement, machine::announce};
 use vanetally_ports::{EngineSpec, FencingToken, ModelRef, Operation, Subject};
 use vanetally_types::{Incarnation, Name, Tick};
 
-/// Least idle time of an adapter that makes way, in milliseconds.
-const ADAPTER_IDLE_MS: u64 = 1_000;
+/// Minimum idle time before an adapter may be evicted.
+const MIN_ADAPTER_IDLE_MS: u64 = 1_000;
 
 impl Placement {
-    /// Orders adapters that hosts miss.
+    /// Orders the adapters that hosts requested.
     pub(crate) fn order_adapters(
         &mut self,
         now: Tick,
@@ -17,19 +17,19 @@
         engine: &EngineSpec,
         actions: &mut Vec<Action>,
     ) {
-        let missing = self.wanted.keys().filter(|(of, _)| of == service);
-        let missing: Vec<Subject> = missing
+        let requested = self.requested.keys().filter(|(name, _)| name == service);
+        let requested: Vec<Subject> = requested
             .filter_map(|(_, subject)| {
                 let adapter = Some(subject.adapter.clone()?);
                 Some(Subject { model: subject.model.clone(), adapter })
             })
             .collect();
-        for subject in missing {
+        for subject in requested {
             self.order_adapter(now, token, service, engine, subject, actions);
         }
     }
 
-    /// Orders one adapter, unless it is somewhere or on its way.
+    /// Orders one adapter, unless a runner holds it or is loading it.
     pub(crate) fn order_adapter(
         &mut self,
         now: Tick,
@@ -39,28 +39,29 @@
         subject: Subject,
         actions: &mut Vec<Action>,
     ) {
-        if self.is_somewhere(service, &subject)
+        if self.is_placed(service, &subject)
             || self.copy_adapter(now, token, service, engine, subject.clone(), actions)
         {
             return;
         }
-        let Some(runner) = self.runner_for_adapter(service, engine, &subject, Room::Full) else {
+        let Some(runner) = self.runner_for_adapter(service, engine, &subject, Fit::NeedsEviction)
+        else {
             return;
         };
         let victim =
-            self.spare_adapter(&runner).or_else(|| self.idle_adapter(now, service, &runner));
+            self.replicated_adapter(&runner).or_else(|| self.idle_adapter(now, service, &runner));
         match victim {
             Some(victim) => {
                 self.order(now, token, &runner, Operation::Unload, victim, actions);
             }
-            // All that are there are asked for: one more holder has places for the rest.
+            // All held adapters are in use: another replica of the model offers room for more.
             None => {
-                self.cramped.insert((service.clone(), subject.model), now);
+                self.adapter_full.insert((service.clone(), subject.model), now);
             }
         }
     }
 
-    /// Orders a copy of an adapter, where there is room for it; tells whether it did.
+    /// Orders another copy of an adapter where it fits. Returns whether it did.
     pub(crate) fn copy_adapter(
         &mut self,
         now: Tick,
@@ -70,7 +71,7 @@
         subject: Subject,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let runner = self.runner_for_adapter(service, engine, &subject, Room::Fits);
+        let runner = self.runner_for_adapter(service, engine, &subject, Fit::Fits);
         let Some(runner) = runner else {
             return false;
         };
@@ -78,35 +79,36 @@
         true
     }
 
-    /// Tells hosts again what they miss though it is there.
+    /// Announces again to hosts what they requested although a runner holds it.
     ///
-    /// They believe what they were told for some seconds, and then what the runner announces. Where its entry is not
-    /// written in time, as while the store is away, a model or an adapter that came just before would be missed for as
-    /// long as that lasts.
-    pub(crate) fn tell_present(
+    /// Hosts rely on an announcement for some seconds and then on the runner's entry in the store.
+    /// If that entry is not updated in time, for example while the store is unavailable, hosts
+    /// would not find a recently loaded model or adapter until it is.
+    pub(crate) fn reannounce(
         &mut self,
         now: Tick,
         service: &Name,
-        missed: &ModelRef,
+        requested: &ModelRef,
         actions: &mut Vec<Action>,
     ) {
-        let key = (service.clone(), missed.clone());
-        if self.told.contains_key(&key) {
+        let key = (service.clone(), requested.clone());
+        if self.reannounced.contains_key(&key) {
             return;
         }
-        let subject = Subject { model: missed.model.clone(), adapter: missed.adapter.clone() };
+        let subject =
+            Subject { model: requested.model.clone(), adapter: requested.adapter.clone() };
         let holders = self.ledgers.iter().filter(|(_, ledger)| {
             ledger.state.service == *service && !ledger.state.draining && ledger.holds(&subject)
         });
-        let told: Vec<Action> =
+        let announcements: Vec<Action> =
             holders.map(|(runner, _)| announce(runner, &subject, true, 0)).collect();
-        if !told.is_empty() {
-            self.told.insert(key, now);
-            actions.extend(told);
+        if !announcements.is_empty() {
+            self.reannounced.insert(key, now);
+            actions.extend(announcements);
         }
     }
 
-    fn is_somewhere(&self, service: &Name, subject: &Subject) -> bool {
+    fn is_placed(&self, service: &Name, subject: &Subject) -> bool {
         self.ledgers.values().any(|ledger| {
             ledger.state.service == *service
                 && !ledger.state.draining
@@ -114,31 +116,31 @@
         })
     }
 
-    /// The runner with the fewest adapters among those that hold the model.
+    /// The runner with the fewest adapters among those that hold the model and match `fit`.
     fn runner_for_adapter(
         &self,
         service: &Name,
         engine: &EngineSpec,
         subject: &Subject,
-        room: Room,
+        fit: Fit,
     ) -> Option<Incarnation> {
         let fitting = self.ledgers.iter().filter(|(runner, ledger)| {
-            let closing = Subject { model: subject.model.clone(), adapter: None };
+            let weights = Subject { model: subject.model.clone(), adapter: None };
             ledger.state.service == *service
                 && ledger.holds_model(&subject.model)
                 && !ledger.will_hold_adapter(subject)
                 && ledger.next_count().is_some()
-                && ledger.room_for_adapter(engine) == room
-                && !self.closing.contains_key(&((*runner).clone(), closing))
+                && ledger.adapter_fit(engine) == fit
+                && !self.pending_unloads.contains_key(&((*runner).clone(), weights))
         });
-        let least = fitting.min_by_key(|(runner, ledger)| {
+        let least_used = fitting.min_by_key(|(runner, ledger)| {
             (ledger.adapter_count(), vanetally_types::hash64(runner.id.as_bytes()))
         });
-        least.map(|(runner, _)| runner.clone())
+        least_used.map(|(runner, _)| runner.clone())
     }
 
-    /// An adapter of the runner that another runner of its service holds as well.
-    fn spare_adapter(&self, runner: &Incarnation) -> Option<Subject> {
+    /// An adapter on the runner that another runner of its service holds as well.
+    fn replicated_adapter(&self, runner: &Incarnation) -> Option<Subject> {
         let ledger = self.ledgers.get(runner)?;
         let others = || {
             self.ledgers.iter().filter(|(name, other)| {
@@ -152,14 +154,14 @@
         })
     }
 
-    /// The adapter of the runner that was not asked for the longest.
+    /// The adapter on the runner with the oldest last request, if it has been idle long enough.
     fn idle_adapter(&self, now: Tick, service: &Name, runner: &Incarnation) -> Option<Subject> {
-        let last = |subject: &Subject| {
+        let last_request = |subject: &Subject| {
             let key = ModelRef { model: subject.model.clone(), adapter: subject.adapter.clone() };
-            self.demand.adapter_last(service, &key)
+            self.demand.adapter_last_request(service, &key)
         };
         let ledger = self.ledgers.get(runner)?;
-        let oldest = ledger.adapters().min_by_key(|subject| last(subject))?;
-        (now.since(last(&oldest)) > ADAPTER_IDLE_MS).then_some(oldest)
+        let oldest = ledger.adapters().min_by_key(|subject| last_request(subject))?;
+        (now.since(last_request(&oldest)) > MIN_ADAPTER_IDLE_MS).then_some(oldest)
     }
 }
--- a/crates/placement/src/summary.rs
+++ b/crates/placement/src/summary.rs
@@ -1,40 +1,40 @@
-//! What operators are shown of the placement.
+//! Summary of the placement for operators.
 
 use crate::{Obstacle, Placement, capacity::Capacity};
 use std::collections::BTreeMap;
 use vanetally_types::{Name, Tick};
 
-/// One model's demand and replicas.
+/// Demand and replicas of one model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelSummary {
     /// The model.
     pub model: Name,
-    /// Runner-seconds a second that are asked for.
+    /// Requested runner-seconds per second.
     pub load: f64,
-    /// Runners that hold it.
-    pub holding: usize,
-    /// Runners that are getting it.
-    pub coming: usize,
+    /// Number of runners that hold it.
+    pub holders: usize,
+    /// Number of runners that are loading it.
+    pub loading: usize,
 }
 
-/// Runners that can and can't be given orders about weights.
+/// Number of runners that can and can't be sent orders about weights.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunnerSummary {
-    /// Those that can.
-    pub open: usize,
-    /// Those on which room is being made.
-    pub making_room: usize,
-    /// Those that can't, by the reason.
+    /// Runners that can.
+    pub available: usize,
+    /// Runners on which memory is being freed for a model.
+    pub evicting: usize,
+    /// Runners that can't, by reason.
     pub obstacles: BTreeMap<Obstacle, usize>,
-    /// Room for how many more of the smallest models there is on all of them.
+    /// How many more models of the smallest size fit on all runners together.
     pub free_places: usize,
 }
 
-/// Models with less load are left out of a summary.
-const LEAST_LOAD: f64 = 0.005;
+/// Models with less load, in runner-seconds per second, are left out of a summary.
+const MIN_SHOWN_LOAD: f64 = 0.005;
 
 impl Placement {
-    /// Each model that is asked for or on its way: what operators look at.
+    /// Returns the models that are requested or loading.
     pub fn summary(&self, now: Tick) -> Vec<ModelSummary> {
         let mut counts: BTreeMap<(&Name, &Name), (usize, usize)> = BTreeMap::new();
         for ledger in self.ledgers.values() {
@@ -42,7 +42,7 @@
             ledger
                 .held_names()
                 .for_each(|model| counts.entry((service, model)).or_default().0 += 1);
-            if let Some(model) = ledger.coming_model() {
+            if let Some(model) = ledger.loading_model() {
                 counts.entry((service, model)).or_default().1 += 1;
             }
         }
@@ -50,16 +50,19 @@
         let engines = services.filter_map(|(name, service)| Some((name, service.engine.as_ref()?)));
         let models = engines.flat_map(|(service, engine)| {
             engine.models.keys().map(|model| {
-                let (holding, coming) = counts.get(&(service, model)).copied().unwrap_or_default();
+                let (holders, loading) = counts.get(&(service, model)).copied().unwrap_or_default();
                 let load = self.demand.model_load(now, service, model);
-                ModelSummary { model: model.clone(), load, holding, coming }
+                ModelSummary { model: model.clone(), load, holders, loading }
             })
         });
         let models: Vec<ModelSummary> = models.collect();
-        models.into_iter().filter(|one| one.load > LEAST_LOAD || one.coming > 0).collect()
+        models
+            .into_iter()
+            .filter(|model| model.load > MIN_SHOWN_LOAD || model.loading > 0)
+            .collect()
     }
 
-    /// Which runners can be given orders, and why others can't.
+    /// Returns how many runners can be sent orders, and why others can't.
     pub fn runners(&self) -> RunnerSummary {
         let mut summary = RunnerSummary::default();
         let services = self.configuration.as_ref().map(|c| &c.services);
@@ -68,17 +71,18 @@
             let Some(engine) = service.and_then(|service| service.engine.as_ref()) else {
                 continue;
             };
-            let is_making_room = self.closing.keys().any(|(runner, _)| runner == name);
+            let is_evicting = self.pending_unloads.keys().any(|(runner, _)| runner == name);
             match ledger.obstacle() {
                 Some(obstacle) => *summary.obstacles.entry(obstacle).or_default() += 1,
-                None if is_making_room || self.reserved.contains_key(name) => {
-                    summary.making_room += 1;
+                None if is_evicting || self.reserved.contains_key(name) => {
+                    summary.evicting += 1;
                 }
-                None => summary.open += 1,
+                None => summary.available += 1,
             }
-            let least = engine.models.values().map(|spec| spec.weights_mb).fold(f64::MAX, f64::min);
+            let smallest_mb =
+                engine.models.values().map(|spec| spec.weights_mb).fold(f64::MAX, f64::min);
             let free_mb = Capacity::of(engine).free_mb(ledger).max(0.0);
-            summary.free_places += (free_mb / least) as usize;
+            summary.free_places += (free_mb / smallest_mb) as usize;
         }
         summary
     }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -22,7 +22,7 @@
 };
 use vanetally_ledger::{Op, Order, Refusal, Report};
 use vanetally_link::{
-    call::{self, Call, Caller},
+    call::{self, Call, Client},
     http::{self, Exchange, Reply, Server, Stopper},
 };
 use vanetally_types::Name;
@@ -37,11 +37,11 @@
     /// How fast it is.
     pub slots: u32,
     /// Between two tokens of a request that runs alone.
-    pub token: Duration,
+    pub token_interval: Duration,
     /// Between a load's start and its end, for each gibibyte.
     pub load_per_gib: Duration,
     /// The weight store, `http://IP:PORT`; none for loads that wait for nobody.
-    pub store: Option<String>,
+    pub store_url: Option<String>,
 }
 
 impl Default for Options {
@@ -50,9 +50,9 @@
             capacity: 80 << 30,
             fenced: true,
             slots: 16,
-            token: Duration::from_millis(20),
+            token_interval: Duration::from_millis(20),
             load_per_gib: Duration::from_millis(20),
-            store: None,
+            store_url: None,
         }
     }
 }
@@ -88,7 +88,7 @@
     counts: Mutex<Counts>,
     kept: Mutex<BTreeMap<String, Kept>>,
     lagging: Mutex<(Instant, Report)>,
-    caller: Caller,
+    caller: Client,
     incarnation: AtomicU64,
     started: Instant,
 }
@@ -114,11 +114,17 @@
         address: SocketAddr,
         options: Options,
     ) -> anyhow::Result<(SocketAddr, Stopper)> {
-        let speed = Speed { slots: options.slots, token: options.token, prefill: PREFILL };
+        let speed = Speed {
+            slots: options.slots,
+            token_interval: options.token_interval,
+            prefill: PREFILL,
+        };
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?;
         let incarnation = unix.as_millis() as u64;
-        let caller =
-            Caller::new(call::Options { connect: Duration::from_secs(1), silence: LONGEST_LOAD });
+        let caller = Client::new(call::Options {
+            connect_timeout: Duration::from_secs(1),
+            idle_timeout: LONGEST_LOAD,
+        });
         let memory = Memory::new(options.capacity, options.fenced, incarnation);
         let engine = Arc::new(Self {
             lagging: Mutex::new((Instant::now(), memory.report().clone())),
@@ -134,7 +140,7 @@
         });
         let server = Server::try_bind(address)?;
         let address = server.address();
-        let bounds = http::Options { most: 4_000, ..http::Options::default() };
+        let bounds = http::Options { max_exchanges: 4_000, ..http::Options::default() };
         let stopper = server.serve("engine", bounds, move |e| Self::serve(&engine, e));
         Ok((address, stopper))
     }
@@ -237,15 +243,15 @@
         let incarnation = self.incarnation.load(Ordering::Relaxed);
         let gib = bytes as f64 / f64::from(1 << 30);
         let span = self.options.load_per_gib.mul_f64(gib);
-        match &self.options.store {
+        match &self.options.store_url {
             None => thread::sleep(span),
-            Some(store) => {
+            Some(url) => {
                 let call = Call {
                     method: "POST".into(),
-                    url: format!("{store}/load?ms={}", span.as_millis()),
+                    url: format!("{url}/load?ms={}", span.as_millis()),
                     headers: Vec::new(),
                     body: Vec::new(),
-                    within: LONGEST_LOAD,
+                    timeout: LONGEST_LOAD,
                 };
                 if let Err(e) = self.caller.send(&call) {
                     log::warn!("event=load-unaided entry={entry} error=\"{e}\"");
@@ -411,5 +417,5 @@
 
 fn refusal(status: u16, code: &str) -> Reply {
     Reply::json(status, &json!({"error": {"message": code, "type": "engine", "code": code}}))
-        .with("X-Verdict", "not-run")
+        .with_header("X-Verdict", "not-run")
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -13,7 +13,7 @@
     time::{Duration, Instant},
 };
 use vanetally_link::http::{Exchange, Options, Reply, Server, Stopper};
-use vanetally_member::Listed;
+use vanetally_member::ListedHost;
 
 const MOST_VALUE: u64 = 1_000_000;
 const MOST_WAIT: u64 = 60_000;
@@ -61,7 +61,7 @@
     version: u64,
     leases: BTreeMap<u64, (Instant, Duration)>,
     /// The list with the time from which each state of it is visible.
-    hosts: Vec<(Instant, Vec<Listed>)>,
+    hosts: Vec<(Instant, Vec<ListedHost>)>,
     counts: Counts,
     writes: Bucket,
     reads: Bucket,
@@ -198,7 +198,8 @@
         }
         state.version += 1;
         let cell = Cell { version: state.version, bytes, lease };
-        let reply = Reply::new(200, "text/plain", "").with("X-Version", cell.version.to_string());
+        let reply =
+            Reply::new(200, "text/plain", "").with_header("X-Version", cell.version.to_string());
         state.cells.insert(key.to_owned(), cell);
         drop(state);
         self.changed.notify_all();
@@ -243,7 +244,7 @@
 
     fn set_hosts(&self, exchange: &mut Exchange) -> Reply {
         let body = exchange.body(MOST_VALUE).unwrap_or_default();
-        match serde_json::from_slice::<Vec<Listed>>(&body) {
+        match serde_json::from_slice::<Vec<ListedHost>>(&body) {
             Ok(list) => {
                 self.lock().hosts.push((Instant::now(), list));
                 Reply::new(200, "text/plain", "set\n")
@@ -289,6 +290,6 @@
     match cell {
         None => Reply::new(if status == 200 { 404 } else { status }, "text/plain", ""),
         Some(cell) => Reply::new(status, "application/octet-stream", cell.bytes.clone())
-            .with("X-Version", cell.version.to_string()),
+            .with_header("X-Version", cell.version.to_string()),
     }
 }
