--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -7,11 +7,11 @@
     catalog::is_leaving,
     tracker::{Outcome, Source},
 };
-use vanetally_route::{Event as Route, Phase, Upstream, UpstreamStatus};
+use vanetally_route::{Event as RouteEvent, Phase, Upstream, UpstreamStatus};
 use vanetally_types::{HostId, Name};
 
 /// Between two requests for a newer revision, in milliseconds.
-const ASK_PACE: u64 = 200;
+const CONFIG_REQUEST_INTERVAL_MS: u64 = 200;
 
 /// The pseudo entry under which a service's instances serve.
 pub fn service_entry(service: &str) -> Name {
@@ -19,10 +19,10 @@
 }
 
 impl Core {
-    pub(crate) fn offer(&mut self, revision: Arc<Revision>, source: Source) {
+    pub(crate) fn offer_revision(&mut self, revision: Arc<Revision>, source: Source) {
         let number = revision.number;
         match self.keeper.offer(revision, source) {
-            Outcome::Accepted => self.take_revision(source),
+            Outcome::Accepted => self.apply_revision(source),
             Outcome::Unchanged => {}
             Outcome::Stale { offered, current } => {
                 if source == Source::Platform {
@@ -36,12 +36,12 @@
         }
     }
 
-    fn take_revision(&mut self, source: Source) {
+    fn apply_revision(&mut self, source: Source) {
         let revision = self.keeper.current().clone();
         self.log(format!("event=config-taken revision={} source={source:?}", revision.number));
         let upstreams = upstreams(&revision.catalog);
-        let actions = self.router.handle(self.now, Route::Upstreams(upstreams));
-        self.route_actions(actions);
+        let actions = self.router.handle(self.now, RouteEvent::Upstreams(upstreams));
+        self.run_route_actions(actions);
         for service in &revision.catalog.services {
             for instance in &service.instances {
                 let entry = service_entry(&service.name);
@@ -52,23 +52,23 @@
                 };
                 let actions = self.router.handle(
                     self.now,
-                    Route::Status { upstream: instance.name.clone(), status: seen },
+                    RouteEvent::Status { upstream: instance.name.clone(), status: seen },
                 );
-                self.route_actions(actions);
+                self.run_route_actions(actions);
             }
         }
-        for (runner, seen) in self.seen.clone() {
+        for (runner, seen) in self.runner_status.clone() {
             let actions =
-                self.router.handle(self.now, Route::Status { upstream: runner, status: seen });
-            self.route_actions(actions);
+                self.router.handle(self.now, RouteEvent::Status { upstream: runner, status: seen });
+            self.run_route_actions(actions);
         }
         self.declare_runners(&revision.catalog);
-        self.out.push(Action::RevisionApplied(revision));
+        self.actions.push(Action::RevisionApplied(revision));
         // Peers that lack it ask for it: the whole is not sent to those that have it.
         self.ping_all();
     }
 
-    pub(crate) fn pull_config(&mut self, from: &HostId) {
+    pub(crate) fn send_config(&mut self, from: &HostId) {
         if self.keeper.current().number > 0 {
             let revision = self.keeper.current().clone();
             self.send(&from.name, Frame::Config(revision));
@@ -76,15 +76,15 @@
     }
 
     /// Asks `from` for a newer revision, unless one was asked for just now.
-    pub(crate) fn want_config(&mut self, from: &HostId) {
-        if self.now.since(self.config_asked) >= ASK_PACE {
-            self.config_asked = self.now;
+    pub(crate) fn request_config(&mut self, from: &HostId) {
+        if self.now.since(self.config_requested) >= CONFIG_REQUEST_INTERVAL_MS {
+            self.config_requested = self.now;
             self.send(&from.name, Frame::PullConfig);
         }
     }
 
     /// Whether operators state that the process's host is destroyed.
-    pub(crate) fn is_stated_gone(&self, host: &HostId) -> bool {
+    pub(crate) fn is_declared_gone(&self, host: &HostId) -> bool {
         let hosts = &self.keeper.current().catalog.hosts;
         let gone = |v: &Name| &**v == "yes" || **v == *host.incarnation.to_string();
         hosts.iter().any(|h| h.name == host.name && h.labels.get("gone").is_some_and(gone))
--- a/crates/core/src/dump.rs
+++ b/crates/core/src/dump.rs
@@ -25,7 +25,7 @@
             "slots": self.dump_slots(),
             "groups": self.dump_groups(),
             "runners": self.dump_runners(),
-            "planner": self.planning.is_some(),
+            "planner": self.planning_since.is_some(),
         })
     }
 
@@ -46,7 +46,7 @@
         let (waiting, running) = self.requests();
         json!({
             "waiting": waiting, "running": running,
-            "once_only": self.attempts.len(), "finishes_unconfirmed": self.unacked.len(),
+            "once_only": self.attempts.len(), "finishes_unconfirmed": self.unacked_outcomes.len(),
         })
     }
 
@@ -54,7 +54,7 @@
         let mut rows = Vec::new();
         for (number, slot) in self.slots.iter().enumerate() {
             let (ids, unrecorded) = slot.counts();
-            let head = self.slot_heads.get(&(number as u16));
+            let head = self.slot_holders.get(&(number as u16));
             let mode = slot.mode().as_str();
             rows.push(json!({
                 "slot": number, "role": slot.role(),
@@ -70,7 +70,7 @@
 
     fn dump_groups(&self) -> Value {
         let row = |(number, group): (usize, &vanetally_member::GroupLeadership)| {
-            let head = self.group_heads.get(&(number as u16));
+            let head = self.group_leaders.get(&(number as u16));
             json!({
                 "group": number, "role": group.role(),
                 "term": head.map(|h| h.0), "steward": head.map(|h| h.1.to_string()),
@@ -81,7 +81,7 @@
 
     fn dump_runners(&self) -> Value {
         let row = |(name, ledger): (&Name, &vanetally_ledger::Ledger)| {
-            let seen = self.seen.get(name);
+            let seen = self.runner_status.get(name);
             json!({
                 "name": name, "stewardship": ledger.state(), "held_bytes": ledger.held_bytes(),
                 "open_orders": ledger.open_intents(),
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -7,7 +7,7 @@
 
 /// When what was told to whom.
 #[derive(Debug, Default)]
-pub(crate) struct Spread {
+pub(crate) struct GossipState {
     next_ping: Tick,
     /// Peers that lack our tables, and when they were last sent.
     tables_due: BTreeSet<Name>,
@@ -17,23 +17,23 @@
 }
 
 /// Least time between two tables to the same peer, in milliseconds.
-const TABLES_PACE: u64 = 300;
+const TABLES_INTERVAL_MS: u64 = 300;
 /// Hosts in a failure domain that watch the configuration at the platform.
-const WATCHERS: usize = 2;
+const WATCHERS_PER_DOMAIN: usize = 2;
 
 impl Core {
     pub(crate) fn tick_gossip(&mut self) {
-        if self.now >= self.spread.next_ping {
-            self.spread.next_ping = self.now + self.options.ping_ms;
+        if self.now >= self.gossip.next_ping {
+            self.gossip.next_ping = self.now + self.options.ping_ms;
             self.ping_all();
         }
-        let due: Vec<Name> = self.spread.tables_due.iter().cloned().collect();
+        let due: Vec<Name> = self.gossip.tables_due.iter().cloned().collect();
         for name in due {
-            let last = self.spread.tables_sent.get(&name).copied().unwrap_or_default();
-            if self.now.since(last) >= TABLES_PACE {
-                self.spread.tables_due.remove(&name);
-                self.spread.tables_sent.insert(name.clone(), self.now);
-                let frame = self.tables();
+            let last = self.gossip.tables_sent.get(&name).copied().unwrap_or_default();
+            if self.now.since(last) >= TABLES_INTERVAL_MS {
+                self.gossip.tables_due.remove(&name);
+                self.gossip.tables_sent.insert(name.clone(), self.now);
+                let frame = self.holder_tables();
                 self.send(&name, frame);
             }
         }
@@ -52,10 +52,10 @@
             }
         }
         let ranked = rendezvous_rank(hash64(b"watchers"), &names);
-        let watch = ranked.iter().take(WATCHERS).any(|n| **n == self.options.me.name);
+        let watch = ranked.iter().take(WATCHERS_PER_DOMAIN).any(|n| **n == self.options.me.name);
         if self.watching != Some(watch) {
             self.watching = Some(watch);
-            self.out.push(Action::Watch(watch));
+            self.actions.push(Action::Watch(watch));
         }
     }
 
@@ -70,8 +70,8 @@
         }
     }
 
-    fn tables(&self) -> Frame {
-        Frame::Tables { slots: self.slot_heads.clone(), groups: self.group_heads.clone() }
+    fn holder_tables(&self) -> Frame {
+        Frame::Tables { slots: self.slot_holders.clone(), groups: self.group_leaders.clone() }
     }
 
     fn tables_hash(&self) -> u64 {
@@ -83,36 +83,40 @@
             bytes.extend(head.1.incarnation.to_le_bytes());
             bytes.extend(head.1.name.as_bytes());
         };
-        self.slot_heads.iter().for_each(|(n, h)| add(0, *n, h));
-        self.group_heads.iter().for_each(|(n, h)| add(1, *n, h));
+        self.slot_holders.iter().for_each(|(n, h)| add(0, *n, h));
+        self.group_leaders.iter().for_each(|(n, h)| add(1, *n, h));
         hash64(&bytes)
     }
 
     /// Our tables changed: everybody is to have them soon.
-    pub(crate) fn tables_changed(&mut self) {
-        self.spread.tables_due.extend(self.reachable_peers());
+    pub(crate) fn schedule_tables(&mut self) {
+        self.gossip.tables_due.extend(self.reachable_peers());
     }
 
-    pub(crate) fn frame(&mut self, from: HostId, frame: Frame) {
+    pub(crate) fn handle_frame(&mut self, from: HostId, frame: Frame) {
         match frame {
-            Frame::Ping { listed, config, tables } => self.pinged(from, listed, config, tables),
+            Frame::Ping { listed, config, tables } => {
+                self.handle_ping(from, listed, config, tables)
+            }
             Frame::Tables { slots, groups } => self.merge_tables(slots, groups),
-            Frame::PullConfig => self.pull_config(&from),
-            Frame::Config(revision) => self.offer(revision, Source::Peer),
-            Frame::RunnerStatus { runner, status } => self.saw(runner, status),
-            Frame::Demand(arrived) => self.demand(arrived),
-            Frame::Desired(wanted) => self.want(wanted),
-            Frame::Claim(ask) => self.ask_here(ask),
-            Frame::ClaimReply { ticket, id, reply } => self.replied(from, ticket, id, reply),
-            Frame::Finished { id, ticket, outcome: finish } => self.finish_here(id, ticket, finish),
+            Frame::PullConfig => self.send_config(&from),
+            Frame::Config(revision) => self.offer_revision(revision, Source::Peer),
+            Frame::RunnerStatus { runner, status } => self.apply_status(runner, status),
+            Frame::Demand(arrived) => self.add_demand(arrived),
+            Frame::Desired(wanted) => self.set_desired(wanted),
+            Frame::Claim(ask) => self.handle_claim(ask),
+            Frame::ClaimReply { ticket, id, reply } => self.claim_replied(from, ticket, id, reply),
+            Frame::Finished { id, ticket, outcome: finish } => {
+                self.handle_outcome(id, ticket, finish)
+            }
             Frame::FinishAck(ticket) => {
-                self.unacked.remove(&ticket);
+                self.unacked_outcomes.remove(&ticket);
             }
             Frame::Slot(slot, message) => self.slot_message(from, slot, message),
         }
     }
 
-    fn pinged(
+    fn handle_ping(
         &mut self,
         from: HostId,
         listed: vanetally_member::ListedHost,
@@ -124,37 +128,37 @@
         }
         if let Some(ended) = self.members.record_ping(self.now, listed, from.incarnation) {
             self.log(format!("event=host-ended host={ended} by={from}"));
-            self.host_ended(&ended);
+            self.process_ended(&ended);
         }
         if self.members.current_process(&from.name).as_ref() != Some(&from) {
             return;
         }
         if config > self.keeper.current().number {
-            self.want_config(&from);
+            self.request_config(&from);
         }
         if tables != self.tables_hash() {
-            self.spread.tables_due.insert(from.name.clone());
+            self.gossip.tables_due.insert(from.name.clone());
         }
-        if self.spread.greeted.insert(from.clone()) {
+        if self.gossip.greeted.insert(from.clone()) {
             self.log(format!("event=host-joined host={from}"));
-            self.greet(&from);
+            self.send_statuses(&from);
         }
     }
 
     /// Tells a process that is new here what this host has seen of runners.
-    fn greet(&mut self, host: &HostId) {
-        self.spread.greeted.retain(|h| h.name != host.name || h == host);
+    fn send_statuses(&mut self, host: &HostId) {
+        self.gossip.greeted.retain(|h| h.name != host.name || h == host);
         let polled: Vec<Name> = self.probes.keys().cloned().collect();
         for runner in polled {
-            if let Some(seen) = self.seen.get(&runner).cloned() {
+            if let Some(seen) = self.runner_status.get(&runner).cloned() {
                 self.send(&host.name, Frame::RunnerStatus { runner, status: seen });
             }
         }
     }
 
-    fn host_ended(&mut self, ended: &HostId) {
-        self.slots_ended(ended);
-        self.ledgers_ended(ended);
+    fn process_ended(&mut self, ended: &HostId) {
+        self.slots_process_ended(ended);
+        self.ledgers_process_ended(ended);
     }
 
     fn merge_tables(
@@ -164,12 +168,12 @@
     ) {
         for (slot, head) in slots {
             if slot < self.options.slots {
-                self.heard_slot(slot, head);
+                self.slot_announced(slot, head);
             }
         }
         for (group, head) in groups {
             if group < self.options.groups {
-                self.heard_group(group, head);
+                self.group_announced(group, head);
             }
         }
     }
--- a/crates/core/src/stewards.rs
+++ b/crates/core/src/leadership.rs
@@ -7,23 +7,23 @@
 use std::collections::BTreeMap;
 use vanetally_config::Catalog;
 use vanetally_ledger::{
-    Action as Do, DesiredEntries, Epoch, Event as Happens, Guards, Ledger, Phase, Record,
-    RunnerSpec,
+    Action as LedgerAction, DesiredEntries, Epoch, Event as LedgerEvent, Guards, Ledger, Phase,
+    Record, RunnerSpec,
 };
 use vanetally_member::{
-    Action as GroupDo, Event as GroupHappens, Record as GroupRecord, Role, group_of,
+    Action as GroupAction, Event as GroupEvent, Record as GroupRecord, Role, group_of,
 };
-use vanetally_route::{Event as Route, Phase as RoutePhase, UpstreamStatus};
+use vanetally_route::{Event as RouteEvent, Phase as RoutePhase, UpstreamStatus};
 use vanetally_types::{HostId, Name, Tick, hash64, rendezvous};
 
 /// Polls without an answer after which a runner counts as unreachable.
-const MOST_SILENT: u32 = 3;
+const MAX_POLL_FAILURES: u32 = 3;
 /// What was seen of a runner is told again after this long, in milliseconds.
-const TELL_AGAIN: u64 = 4_000;
+const STATUS_RESEND_MS: u64 = 4_000;
 /// Between closing an entry to routers and unloading it, in polls.
 const DRAIN_POLLS: u64 = 2;
 /// Between two attempts to take a stewardship, in milliseconds.
-const TRY_PACE: u64 = 1_000;
+const LEADER_CLAIM_INTERVAL_MS: u64 = 1_000;
 
 impl Core {
     pub(crate) fn declare_runners(&mut self, catalog: &Catalog) {
@@ -38,7 +38,7 @@
             specs.insert(runner.name.clone(), spec);
         }
         self.ledgers.retain(|name, _| specs.contains_key(name));
-        self.seen.retain(|name, _| specs.contains_key(name));
+        self.runner_status.retain(|name, _| specs.contains_key(name));
         self.probes.retain(|name, _| specs.contains_key(name));
         let me = self.options.me.clone();
         for (name, spec) in specs {
@@ -48,7 +48,7 @@
             let group = group_of(&name, self.options.groups);
             if fresh && self.groups[usize::from(group)].role() == Role::Holder {
                 let term = self.groups[usize::from(group)].known_leader().0;
-                self.take_runner(&name, term);
+                self.acquire_runner(&name, term);
             }
         }
     }
@@ -65,67 +65,68 @@
 
     // Stewardships.
 
-    fn group_event(&mut self, number: u16, event: GroupHappens) {
+    fn group_event(&mut self, number: u16, event: GroupEvent) {
         let Some(group) = self.groups.get_mut(usize::from(number)) else {
             return;
         };
         let actions = group.handle(event);
         let (term, holder) = group.known_leader();
         if let Some(holder) = holder.cloned() {
-            self.note_group(number, (term, holder));
+            self.update_group_leader(number, (term, holder));
         }
         for action in actions {
             match action {
-                GroupDo::Read => self.get(Key::Group(number)),
-                GroupDo::Write { base, record } => self.put(Key::Group(number), base, &record),
-                GroupDo::LeadershipAcquired(term) => self.took_group(number, term),
-                GroupDo::LeadershipLost => self.dropped_group(number),
+                GroupAction::Read => self.get(Key::Group(number)),
+                GroupAction::Write { base, record } => self.put(Key::Group(number), base, &record),
+                GroupAction::LeadershipAcquired(term) => self.leadership_acquired(number, term),
+                GroupAction::LeadershipLost => self.leadership_lost(number),
             }
         }
     }
 
-    fn note_group(&mut self, number: u16, head: EpochHolder) {
-        if self.group_heads.get(&number).is_none_or(|known| known.0 < head.0) {
-            self.group_heads.insert(number, head);
-            self.tables_changed();
+    fn update_group_leader(&mut self, number: u16, head: EpochHolder) {
+        if self.group_leaders.get(&number).is_none_or(|known| known.0 < head.0) {
+            self.group_leaders.insert(number, head);
+            self.schedule_tables();
         }
     }
 
-    pub(crate) fn heard_group(&mut self, number: u16, head: EpochHolder) {
+    pub(crate) fn group_announced(&mut self, number: u16, head: EpochHolder) {
         let (term, holder) = head.clone();
-        self.note_group(number, head);
-        self.group_event(number, GroupHappens::TermAnnounced { term, holder: Some(holder) });
+        self.update_group_leader(number, head);
+        self.group_event(number, GroupEvent::TermAnnounced { term, holder: Some(holder) });
     }
 
-    fn took_group(&mut self, number: u16, term: u64) {
+    fn leadership_acquired(&mut self, number: u16, term: u64) {
         self.log(format!("event=steward-took group={number} term={term}"));
         for runner in self.runners_of(number) {
-            self.take_runner(&runner, term);
+            self.acquire_runner(&runner, term);
         }
     }
 
-    fn take_runner(&mut self, runner: &Name, term: u64) {
+    fn acquire_runner(&mut self, runner: &Name, term: u64) {
         let runners = &self.keeper.current().catalog.runners;
         let fenced = runners.iter().find(|r| r.name == *runner).is_some_and(|r| r.fenced);
         if fenced {
-            return self.ledger_event(runner, Happens::LeadershipAcquired { term, record: None });
+            return self
+                .ledger_event(runner, LedgerEvent::LeadershipAcquired { term, record: None });
         }
-        self.terms.insert(runner.clone(), term);
+        self.pending_terms.insert(runner.clone(), term);
         self.get(Key::Runner(runner.clone()));
     }
 
-    fn dropped_group(&mut self, number: u16) {
+    fn leadership_lost(&mut self, number: u16) {
         self.log(format!("event=steward-dropped group={number}"));
         for runner in self.runners_of(number) {
-            self.terms.remove(&runner);
-            self.ledger_event(&runner, Happens::LeadershipLost);
+            self.pending_terms.remove(&runner);
+            self.ledger_event(&runner, LedgerEvent::LeadershipLost);
         }
     }
 
     pub(crate) fn group_read(&mut self, number: u16, value: Option<Option<StoredValue>>) {
         let event = match value {
-            None => GroupHappens::WriteUnconfirmed,
-            Some(stored) => GroupHappens::Read(stored.and_then(parse_group)),
+            None => GroupEvent::WriteUnconfirmed,
+            Some(stored) => GroupEvent::Read(stored.and_then(parse_group)),
         };
         self.group_event(number, event);
     }
@@ -136,21 +137,21 @@
         result: Option<Result<u64, Option<StoredValue>>>,
     ) {
         let event = match result {
-            None => GroupHappens::WriteUnconfirmed,
-            Some(Ok(version)) => GroupHappens::Written { version },
-            Some(Err(stored)) => GroupHappens::WriteConflict(stored.and_then(parse_group)),
+            None => GroupEvent::WriteUnconfirmed,
+            Some(Ok(version)) => GroupEvent::Written { version },
+            Some(Err(stored)) => GroupEvent::WriteConflict(stored.and_then(parse_group)),
         };
         self.group_event(number, event);
     }
 
     /// The host that should be steward of a group when nobody is.
-    fn preferred(&self, group: u16) -> Option<Name> {
+    fn preferred_leader(&self, group: u16) -> Option<Name> {
         let alive = self.members.eligible_hosts(self.now);
         rendezvous(hash64(format!("group/{group}").as_bytes()), &alive).cloned()
     }
 
     pub(crate) fn tick_groups(&mut self) {
-        if !self.listed || self.keeper.current().number == 0 {
+        if !self.hosts_listed || self.keeper.current().number == 0 {
             return;
         }
         for number in 0..self.options.groups {
@@ -160,23 +161,23 @@
 
     fn tick_group(&mut self, number: u16) {
         let me = self.options.me.name.clone();
-        let holder = self.group_heads.get(&number).map(|h| h.1.clone());
+        let holder = self.group_leaders.get(&number).map(|h| h.1.clone());
         let serves = holder.as_ref().is_some_and(|h| self.members.is_process_eligible(self.now, h));
         let mine = holder.as_ref() == Some(&self.options.me);
         let poller = match serves {
             true => holder.map(|h| h.name),
-            false => self.preferred(number),
+            false => self.preferred_leader(number),
         };
-        let last = self.group_tries.get(&number).copied().unwrap_or(self.started);
-        let due = self.now.since(last) >= TRY_PACE;
+        let last = self.last_claims.get(&number).copied().unwrap_or(self.started);
+        let due = self.now.since(last) >= LEADER_CLAIM_INTERVAL_MS;
         if self.stopping {
-            self.group_event(number, GroupHappens::Release);
+            self.group_event(number, GroupEvent::Release);
         } else if (!serves || mine) && poller.as_ref() == Some(&me) && due {
-            self.group_tries.insert(number, self.now);
-            self.group_event(number, GroupHappens::Claim { holder_serves: serves && !mine });
+            self.last_claims.insert(number, self.now);
+            self.group_event(number, GroupEvent::Claim { holder_serves: serves && !mine });
         }
         for runner in self.runners_of(number) {
-            self.ledger_event(&runner, Happens::Tick);
+            self.ledger_event(&runner, LedgerEvent::Tick);
             if poller.as_ref() == Some(&me) {
                 self.poll(&runner);
             } else {
@@ -192,34 +193,37 @@
             return;
         };
         let probe = self.probes.entry(runner.clone()).or_default();
-        if !probe.busy && self.now >= probe.next {
-            probe.busy = true;
-            probe.next = self.now + self.options.poll_ms;
-            self.out.push(Action::Poll(runner.clone(), url));
+        if !probe.in_flight && self.now >= probe.next_poll {
+            probe.in_flight = true;
+            probe.next_poll = self.now + self.options.poll_ms;
+            self.actions.push(Action::Poll(runner.clone(), url));
         }
     }
 
-    pub(crate) fn polled(&mut self, runner: Name, asked: Tick, polled: Option<PollReply>) {
+    pub(crate) fn poll_answered(&mut self, runner: Name, asked: Tick, polled: Option<PollReply>) {
         let Some(probe) = self.probes.get_mut(&runner) else {
             return;
         };
-        probe.busy = false;
+        probe.in_flight = false;
         let Some(polled) = polled else {
             probe.failures += 1;
-            if probe.failures >= MOST_SILENT {
-                self.tell(&runner, UpstreamStatus::default());
+            if probe.failures >= MAX_POLL_FAILURES {
+                self.publish_status(&runner, UpstreamStatus::default());
             }
             return;
         };
         probe.failures = 0;
         let (running, leaving) = (polled.running, polled.leaving);
-        self.ledger_event(&runner, Happens::Reported { polled_at: asked, report: polled.report });
-        let seen = self.seen_from_ledger(&runner, running, leaving);
-        self.tell(&runner, seen);
+        self.ledger_event(
+            &runner,
+            LedgerEvent::Reported { polled_at: asked, report: polled.report },
+        );
+        let seen = self.status_from_ledger(&runner, running, leaving);
+        self.publish_status(&runner, seen);
     }
 
     /// What routers need to know of a runner.
-    fn seen_from_ledger(&self, runner: &Name, running: u32, leaving: bool) -> UpstreamStatus {
+    fn status_from_ledger(&self, runner: &Name, running: u32, leaving: bool) -> UpstreamStatus {
         let Some(ledger) = self.ledgers.get(runner) else {
             return UpstreamStatus::default();
         };
@@ -247,30 +251,29 @@
     }
 
     /// Tells the own router and, when it matters, the peers.
-    fn tell(&mut self, runner: &Name, seen: UpstreamStatus) {
+    fn publish_status(&mut self, runner: &Name, seen: UpstreamStatus) {
         let probe: &mut Probe = self.probes.entry(runner.clone()).or_default();
-        let news = probe
-            .told
-            .as_ref()
-            .is_none_or(|(old, at)| differs(old, &seen) || self.now.since(*at) >= TELL_AGAIN);
+        let news = probe.last_sent.as_ref().is_none_or(|(old, at)| {
+            needs_broadcast(old, &seen) || self.now.since(*at) >= STATUS_RESEND_MS
+        });
         if news {
-            probe.told = Some((seen.clone(), self.now));
+            probe.last_sent = Some((seen.clone(), self.now));
             self.broadcast(&Frame::RunnerStatus { runner: runner.clone(), status: seen.clone() });
         }
-        self.saw(runner.clone(), seen);
+        self.apply_status(runner.clone(), seen);
     }
 
-    pub(crate) fn saw(&mut self, runner: Name, seen: UpstreamStatus) {
+    pub(crate) fn apply_status(&mut self, runner: Name, seen: UpstreamStatus) {
         if !self.ledgers.contains_key(&runner) {
             return;
         }
-        self.seen.insert(runner.clone(), seen.clone());
+        self.runner_status.insert(runner.clone(), seen.clone());
         let actions =
-            self.router.handle(self.now, Route::Status { upstream: runner, status: seen });
-        self.route_actions(actions);
+            self.router.handle(self.now, RouteEvent::Status { upstream: runner, status: seen });
+        self.run_route_actions(actions);
     }
 
-    pub(crate) fn ledger_event(&mut self, runner: &Name, event: Happens) {
+    pub(crate) fn ledger_event(&mut self, runner: &Name, event: LedgerEvent) {
         let Some(ledger) = self.ledgers.get_mut(runner) else {
             return;
         };
@@ -280,58 +283,60 @@
         }
     }
 
-    fn ledger_action(&mut self, runner: &Name, action: Do) {
+    fn ledger_action(&mut self, runner: &Name, action: LedgerAction) {
         let Some(url) = self.url_of(runner) else {
             return;
         };
         match action {
-            Do::Fence(epoch) => self.out.push(Action::Fence(runner.clone(), url, epoch)),
-            Do::Write(record) => {
+            LedgerAction::Fence(epoch) => {
+                self.actions.push(Action::Fence(runner.clone(), url, epoch))
+            }
+            LedgerAction::Write(record) => {
                 let key = Key::Runner(runner.clone());
-                let base = self.versions.get(&key).copied().unwrap_or(0);
+                let base = self.record_versions.get(&key).copied().unwrap_or(0);
                 self.put(key, base, &record);
             }
-            Do::Send(order) => {
+            LedgerAction::Send(order) => {
                 let (op, seq) = (&order.op, order.seq);
                 self.log(format!(
                     "event=order runner={runner} seq={seq} entry={} op={}",
                     op.entry(),
                     if op.bytes() > 0 { "load" } else { "unload" }
                 ));
-                self.out.push(Action::Order(runner.clone(), url, order));
+                self.actions.push(Action::Order(runner.clone(), url, order));
             }
-            Do::RaiseTerm(term) => {
+            LedgerAction::RaiseTerm(term) => {
                 let group = group_of(runner, self.options.groups);
-                self.group_event(group, GroupHappens::TermAnnounced { term, holder: None });
+                self.group_event(group, GroupEvent::TermAnnounced { term, holder: None });
             }
-            Do::StepDown => self.log(format!("event=steward-outranked runner={runner}")),
+            LedgerAction::StepDown => self.log(format!("event=steward-outranked runner={runner}")),
         }
     }
 
     pub(crate) fn runner_read(&mut self, runner: Name, value: Option<Option<StoredValue>>) {
-        let Some(term) = self.terms.get(&runner).copied() else {
+        let Some(term) = self.pending_terms.get(&runner).copied() else {
             return;
         };
         let Some(value) = value else {
             // The platform is out: the stewardship opens when it is back.
             return self.get(Key::Runner(runner));
         };
-        self.terms.remove(&runner);
+        self.pending_terms.remove(&runner);
         let version = value.as_ref().map_or(0, |s| s.version);
-        self.versions.insert(Key::Runner(runner.clone()), version);
+        self.record_versions.insert(Key::Runner(runner.clone()), version);
         let record = value.and_then(parse_runner);
-        self.ledger_event(&runner, Happens::LeadershipAcquired { term, record });
-        self.note_ended(&runner);
+        self.ledger_event(&runner, LedgerEvent::LeadershipAcquired { term, record });
+        self.check_issuers(&runner);
     }
 
     /// Tells the ledger which senders of open orders have ended already.
-    fn note_ended(&mut self, runner: &Name) {
+    fn check_issuers(&mut self, runner: &Name) {
         let Some(ledger) = self.ledgers.get(runner) else {
             return;
         };
         for host in ledger.issuers() {
-            if self.members.has_ended(&host) || self.is_stated_gone(&host) {
-                self.ledger_event(runner, Happens::Ended(host));
+            if self.members.has_ended(&host) || self.is_declared_gone(&host) {
+                self.ledger_event(runner, LedgerEvent::Ended(host));
             }
         }
     }
@@ -344,61 +349,69 @@
         let key = Key::Runner(runner.clone());
         let writing = self.ledgers.get(&runner).and_then(|l| l.pending_write());
         match result {
-            None => self.ledger_event(&runner, Happens::WriteUnconfirmed),
+            None => self.ledger_event(&runner, LedgerEvent::WriteUnconfirmed),
             Some(Ok(version)) => {
-                self.versions.insert(key, version);
+                self.record_versions.insert(key, version);
                 if let Some(seq) = writing {
-                    self.ledger_event(&runner, Happens::Written { seq });
+                    self.ledger_event(&runner, LedgerEvent::Written { seq });
                 }
             }
             Some(Err(stored)) => {
-                self.versions.insert(key, stored.as_ref().map_or(0, |s| s.version));
+                self.record_versions.insert(key, stored.as_ref().map_or(0, |s| s.version));
                 let record = stored.and_then(parse_runner);
-                self.ledger_event(&runner, Happens::WriteConflict(record));
+                self.ledger_event(&runner, LedgerEvent::WriteConflict(record));
             }
         }
     }
 
-    pub(crate) fn fenced(&mut self, runner: Name, epoch: Epoch, fenced: FenceReply) {
+    pub(crate) fn fence_answered(&mut self, runner: Name, epoch: Epoch, fenced: FenceReply) {
         let event = match fenced {
-            FenceReply::Accepted(report) => Happens::Fenced { epoch, report },
-            FenceReply::StaleEpoch(higher) => Happens::StaleEpoch { sent: epoch, current: higher },
-            FenceReply::Unanswered => Happens::FenceUnanswered { epoch },
+            FenceReply::Accepted(report) => LedgerEvent::Fenced { epoch, report },
+            FenceReply::StaleEpoch(higher) => {
+                LedgerEvent::StaleEpoch { sent: epoch, current: higher }
+            }
+            FenceReply::Unanswered => LedgerEvent::FenceUnanswered { epoch },
         };
         self.ledger_event(&runner, event);
     }
 
-    pub(crate) fn ordered(&mut self, runner: Name, of: Epoch, seq: u64, ordered: OrderReply) {
+    pub(crate) fn order_answered(
+        &mut self,
+        runner: Name,
+        of: Epoch,
+        seq: u64,
+        ordered: OrderReply,
+    ) {
         let event = match ordered {
-            OrderReply::Answered(result, report) => Happens::Answered { seq, result, report },
-            OrderReply::StaleEpoch(epoch) => Happens::StaleEpoch { sent: of, current: epoch },
+            OrderReply::Answered(result, report) => LedgerEvent::Answered { seq, result, report },
+            OrderReply::StaleEpoch(epoch) => LedgerEvent::StaleEpoch { sent: of, current: epoch },
             OrderReply::Unanswered => {
                 self.log(format!("event=order-lost runner={runner} seq={seq}"));
-                Happens::OrderUnanswered { seq }
+                LedgerEvent::OrderUnanswered { seq }
             }
         };
         self.ledger_event(&runner, event);
     }
 
-    pub(crate) fn want(&mut self, wanted: BTreeMap<Name, DesiredEntries>) {
+    pub(crate) fn set_desired(&mut self, wanted: BTreeMap<Name, DesiredEntries>) {
         for (runner, wanted) in wanted {
             let known = self.ledgers.get(&runner).and_then(|l| l.desired());
             if known != Some(&wanted) {
-                self.ledger_event(&runner, Happens::Desired(wanted));
+                self.ledger_event(&runner, LedgerEvent::Desired(wanted));
             }
         }
     }
 
-    pub(crate) fn ledgers_ended(&mut self, host: &HostId) {
+    pub(crate) fn ledgers_process_ended(&mut self, host: &HostId) {
         let runners: Vec<Name> = self.ledgers.keys().cloned().collect();
         for runner in runners {
-            self.ledger_event(&runner, Happens::Ended(host.clone()));
+            self.ledger_event(&runner, LedgerEvent::Ended(host.clone()));
         }
     }
 }
 
 /// Whether a report says something that routers should hear at once.
-fn differs(old: &UpstreamStatus, new: &UpstreamStatus) -> bool {
+fn needs_broadcast(old: &UpstreamStatus, new: &UpstreamStatus) -> bool {
     let moved = old.running.abs_diff(new.running) > old.running / 4 + 1;
     let other =
         (old.leaving, old.reachable, old.reserved) != (new.leaving, new.reachable, new.reserved);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -9,11 +9,11 @@
 mod event;
 mod frame;
 mod gossip;
+mod leadership;
 mod machine;
 mod planning;
 mod requests;
 mod slots;
-mod stewards;
 
 pub use config::service_entry;
 pub use event::{
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -1,6 +1,6 @@
 //! The core's parts and the dispatch of events.
 
-use crate::{Action, EpochHolder, Event, Frame, Key, gossip::Spread, requests::Attempt};
+use crate::{Action, EpochHolder, Event, Frame, Key, gossip::GossipState, requests::Attempt};
 use std::{
     collections::{BTreeMap, BTreeSet},
     sync::Arc,
@@ -39,55 +39,55 @@
 /// What is known of polling one runner.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Probe {
-    pub busy: bool,
-    pub next: Tick,
+    pub in_flight: bool,
+    pub next_poll: Tick,
     pub failures: u32,
     /// The last report sent to peers and when.
-    pub told: Option<(UpstreamStatus, Tick)>,
+    pub last_sent: Option<(UpstreamStatus, Tick)>,
 }
 
 /// All decisions of one entry host.
 pub struct Core {
     pub(crate) options: Options,
     pub(crate) now: Tick,
-    pub(crate) out: Vec<Action>,
+    pub(crate) actions: Vec<Action>,
     pub(crate) keeper: RevisionTracker,
     pub(crate) members: Members,
     pub(crate) router: Router,
     pub(crate) started: Tick,
     pub(crate) last_tick: Tick,
     pub(crate) next_upkeep: Tick,
-    pub(crate) next_judge: Tick,
-    pub(crate) listed: bool,
+    pub(crate) next_liveness_check: Tick,
+    pub(crate) hosts_listed: bool,
     pub(crate) stopping: bool,
     pub(crate) stopped: bool,
     pub(crate) watching: Option<bool>,
-    pub(crate) config_asked: Tick,
+    pub(crate) config_requested: Tick,
     // Once-only requests.
     pub(crate) slots: Vec<Slot>,
-    pub(crate) slot_heads: BTreeMap<u16, EpochHolder>,
-    pub(crate) slot_reads: BTreeMap<u16, Tick>,
-    pub(crate) slot_due: BTreeSet<u16>,
+    pub(crate) slot_holders: BTreeMap<u16, EpochHolder>,
+    pub(crate) last_reads: BTreeMap<u16, Tick>,
+    pub(crate) takeover_reads: BTreeSet<u16>,
     pub(crate) attempts: BTreeMap<u64, Attempt>,
-    pub(crate) unacked: BTreeMap<Ticket, (Id, Outcome, Tick, Tick)>,
+    pub(crate) unacked_outcomes: BTreeMap<Ticket, (Id, Outcome, Tick, Tick)>,
     // Runners.
     pub(crate) groups: Vec<GroupLeadership>,
-    pub(crate) group_heads: BTreeMap<u16, EpochHolder>,
-    pub(crate) group_tries: BTreeMap<u16, Tick>,
+    pub(crate) group_leaders: BTreeMap<u16, EpochHolder>,
+    pub(crate) last_claims: BTreeMap<u16, Tick>,
     pub(crate) ledgers: BTreeMap<Name, Ledger>,
-    pub(crate) versions: BTreeMap<Key, u64>,
-    pub(crate) terms: BTreeMap<Name, u64>,
+    pub(crate) record_versions: BTreeMap<Key, u64>,
+    pub(crate) pending_terms: BTreeMap<Name, u64>,
     pub(crate) probes: BTreeMap<Name, Probe>,
-    pub(crate) seen: BTreeMap<Name, UpstreamStatus>,
+    pub(crate) runner_status: BTreeMap<Name, UpstreamStatus>,
     // Planning.
     pub(crate) planner: Planner,
-    pub(crate) planning: Option<Tick>,
+    pub(crate) planning_since: Option<Tick>,
     pub(crate) next_plan: Tick,
-    pub(crate) next_demand: Tick,
+    pub(crate) next_demand_report: Tick,
     pub(crate) lost_since: BTreeMap<Name, Tick>,
-    pub(crate) told_wanted: BTreeMap<Name, (u64, Tick)>,
+    pub(crate) sent_desired: BTreeMap<Name, (u64, Tick)>,
     // Peers.
-    pub(crate) spread: Spread,
+    pub(crate) gossip: GossipState,
 }
 
 impl Core {
@@ -95,9 +95,9 @@
     pub fn new(now: Tick, options: Options) -> Self {
         let slot_options = vanetally_claim::Options {
             retention_ms: options.horizon_ms,
-            write_interval_ms: SLOT_PACE,
-            wait_limit_ms: SLOT_PATIENCE,
-            max_ids: MOST_IDS,
+            write_interval_ms: SLOT_WRITE_INTERVAL_MS,
+            wait_limit_ms: SLOT_WAIT_LIMIT_MS,
+            max_ids: MAX_SLOT_IDS,
             guards: vanetally_claim::Guards::ON,
         };
         let me = options.me.clone();
@@ -107,40 +107,40 @@
         };
         Self {
             now,
-            out: Vec::new(),
+            actions: Vec::new(),
             keeper: RevisionTracker::default(),
             members: Members::new(me.clone(), options.suspect_ms),
             router: Router::new(router),
             started: now,
             last_tick: now,
             next_upkeep: now,
-            next_judge: now,
-            listed: false,
+            next_liveness_check: now,
+            hosts_listed: false,
             stopping: false,
             stopped: false,
             watching: None,
-            config_asked: Tick::default(),
+            config_requested: Tick::default(),
             slots: (0..options.slots).map(|_| Slot::new(me.clone(), slot_options)).collect(),
-            slot_heads: BTreeMap::new(),
-            slot_reads: BTreeMap::new(),
-            slot_due: BTreeSet::new(),
+            slot_holders: BTreeMap::new(),
+            last_reads: BTreeMap::new(),
+            takeover_reads: BTreeSet::new(),
             attempts: BTreeMap::new(),
-            unacked: BTreeMap::new(),
+            unacked_outcomes: BTreeMap::new(),
             groups: (0..options.groups).map(|_| GroupLeadership::new(me.clone())).collect(),
-            group_heads: BTreeMap::new(),
-            group_tries: BTreeMap::new(),
+            group_leaders: BTreeMap::new(),
+            last_claims: BTreeMap::new(),
             ledgers: BTreeMap::new(),
-            versions: BTreeMap::new(),
-            terms: BTreeMap::new(),
+            record_versions: BTreeMap::new(),
+            pending_terms: BTreeMap::new(),
             probes: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            runner_status: BTreeMap::new(),
             planner: Planner::default(),
-            planning: None,
+            planning_since: None,
             next_plan: Tick::default(),
-            next_demand: Tick::default(),
+            next_demand_report: Tick::default(),
             lost_since: BTreeMap::new(),
-            told_wanted: BTreeMap::new(),
-            spread: Spread::default(),
+            sent_desired: BTreeMap::new(),
+            gossip: GossipState::default(),
             options,
         }
     }
@@ -149,27 +149,29 @@
     pub fn handle(&mut self, now: Tick, event: Event) -> Vec<Action> {
         self.now = now;
         match event {
-            Event::Arrive(arrival) => self.arrive(arrival),
+            Event::Arrive(arrival) => self.handle_arrival(arrival),
             Event::Ended { id, end, response_started: sent, answer } => {
                 self.attempt_ended(id, end, sent, answer)
             }
-            Event::Config(revision, source) => self.offer(revision, source),
-            Event::KeyRead(key, value) => self.got(key, value),
-            Event::KeyWritten(key, result) => self.put_done(key, result),
+            Event::Config(revision, source) => self.offer_revision(revision, source),
+            Event::KeyRead(key, value) => self.key_read(key, value),
+            Event::KeyWritten(key, result) => self.key_written(key, result),
             Event::Hosts(list) => {
-                self.listed = true;
+                self.hosts_listed = true;
                 self.members.update_list(now, list);
             }
             Event::Polled { runner, polled_at: asked, reply: polled } => {
-                self.polled(runner, asked, polled)
+                self.poll_answered(runner, asked, polled)
             }
-            Event::Fenced(runner, epoch, fenced) => self.fenced(runner, epoch, fenced),
-            Event::Ordered(runner, of, seq, ordered) => self.ordered(runner, of, seq, ordered),
-            Event::Frame(from, frame) => self.frame(from, frame),
-            Event::Stop => self.stop(),
+            Event::Fenced(runner, epoch, fenced) => self.fence_answered(runner, epoch, fenced),
+            Event::Ordered(runner, of, seq, ordered) => {
+                self.order_answered(runner, of, seq, ordered)
+            }
+            Event::Frame(from, frame) => self.handle_frame(from, frame),
+            Event::Stop => self.begin_stop(),
             Event::Tick => self.tick(),
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     /// The revision in force.
@@ -189,16 +191,16 @@
     }
 
     pub(crate) fn log(&mut self, line: String) {
-        self.out.push(Action::Log(line));
+        self.actions.push(Action::Log(line));
     }
 
     pub(crate) fn get(&mut self, key: Key) {
-        self.out.push(Action::Get(key));
+        self.actions.push(Action::Get(key));
     }
 
     pub(crate) fn put(&mut self, key: Key, base: u64, value: &impl serde::Serialize) {
         let bytes = serde_json::to_vec(value).unwrap_or_default();
-        self.out.push(Action::Put { key, base, bytes });
+        self.actions.push(Action::Put { key, base, bytes });
     }
 
     /// Sends a frame to the host `to`, if its address is known.
@@ -206,7 +208,7 @@
         let address =
             self.members.peers().find(|p| p.listed.name == *to).map(|p| p.listed.link_addr.clone());
         if let Some(address) = address {
-            self.out.push(Action::Send(to.clone(), address, frame));
+            self.actions.push(Action::Send(to.clone(), address, frame));
         }
     }
 
@@ -226,7 +228,7 @@
         self.members.peers().filter(spoke).map(|p| p.listed.name.clone()).collect()
     }
 
-    fn got(&mut self, key: Key, value: Option<Option<crate::StoredValue>>) {
+    fn key_read(&mut self, key: Key, value: Option<Option<crate::StoredValue>>) {
         match key {
             Key::Config => {}
             Key::Slot(slot) => self.slot_read(slot, value),
@@ -235,7 +237,7 @@
         }
     }
 
-    fn put_done(&mut self, key: Key, result: Option<Result<u64, Option<crate::StoredValue>>>) {
+    fn key_written(&mut self, key: Key, result: Option<Result<u64, Option<crate::StoredValue>>>) {
         match key {
             Key::Config => {}
             Key::Slot(slot) => self.slot_written(slot, result),
@@ -244,7 +246,7 @@
         }
     }
 
-    fn stop(&mut self) {
+    fn begin_stop(&mut self) {
         self.stopping = true;
         self.members.set_leaving();
         self.log("event=stopping".into());
@@ -252,24 +254,24 @@
     }
 
     fn tick(&mut self) {
-        self.notice_pause();
+        self.detect_pause();
         self.tick_requests();
         if self.now < self.next_upkeep {
             return;
         }
-        self.next_upkeep = self.now + UPKEEP;
+        self.next_upkeep = self.now + UPKEEP_INTERVAL_MS;
         self.tick_gossip();
         self.tick_slots();
         self.tick_groups();
         self.tick_planning();
-        if self.stopping && !self.stopped && self.is_empty_handed() {
+        if self.stopping && !self.stopped && self.is_drained() {
             self.stopped = true;
-            self.out.push(Action::Stopped);
+            self.actions.push(Action::Stopped);
         }
     }
 
     /// A host that was paused must not take its own silence for that of others.
-    fn notice_pause(&mut self) {
+    fn detect_pause(&mut self) {
         let gap = self.now.since(self.last_tick);
         self.last_tick = self.now;
         if gap >= self.options.suspect_ms / 2 {
@@ -279,8 +281,8 @@
     }
 
     /// Whether nothing is left to finish or to hand over.
-    fn is_empty_handed(&self) -> bool {
-        let idle = self.requests() == (0, 0) && !self.has_fresh_finishes();
+    fn is_drained(&self) -> bool {
+        let idle = self.requests() == (0, 0) && !self.has_recent_unacked();
         let alone = self.reachable_peers().is_empty();
         let held = |s: &Slot| s.role() != vanetally_claim::Role::Other || s.is_handing_over();
         let steward = |g: &GroupLeadership| g.role() != vanetally_member::Role::Other;
@@ -289,10 +291,10 @@
 }
 
 /// Between two rounds of everything that is not about requests, in milliseconds.
-const UPKEEP: u64 = 250;
+const UPKEEP_INTERVAL_MS: u64 = 250;
 /// Least time between two writes of a slot, in milliseconds.
-const SLOT_PACE: u64 = 100;
+const SLOT_WRITE_INTERVAL_MS: u64 = 100;
 /// How long an attempt waits for its id to be written, in milliseconds.
-const SLOT_PATIENCE: u64 = 5_000;
+const SLOT_WAIT_LIMIT_MS: u64 = 5_000;
 /// Most ids in a slot, so that its record stays below a megabyte.
-const MOST_IDS: usize = 15_000;
+const MAX_SLOT_IDS: usize = 15_000;
--- a/crates/core/src/planning.rs
+++ b/crates/core/src/planning.rs
@@ -10,11 +10,11 @@
 use vanetally_types::{Name, Tick, hash64, rendezvous};
 
 /// Between two plans, and between two reports of demand, in milliseconds.
-const PLAN_MILLIS: u64 = 1_000;
+const PLAN_INTERVAL_MS: u64 = 1_000;
 /// How long a new planner listens before its first plan, in milliseconds.
-const LISTEN_MILLIS: u64 = 3_000;
+const PLAN_WARMUP_MS: u64 = 3_000;
 /// How long a runner may be out of reach before its entries get other places, in milliseconds.
-const LOST_MILLIS: u64 = 3_000;
+const UNREACHABLE_GRACE_MS: u64 = 3_000;
 
 impl Core {
     /// The planner is the most preferred living host; two at once would cost moves only.
@@ -28,22 +28,22 @@
             return;
         };
         let mine = planner == self.options.me.name;
-        if self.now >= self.next_demand {
-            self.next_demand = self.now + PLAN_MILLIS;
+        if self.now >= self.next_demand_report {
+            self.next_demand_report = self.now + PLAN_INTERVAL_MS;
             self.report_demand(&planner, mine);
         }
         if !mine {
-            if self.planning.take().is_some() {
+            if self.planning_since.take().is_some() {
                 self.planner = Default::default();
             }
             return;
         }
-        if self.planning.is_none() {
+        if self.planning_since.is_none() {
             self.log("event=planner-took".into());
-            self.planning = Some(self.now);
+            self.planning_since = Some(self.now);
         }
-        if self.now >= self.next_plan && self.knows_enough() {
-            self.next_plan = self.now + PLAN_MILLIS;
+        if self.now >= self.next_plan && self.can_plan() {
+            self.next_plan = self.now + PLAN_INTERVAL_MS;
             self.plan();
         }
     }
@@ -56,12 +56,12 @@
         let arrived: BTreeMap<Name, (u32, u32)> =
             arrived.into_iter().map(|(name, a)| (name, (a.count, a.slot_ms as u32))).collect();
         match mine {
-            true => self.demand(arrived),
+            true => self.add_demand(arrived),
             false => self.send(planner, Frame::Demand(arrived)),
         }
     }
 
-    pub(crate) fn demand(&mut self, arrived: BTreeMap<Name, (u32, u32)>) {
+    pub(crate) fn add_demand(&mut self, arrived: BTreeMap<Name, (u32, u32)>) {
         self.planner.demand.advance(self.now);
         for (target, (count, work)) in arrived {
             self.planner.demand.add(&target, count, f64::from(work));
@@ -69,12 +69,12 @@
     }
 
     /// Whether all runners have been seen, or the time to hear of them has passed.
-    fn knows_enough(&self) -> bool {
-        let Some(since) = self.planning else {
+    fn can_plan(&self) -> bool {
+        let Some(since) = self.planning_since else {
             return false;
         };
-        let all = self.ledgers.keys().all(|name| self.seen.contains_key(name));
-        let listened = self.now.since(since) >= LISTEN_MILLIS;
+        let all = self.ledgers.keys().all(|name| self.runner_status.contains_key(name));
+        let listened = self.now.since(since) >= PLAN_WARMUP_MS;
         self.keeper.current().number > 0 && (listened || (all && !self.ledgers.is_empty()))
     }
 
@@ -87,11 +87,11 @@
             loads_per_10s: catalog.store.loads_per_10s,
             concurrent_loads: catalog.store.slots,
         };
-        let phases = self.seen.values().flat_map(|s| s.entries.values());
+        let phases = self.runner_status.values().flat_map(|s| s.entries.values());
         let loading = phases.filter(|p| **p == Phase::Loading).count();
         let price = f64::from(catalog.move_price);
         self.planner.plan(self.now, &input, limits, loading, price);
-        self.tell_stewards(catalog, &input);
+        self.send_desired(catalog, &input);
     }
 
     fn plan_input(&mut self, catalog: &Catalog) -> Input {
@@ -125,7 +125,7 @@
     }
 
     fn plan_runner(&mut self, runner: &catalog::Runner) -> Runner {
-        let seen = self.seen.get(&runner.name).cloned().unwrap_or_default();
+        let seen = self.runner_status.get(&runner.name).cloned().unwrap_or_default();
         let leaving = is_leaving(&runner.labels) || seen.leaving;
         let lost = self.is_lost(&runner.name, &seen);
         let usable = !leaving && !lost;
@@ -143,7 +143,7 @@
             capacity: runner.capacity.0,
             slots: f64::from(runner.slots),
             usable,
-            reserved: stuck(&seen, &entries),
+            reserved: unplanned_bytes(&seen, &entries),
             entries,
         }
     }
@@ -155,10 +155,10 @@
             return false;
         }
         let since = *self.lost_since.entry(runner.clone()).or_insert(self.now);
-        self.now.since(since) >= LOST_MILLIS
+        self.now.since(since) >= UNREACHABLE_GRACE_MS
     }
 
-    fn tell_stewards(&mut self, catalog: &Catalog, input: &Input) {
+    fn send_desired(&mut self, catalog: &Catalog, input: &Input) {
         let sizes: BTreeMap<Name, DesiredEntry> = catalog
             .entries()
             .into_iter()
@@ -172,29 +172,29 @@
             let pairs = placed.iter().filter_map(|e| Some((e.clone(), sizes.get(e)?.clone())));
             let wanted: DesiredEntries = pairs.collect();
             let group = group_of(&runner.name, self.options.groups);
-            let Some((_, holder)) = self.group_heads.get(&group) else {
+            let Some((_, holder)) = self.group_leaders.get(&group) else {
                 continue;
             };
             by_host.entry(holder.name.clone()).or_default().insert(runner.name.clone(), wanted);
         }
         for (host, wanted) in by_host {
             match host == self.options.me.name {
-                true => self.want(wanted),
-                false => self.send_wanted(host, wanted),
+                true => self.set_desired(wanted),
+                false => self.send_desired_to(host, wanted),
             }
         }
     }
 
     /// Sends wanted entries when they changed, and now and then in case a frame was lost.
-    fn send_wanted(&mut self, host: Name, wanted: BTreeMap<Name, DesiredEntries>) {
+    fn send_desired_to(&mut self, host: Name, wanted: BTreeMap<Name, DesiredEntries>) {
         let text = serde_json::to_vec(&wanted).unwrap_or_default();
         let hash = hash64(&text);
-        let told = self.told_wanted.get(&host).copied();
+        let told = self.sent_desired.get(&host).copied();
         let again = told.is_none_or(|(old, at): (u64, Tick)| {
-            old != hash || self.now.since(at) >= LISTEN_MILLIS
+            old != hash || self.now.since(at) >= PLAN_WARMUP_MS
         });
         if again {
-            self.told_wanted.insert(host.clone(), (hash, self.now));
+            self.sent_desired.insert(host.clone(), (hash, self.now));
             self.send(&host, Frame::Desired(wanted));
         }
     }
@@ -202,7 +202,7 @@
 
 /// Memory that entries outside of the plan may take on a runner. What the plan itself waits for
 /// is counted as an entry already.
-fn stuck(seen: &UpstreamStatus, placed: &BTreeSet<Name>) -> u64 {
+fn unplanned_bytes(seen: &UpstreamStatus, placed: &BTreeSet<Name>) -> u64 {
     let waits = placed.iter().any(|name| !seen.entries.contains_key(name));
     if waits { 0 } else { seen.reserved }
 }
