--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,4 +1,4 @@
-//! Which revision is in force, and what follows from a new one.
+//! The configuration revision in force: accepting, applying and passing on revisions.
 
 use crate::{Action, Core, Frame};
 use std::sync::Arc;
@@ -10,15 +10,16 @@
 use vanetally_route::{Event as RouteEvent, Phase, Upstream, UpstreamStatus};
 use vanetally_types::{HostId, Name};
 
-/// Between two requests for a newer revision, in milliseconds.
+/// Minimum interval between two requests to peers for a newer revision.
 const CONFIG_REQUEST_INTERVAL_MS: u64 = 200;
 
-/// The pseudo entry under which a service's instances serve.
+/// Returns the name of the entry that stands for a service; its instances always have it ready.
 pub fn service_entry(service: &str) -> Name {
     format!("service:{service}").into()
 }
 
 impl Core {
+    /// Passes a revision to the keeper and applies it if it is newer and valid.
     pub(crate) fn offer_revision(&mut self, revision: Arc<Revision>, source: Source) {
         let number = revision.number;
         match self.keeper.offer(revision, source) {
@@ -36,6 +37,7 @@
         }
     }
 
+    /// Passes the new revision's upstreams and runners to the router and the ledgers.
     fn apply_revision(&mut self, source: Source) {
         let revision = self.keeper.current().clone();
         self.log(format!("event=config-taken revision={} source={source:?}", revision.number));
@@ -45,29 +47,30 @@
         for service in &revision.catalog.services {
             for instance in &service.instances {
                 let entry = service_entry(&service.name);
-                let seen = UpstreamStatus {
+                let status = UpstreamStatus {
                     entries: [(entry, Phase::Ready)].into(),
                     reachable: true,
                     ..UpstreamStatus::default()
                 };
                 let actions = self.router.handle(
                     self.now,
-                    RouteEvent::Status { upstream: instance.name.clone(), status: seen },
+                    RouteEvent::Status { upstream: instance.name.clone(), status },
                 );
                 self.run_route_actions(actions);
             }
         }
-        for (runner, seen) in self.runner_status.clone() {
+        for (runner, status) in self.runner_status.clone() {
             let actions =
-                self.router.handle(self.now, RouteEvent::Status { upstream: runner, status: seen });
+                self.router.handle(self.now, RouteEvent::Status { upstream: runner, status });
             self.run_route_actions(actions);
         }
         self.declare_runners(&revision.catalog);
         self.actions.push(Action::RevisionApplied(revision));
-        // Peers that lack it ask for it: the whole is not sent to those that have it.
+        // Pings carry the revision's number: peers with an older one request the whole revision.
         self.ping_all();
     }
 
+    /// Sends the revision in force to a peer that requested it.
     pub(crate) fn send_config(&mut self, from: &HostId) {
         if self.keeper.current().number > 0 {
             let revision = self.keeper.current().clone();
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Asks `from` for a newer revision, unless one was asked for just now.
+    /// Requests the revision of `from`, unless one was requested within the last interval.
     pub(crate) fn request_config(&mut self, from: &HostId) {
         if self.now.since(self.config_requested) >= CONFIG_REQUEST_INTERVAL_MS {
             self.config_requested = self.now;
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Whether operators state that the process's host is destroyed.
+    /// Whether the catalog's `gone` label declares this process or its whole host destroyed.
     pub(crate) fn is_declared_gone(&self, host: &HostId) -> bool {
         let hosts = &self.keeper.current().catalog.hosts;
         let gone = |v: &Name| &**v == "yes" || **v == *host.incarnation.to_string();
@@ -91,6 +94,7 @@
     }
 }
 
+/// The runners and service instances of a catalog as the router's upstreams.
 fn upstreams(catalog: &Catalog) -> Vec<Upstream> {
     let runners = catalog.runners.iter().map(|r| Upstream {
         name: r.name.clone(),
--- a/crates/core/src/dump.rs
+++ b/crates/core/src/dump.rs
@@ -1,4 +1,4 @@
-//! The state of a core as text for operators.
+//! The state of a core as JSON for operators.
 
 use crate::Core;
 use serde_json::{Value, json};
@@ -6,7 +6,7 @@
 use vanetally_types::Name;
 
 impl Core {
-    /// Everything that decides, without secrets.
+    /// Returns the state that decisions depend on, without secrets.
     pub fn dump(&self) -> Value {
         json!({
             "host": self.options.me,
@@ -30,13 +30,13 @@
     }
 
     fn dump_hosts(&self) -> Value {
-        let row = |p: &vanetally_member::Peer| {
+        let row = |peer: &vanetally_member::Peer| {
             json!({
-                "name": p.listed.name, "domain": p.listed.domain, "peer": p.listed.link_addr,
-                "incarnation": p.incarnation, "listed": p.is_listed,
-                "leaving": p.leaving || p.listed.leaving,
-                "silent_ms": p.last_seen.map(|h| self.now.since(h)),
-                "alive": self.members.is_host_eligible(self.now, &p.listed.name),
+                "name": peer.listed.name, "domain": peer.listed.domain, "peer": peer.listed.link_addr,
+                "incarnation": peer.incarnation, "listed": peer.is_listed,
+                "leaving": peer.leaving || peer.listed.leaving,
+                "silent_ms": peer.last_seen.map(|h| self.now.since(h)),
+                "alive": self.members.is_host_eligible(self.now, &peer.listed.name),
             })
         };
         self.members.peers().map(row).collect()
@@ -54,12 +54,12 @@
         let mut rows = Vec::new();
         for (number, slot) in self.slots.iter().enumerate() {
             let (ids, unrecorded) = slot.counts();
-            let head = self.slot_holders.get(&(number as u16));
+            let latest = self.slot_holders.get(&(number as u16));
             let mode = slot.mode().as_str();
             rows.push(json!({
                 "slot": number, "role": slot.role(),
                 "mode": (slot.role() == Role::Holder).then_some(mode),
-                "epoch": head.map(|h| h.0), "holder": head.map(|h| h.1.to_string()),
+                "epoch": latest.map(|h| h.0), "holder": latest.map(|h| h.1.to_string()),
                 "deputy": slot.record().and_then(|r| r.backup.as_ref()).map(|d| d.to_string()),
                 "ids": ids, "unrecorded": unrecorded,
                 "doubts": slot.unresolved_holders().map(|h| h.to_string()).collect::<Vec<_>>(),
@@ -70,10 +70,10 @@
 
     fn dump_groups(&self) -> Value {
         let row = |(number, group): (usize, &vanetally_member::GroupLeadership)| {
-            let head = self.group_leaders.get(&(number as u16));
+            let latest = self.group_leaders.get(&(number as u16));
             json!({
                 "group": number, "role": group.role(),
-                "term": head.map(|h| h.0), "steward": head.map(|h| h.1.to_string()),
+                "term": latest.map(|h| h.0), "steward": latest.map(|h| h.1.to_string()),
             })
         };
         self.groups.iter().enumerate().map(row).collect()
@@ -81,14 +81,14 @@
 
     fn dump_runners(&self) -> Value {
         let row = |(name, ledger): (&Name, &vanetally_ledger::Ledger)| {
-            let seen = self.runner_status.get(name);
+            let status = self.runner_status.get(name);
             json!({
                 "name": name, "stewardship": ledger.state(), "held_bytes": ledger.held_bytes(),
                 "open_orders": ledger.open_intents(),
-                "reachable": seen.is_some_and(|s| s.reachable),
-                "running": seen.map(|s| s.running),
-                "leaving": seen.is_some_and(|s| s.leaving),
-                "entries": seen.map(|s| &s.entries),
+                "reachable": status.is_some_and(|s| s.reachable),
+                "running": status.map(|s| s.running),
+                "leaving": status.is_some_and(|s| s.leaving),
+                "entries": status.map(|s| &s.entries),
                 "wanted": ledger.desired().map(|w| w.keys().cloned().collect::<Vec<_>>()),
             })
         };
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a core and what it wants done.
+//! The events that a core handles and the actions that it returns.
 
 use crate::Frame;
 use serde::{Deserialize, Serialize};
@@ -17,14 +17,14 @@
     Config,
     /// The record of a slot of once-only ids.
     Slot(u16),
-    /// The stewardship of a group of runners.
+    /// The leadership record of a group of runners.
     Group(u16),
     /// The record of a runner that does not check orders.
     Runner(Name),
 }
 
 impl Key {
-    /// The key's name in the service.
+    /// The key's path in the service.
     pub fn path(&self) -> String {
         match self {
             Key::Config => "config/head".to_owned(),
@@ -35,58 +35,58 @@
     }
 }
 
-/// A value of the platform's service.
+/// A value that the platform's service holds under a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredValue {
-    /// Its version.
+    /// Version for compare-and-swap.
     pub version: u64,
-    /// JSON.
+    /// The value as JSON.
     pub bytes: Vec<u8>,
 }
 
-/// A request that was admitted.
+/// An admitted request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// The request.
     pub request: Request,
-    /// Its identity if it must not run twice.
+    /// The id to claim before it runs, if it must run at most once.
     pub claim_id: Option<Id>,
 }
 
-/// A poll's answer.
+/// A runner's answer to a poll.
 #[derive(Clone, Debug)]
 pub struct PollReply {
     /// The runner's memory and epoch.
     pub report: Report,
-    /// Requests that it runs or has queued.
+    /// Number of requests that it runs or has queued.
     pub running: u32,
-    /// Whether it is leaving.
+    /// Whether it is shutting down and refuses new work.
     pub leaving: bool,
 }
 
-/// A fence's answer.
+/// A runner's answer to a fence.
 #[derive(Clone, Debug)]
 pub enum FenceReply {
-    /// Accepted, with the runner's state.
+    /// The fence was accepted; the runner's state.
     Accepted(Report),
-    /// Refused for this higher epoch.
+    /// The fence was refused because the runner has this higher epoch.
     StaleEpoch(Epoch),
-    /// No answer.
+    /// No answer arrived.
     Unanswered,
 }
 
-/// An order's answer.
+/// A runner's answer to an order.
 #[derive(Clone, Debug)]
 pub enum OrderReply {
-    /// Carried out or refused, with the runner's state after it.
+    /// The order was carried out or refused; the runner's state afterwards.
     Answered(Result<(), Refusal>, Report),
-    /// Refused for another epoch.
+    /// The order was refused because the runner has this epoch.
     StaleEpoch(Epoch),
-    /// No answer: it may have been carried out or may still be.
+    /// No answer arrived: the order may have been carried out, or may be later.
     Unanswered,
 }
 
-/// What happens to a core.
+/// An input of a core.
 #[derive(Debug)]
 pub enum Event {
     /// A caller's request was admitted.
@@ -95,20 +95,21 @@
     Ended {
         /// The request.
         id: u64,
-        /// How.
+        /// How it ended.
         end: AttemptEnd,
-        /// Whether the caller has bytes of an answer.
+        /// Whether the caller has received bytes of an answer.
         response_started: bool,
-        /// The answer, for repeats of a once-only request.
+        /// The answer of a once-only request, to be replayed to later attempts with its id.
         answer: Option<Arc<Answer>>,
     },
-    /// A revision of the configuration.
+    /// A revision of the configuration arrived.
     Config(Arc<Revision>, Source),
     /// A key was read; `None` if the service did not answer.
     KeyRead(Key, Option<Option<StoredValue>>),
-    /// A key was written, or had another value; `None` if the service did not answer.
+    /// A write completed: the new version, or the value found on a conflict; `None` if the service
+    /// did not answer.
     KeyWritten(Key, Option<Result<u64, Option<StoredValue>>>),
-    /// The platform's list of hosts.
+    /// The platform listed the hosts.
     Hosts(Vec<ListedHost>),
     /// A runner was polled; `None` if it did not answer.
     Polled {
@@ -119,11 +120,11 @@
         /// Its answer.
         reply: Option<PollReply>,
     },
-    /// A fence was answered.
+    /// A fence was answered: runner, epoch sent, answer.
     Fenced(Name, Epoch, FenceReply),
-    /// An order was answered.
+    /// An order was answered: runner, epoch and sequence number sent, answer.
     Ordered(Name, Epoch, u64, OrderReply),
-    /// Another daemon says something.
+    /// A frame from another daemon.
     Frame(HostId, Frame),
     /// A planned stop begins.
     Stop,
@@ -131,38 +132,38 @@
     Tick,
 }
 
-/// RefusalReason a request is refused.
+/// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
     /// The deadline can't be met.
     DeadlineUnmeetable,
-    /// Too many requests wait.
+    /// Too many requests are waiting.
     Overloaded,
-    /// No upstream has the target.
+    /// No upstream serves the target.
     NoUpstream,
-    /// Upstreams failed.
+    /// The upstreams failed.
     UpstreamFailed,
-    /// An attempt with the same id ran; its answer is not kept.
+    /// An attempt with the same id ran; its answer was not kept.
     AlreadyRan,
     /// An attempt with the same id may have run.
     IdUncertain,
-    /// It can't be decided now whether the id has run.
+    /// No holder can currently decide whether an attempt with the id has run.
     IdUndecided,
 }
 
-/// A final refusal.
+/// A final refusal of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// RefusalReason.
+    /// Why it was refused.
     pub reason: RefusalReason,
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// When to come back, in milliseconds, if that helps.
+    /// Delay before a retry, if a retry may succeed.
     pub retry_after_ms: Option<u64>,
 }
 
-/// What a core wants done.
+/// An output of a core, for the daemon to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send the request upstream.
@@ -176,34 +177,34 @@
         /// The entry to use there.
         entry: Name,
     },
-    /// Tell the caller that it is refused, at once.
+    /// Refuse the request to the caller immediately.
     Refuse(u64, Refused),
-    /// Give the caller the kept answer of an earlier attempt.
+    /// Answer the caller with the kept answer of an earlier attempt.
     Replay(u64, Arc<Answer>),
     /// Read a key.
     Get(Key),
-    /// Write a key by compare-and-swap on `base`.
+    /// Write a key by compare-and-swap.
     Put {
         /// The key.
         key: Key,
-        /// The version to replace; 0 for none.
+        /// The version to replace; 0 if the key must not exist.
         base: u64,
-        /// JSON.
+        /// The value as JSON.
         bytes: Vec<u8>,
     },
-    /// Watch the configuration at the platform, or leave it to others.
+    /// Start or stop watching the configuration at the platform.
     Watch(bool),
-    /// Poll a runner.
+    /// Poll a runner: name, base address.
     Poll(Name, Name),
     /// Raise a runner's epoch: name, base address, epoch.
     Fence(Name, Name, Epoch),
     /// Send an order: name, base address, order.
     Order(Name, Name, Order),
-    /// Tell another daemon something: name, address, frame.
+    /// Send a frame to another daemon: host name, address, frame.
     Send(Name, Name, Frame),
-    /// A revision is in force.
+    /// A new revision is in force.
     RevisionApplied(Arc<Revision>),
-    /// Write a line to the log: what happened, in key=value pairs.
+    /// Write a line of key=value pairs to the log.
     Log(String),
     /// The planned stop is complete.
     Stopped,
--- a/crates/core/src/frame.rs
+++ b/crates/core/src/frame.rs
@@ -9,58 +9,59 @@
 use vanetally_route::UpstreamStatus;
 use vanetally_types::{HostId, Name};
 
-/// Number of a record's holder change, and the holder.
+/// The latest known epoch of a slot, or term of a group, and the host that holds it.
 pub type EpochHolder = (u64, HostId);
 
 /// A message between daemons.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// I am here.
+    /// Sent periodically to show that the sender is alive.
     #[serde(rename = "p")]
     Ping {
-        /// How the sender is listed, with whether it is leaving.
+        /// The sender's host entry, including whether it is leaving.
         #[serde(rename = "l")]
         listed: ListedHost,
-        /// The revision that it follows.
+        /// Number of the revision in force at the sender.
         #[serde(rename = "c")]
         config: u64,
-        /// Hash of its tables of holders.
+        /// Hash of the sender's holder tables.
         #[serde(rename = "t")]
         tables: u64,
     },
-    /// Who holds which slots and groups, as the sender knows.
+    /// The holders of slots and leaders of groups that the sender knows.
     #[serde(rename = "t")]
     Tables {
-        /// Slots by number.
+        /// Epoch and holder by slot number.
         slots: BTreeMap<u16, EpochHolder>,
-        /// Groups of runners by number.
+        /// Term and leader by number of the group of runners.
         groups: BTreeMap<u16, EpochHolder>,
     },
-    /// Send me your revision.
+    /// Requests the receiver's configuration revision.
     #[serde(rename = "cp")]
     PullConfig,
-    /// My revision.
+    /// The sender's configuration revision.
     #[serde(rename = "c")]
     Config(Arc<Revision>),
-    /// What was seen of a runner.
+    /// The status of a runner as its poller last saw it.
     #[serde(rename = "s")]
     RunnerStatus {
         /// The runner.
         runner: Name,
-        /// The report.
+        /// Its status.
         #[serde(rename = "seen")]
         status: UpstreamStatus,
     },
-    /// What arrived at the sender, for the planner: count and milliseconds of slots by target.
+    /// Demand at the sender, for the planner: request count and milliseconds of slot time by
+    /// target.
     #[serde(rename = "d")]
     Demand(BTreeMap<Name, (u32, u32)>),
-    /// What the planner wants on runners that the receiver is steward of.
+    /// The planner's desired entries for runners whose leader is the receiver.
     #[serde(rename = "w")]
     Desired(BTreeMap<Name, DesiredEntries>),
-    /// May this run?
+    /// Requests the slot's holder to grant an attempt.
     #[serde(rename = "a")]
     Claim(ClaimRequest),
-    /// The answer to an ask.
+    /// The holder's answer to a claim.
     #[serde(rename = "r")]
     ClaimReply {
         /// The attempt.
@@ -77,14 +78,14 @@
         id: Id,
         /// The attempt.
         ticket: Ticket,
-        /// How.
+        /// How it ended.
         #[serde(rename = "finish")]
         outcome: Outcome,
     },
-    /// The end of an attempt is known.
+    /// Acknowledges [`Frame::Finished`].
     #[serde(rename = "fs")]
     FinishAck(Ticket),
-    /// Between holders and deputies of a slot.
+    /// A message between holders and backups of a slot.
     #[serde(rename = "x")]
     Slot(u16, Message),
 }
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -1,24 +1,25 @@
-//! What daemons tell each other: that they live, who holds what, what was seen of runners.
+//! Gossip between daemons: pings, tables of holders, and statuses of runners.
 
 use crate::{Action, Core, EpochHolder, Frame};
 use std::collections::{BTreeMap, BTreeSet};
 use vanetally_config::tracker::Source;
 use vanetally_types::{HostId, Name, Tick, hash64, rendezvous_rank};
 
-/// When what was told to whom.
+/// What was sent to which peer, and when.
 #[derive(Debug, Default)]
 pub(crate) struct GossipState {
     next_ping: Tick,
-    /// Peers that lack our tables, and when they were last sent.
+    /// Peers whose holder tables differ from this host's.
     tables_due: BTreeSet<Name>,
+    /// When the tables were last sent to each peer.
     tables_sent: BTreeMap<Name, Tick>,
-    /// Processes that have been told everything once.
-    greeted: BTreeSet<HostId>,
+    /// Processes that were sent all runner statuses after their first ping.
+    statuses_sent: BTreeSet<HostId>,
 }
 
-/// Least time between two tables to the same peer, in milliseconds.
+/// Minimum interval between two sends of the tables to the same peer.
 const TABLES_INTERVAL_MS: u64 = 300;
-/// Hosts in a failure domain that watch the configuration at the platform.
+/// Number of hosts in a failure domain that watch the configuration at the platform.
 const WATCHERS_PER_DOMAIN: usize = 2;
 
 impl Core {
@@ -40,7 +41,8 @@
         self.choose_watchers();
     }
 
-    /// A few hosts of each failure domain watch; the others hear of changes from peers.
+    /// Starts or stops watching the configuration: a few hosts of each failure domain watch it, the
+    /// others receive changes from peers.
     fn choose_watchers(&mut self) {
         let domain = self.options.listed.domain.clone();
         let mut names = vec![self.options.me.name.clone()];
@@ -76,19 +78,19 @@
 
     fn tables_hash(&self) -> u64 {
         let mut bytes = Vec::new();
-        let mut add = |kind: u8, number: u16, head: &EpochHolder| {
+        let mut add = |kind: u8, number: u16, latest: &EpochHolder| {
             bytes.push(kind);
             bytes.extend(number.to_le_bytes());
-            bytes.extend(head.0.to_le_bytes());
-            bytes.extend(head.1.incarnation.to_le_bytes());
-            bytes.extend(head.1.name.as_bytes());
+            bytes.extend(latest.0.to_le_bytes());
+            bytes.extend(latest.1.incarnation.to_le_bytes());
+            bytes.extend(latest.1.name.as_bytes());
         };
         self.slot_holders.iter().for_each(|(n, h)| add(0, *n, h));
         self.group_leaders.iter().for_each(|(n, h)| add(1, *n, h));
         hash64(&bytes)
     }
 
-    /// Our tables changed: everybody is to have them soon.
+    /// Schedules the tables to be sent to all reachable peers after a change.
     pub(crate) fn schedule_tables(&mut self) {
         self.gossip.tables_due.extend(self.reachable_peers());
     }
@@ -104,11 +106,9 @@
             Frame::RunnerStatus { runner, status } => self.apply_status(runner, status),
             Frame::Demand(arrived) => self.add_demand(arrived),
             Frame::Desired(wanted) => self.set_desired(wanted),
-            Frame::Claim(ask) => self.handle_claim(ask),
+            Frame::Claim(claim) => self.handle_claim(claim),
             Frame::ClaimReply { ticket, id, reply } => self.claim_replied(from, ticket, id, reply),
-            Frame::Finished { id, ticket, outcome: finish } => {
-                self.handle_outcome(id, ticket, finish)
-            }
+            Frame::Finished { id, ticket, outcome } => self.handle_outcome(id, ticket, outcome),
             Frame::FinishAck(ticket) => {
                 self.unacked_outcomes.remove(&ticket);
             }
@@ -139,15 +139,15 @@
         if tables != self.tables_hash() {
             self.gossip.tables_due.insert(from.name.clone());
         }
-        if self.gossip.greeted.insert(from.clone()) {
+        if self.gossip.statuses_sent.insert(from.clone()) {
             self.log(format!("event=host-joined host={from}"));
             self.send_statuses(&from);
         }
     }
 
-    /// Tells a process that is new here what this host has seen of runners.
+    /// Sends the statuses of the runners polled by this host to a process that has just joined.
     fn send_statuses(&mut self, host: &HostId) {
-        self.gossip.greeted.retain(|h| h.name != host.name || h == host);
+        self.gossip.statuses_sent.retain(|h| h.name != host.name || h == host);
         let polled: Vec<Name> = self.probes.keys().cloned().collect();
         for runner in polled {
             if let Some(seen) = self.runner_status.get(&runner).cloned() {
@@ -157,8 +157,8 @@
     }
 
     fn process_ended(&mut self, ended: &HostId) {
-        self.slots_process_ended(ended);
-        self.ledgers_process_ended(ended);
+        self.notify_slots_ended(ended);
+        self.notify_ledgers_ended(ended);
     }
 
     fn merge_tables(
@@ -166,14 +166,14 @@
         slots: BTreeMap<u16, EpochHolder>,
         groups: BTreeMap<u16, EpochHolder>,
     ) {
-        for (slot, head) in slots {
+        for (slot, latest) in slots {
             if slot < self.options.slots {
-                self.slot_announced(slot, head);
+                self.slot_announced(slot, latest);
             }
         }
-        for (group, head) in groups {
+        for (group, latest) in groups {
             if group < self.options.groups {
-                self.group_announced(group, head);
+                self.group_announced(group, latest);
             }
         }
     }
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -1,4 +1,4 @@
-//! Stewardship of runners: polls, fences, orders, and what is told of them.
+//! Leadership of groups of runners: polls, fences, orders, and the statuses sent to peers.
 
 use crate::{
     Action, Core, EpochHolder, FenceReply, Frame, Key, OrderReply, PollReply, StoredValue,
@@ -16,16 +16,17 @@
 use vanetally_route::{Event as RouteEvent, Phase as RoutePhase, UpstreamStatus};
 use vanetally_types::{HostId, Name, Tick, hash64, rendezvous};
 
-/// Polls without an answer after which a runner counts as unreachable.
+/// Number of unanswered polls in a row after which a runner counts as unreachable.
 const MAX_POLL_FAILURES: u32 = 3;
-/// What was seen of a runner is told again after this long, in milliseconds.
+/// Interval at which an unchanged runner status is sent to peers again.
 const STATUS_RESEND_MS: u64 = 4_000;
-/// Between closing an entry to routers and unloading it, in polls.
+/// Number of poll intervals between closing an entry for routers and unloading it.
 const DRAIN_POLLS: u64 = 2;
-/// Between two attempts to take a stewardship, in milliseconds.
+/// Minimum interval between two attempts to become leader of a group.
 const LEADER_CLAIM_INTERVAL_MS: u64 = 1_000;
 
 impl Core {
+    /// Creates, updates and removes ledgers to match the catalog's runners.
     pub(crate) fn declare_runners(&mut self, catalog: &Catalog) {
         let mut specs: BTreeMap<Name, RunnerSpec> = BTreeMap::new();
         for runner in &catalog.runners {
@@ -43,10 +44,10 @@
         let me = self.options.me.clone();
         for (name, spec) in specs {
             let new = || Ledger::new(me.clone(), spec.clone(), Guards::ON);
-            let fresh = !self.ledgers.contains_key(&name);
+            let is_new = !self.ledgers.contains_key(&name);
             self.ledgers.entry(name.clone()).or_insert_with(new).set_spec(spec.clone());
             let group = group_of(&name, self.options.groups);
-            if fresh && self.groups[usize::from(group)].role() == Role::Holder {
+            if is_new && self.groups[usize::from(group)].role() == Role::Holder {
                 let term = self.groups[usize::from(group)].known_leader().0;
                 self.acquire_runner(&name, term);
             }
@@ -63,7 +64,7 @@
         runners.iter().find(|r| *r.name == *runner).map(|r| r.url.clone())
     }
 
-    // Stewardships.
+    // Leadership of groups.
 
     fn group_event(&mut self, number: u16, event: GroupEvent) {
         let Some(group) = self.groups.get_mut(usize::from(number)) else {
@@ -84,16 +85,17 @@
         }
     }
 
-    fn update_group_leader(&mut self, number: u16, head: EpochHolder) {
-        if self.group_leaders.get(&number).is_none_or(|known| known.0 < head.0) {
-            self.group_leaders.insert(number, head);
+    /// Stores a group's term and leader if the term is the highest known.
+    fn update_group_leader(&mut self, number: u16, latest: EpochHolder) {
+        if self.group_leaders.get(&number).is_none_or(|known| known.0 < latest.0) {
+            self.group_leaders.insert(number, latest);
             self.schedule_tables();
         }
     }
 
-    pub(crate) fn group_announced(&mut self, number: u16, head: EpochHolder) {
-        let (term, holder) = head.clone();
-        self.update_group_leader(number, head);
+    pub(crate) fn group_announced(&mut self, number: u16, latest: EpochHolder) {
+        let (term, holder) = latest.clone();
+        self.update_group_leader(number, latest);
         self.group_event(number, GroupEvent::TermAnnounced { term, holder: Some(holder) });
     }
 
@@ -104,6 +106,7 @@
         }
     }
 
+    /// Starts the leadership of one runner; the record of an unfenced runner is read first.
     fn acquire_runner(&mut self, runner: &Name, term: u64) {
         let runners = &self.keeper.current().catalog.runners;
         let fenced = runners.iter().find(|r| r.name == *runner).is_some_and(|r| r.fenced);
@@ -144,10 +147,10 @@
         self.group_event(number, event);
     }
 
-    /// The host that should be steward of a group when nobody is.
+    /// The host that should become leader of a group without one.
     fn preferred_leader(&self, group: u16) -> Option<Name> {
-        let alive = self.members.eligible_hosts(self.now);
-        rendezvous(hash64(format!("group/{group}").as_bytes()), &alive).cloned()
+        let eligible = self.members.eligible_hosts(self.now);
+        rendezvous(hash64(format!("group/{group}").as_bytes()), &eligible).cloned()
     }
 
     pub(crate) fn tick_groups(&mut self) {
@@ -159,22 +162,25 @@
         }
     }
 
+    /// Claims a group without an eligible leader if this host ranks first, and polls its runners if
+    /// this host is the leader or the preferred one.
     fn tick_group(&mut self, number: u16) {
         let me = self.options.me.name.clone();
         let holder = self.group_leaders.get(&number).map(|h| h.1.clone());
-        let serves = holder.as_ref().is_some_and(|h| self.members.is_process_eligible(self.now, h));
-        let mine = holder.as_ref() == Some(&self.options.me);
-        let poller = match serves {
+        let is_eligible =
+            holder.as_ref().is_some_and(|h| self.members.is_process_eligible(self.now, h));
+        let leads = holder.as_ref() == Some(&self.options.me);
+        let poller = match is_eligible {
             true => holder.map(|h| h.name),
             false => self.preferred_leader(number),
         };
-        let last = self.last_claims.get(&number).copied().unwrap_or(self.started);
-        let due = self.now.since(last) >= LEADER_CLAIM_INTERVAL_MS;
+        let last_claim = self.last_claims.get(&number).copied().unwrap_or(self.started);
+        let due = self.now.since(last_claim) >= LEADER_CLAIM_INTERVAL_MS;
         if self.stopping {
             self.group_event(number, GroupEvent::Release);
-        } else if (!serves || mine) && poller.as_ref() == Some(&me) && due {
+        } else if (!is_eligible || leads) && poller.as_ref() == Some(&me) && due {
             self.last_claims.insert(number, self.now);
-            self.group_event(number, GroupEvent::Claim { holder_serves: serves && !mine });
+            self.group_event(number, GroupEvent::Claim { holder_serves: is_eligible && !leads });
         }
         for runner in self.runners_of(number) {
             self.ledger_event(&runner, LedgerEvent::Tick);
@@ -200,12 +206,17 @@
         }
     }
 
-    pub(crate) fn poll_answered(&mut self, runner: Name, asked: Tick, polled: Option<PollReply>) {
+    pub(crate) fn poll_answered(
+        &mut self,
+        runner: Name,
+        polled_at: Tick,
+        reply: Option<PollReply>,
+    ) {
         let Some(probe) = self.probes.get_mut(&runner) else {
             return;
         };
         probe.in_flight = false;
-        let Some(polled) = polled else {
+        let Some(reply) = reply else {
             probe.failures += 1;
             if probe.failures >= MAX_POLL_FAILURES {
                 self.publish_status(&runner, UpstreamStatus::default());
@@ -213,16 +224,13 @@
             return;
         };
         probe.failures = 0;
-        let (running, leaving) = (polled.running, polled.leaving);
-        self.ledger_event(
-            &runner,
-            LedgerEvent::Reported { polled_at: asked, report: polled.report },
-        );
-        let seen = self.status_from_ledger(&runner, running, leaving);
-        self.publish_status(&runner, seen);
+        let (running, leaving) = (reply.running, reply.leaving);
+        self.ledger_event(&runner, LedgerEvent::Reported { polled_at, report: reply.report });
+        let status = self.status_from_ledger(&runner, running, leaving);
+        self.publish_status(&runner, status);
     }
 
-    /// What routers need to know of a runner.
+    /// The runner's status for routers, from the ledger's last report.
     fn status_from_ledger(&self, runner: &Name, running: u32, leaving: bool) -> UpstreamStatus {
         let Some(ledger) = self.ledgers.get(runner) else {
             return UpstreamStatus::default();
@@ -250,29 +258,30 @@
         }
     }
 
-    /// Tells the own router and, when it matters, the peers.
-    fn publish_status(&mut self, runner: &Name, seen: UpstreamStatus) {
+    /// Applies a runner's status here and sends it to peers if it has changed or is due again.
+    fn publish_status(&mut self, runner: &Name, status: UpstreamStatus) {
         let probe: &mut Probe = self.probes.entry(runner.clone()).or_default();
-        let news = probe.last_sent.as_ref().is_none_or(|(old, at)| {
-            needs_broadcast(old, &seen) || self.now.since(*at) >= STATUS_RESEND_MS
+        let due = probe.last_sent.as_ref().is_none_or(|(old, at)| {
+            needs_broadcast(old, &status) || self.now.since(*at) >= STATUS_RESEND_MS
         });
-        if news {
-            probe.last_sent = Some((seen.clone(), self.now));
-            self.broadcast(&Frame::RunnerStatus { runner: runner.clone(), status: seen.clone() });
+        if due {
+            probe.last_sent = Some((status.clone(), self.now));
+            self.broadcast(&Frame::RunnerStatus { runner: runner.clone(), status: status.clone() });
         }
-        self.apply_status(runner.clone(), seen);
+        self.apply_status(runner.clone(), status);
     }
 
-    pub(crate) fn apply_status(&mut self, runner: Name, seen: UpstreamStatus) {
+    /// Stores a runner's status and passes it to the router.
+    pub(crate) fn apply_status(&mut self, runner: Name, status: UpstreamStatus) {
         if !self.ledgers.contains_key(&runner) {
             return;
         }
-        self.runner_status.insert(runner.clone(), seen.clone());
-        let actions =
-            self.router.handle(self.now, RouteEvent::Status { upstream: runner, status: seen });
+        self.runner_status.insert(runner.clone(), status.clone());
+        let actions = self.router.handle(self.now, RouteEvent::Status { upstream: runner, status });
         self.run_route_actions(actions);
     }
 
+    /// Passes an event to a runner's ledger and carries out the resulting actions.
     pub(crate) fn ledger_event(&mut self, runner: &Name, event: LedgerEvent) {
         let Some(ledger) = self.ledgers.get_mut(runner) else {
             return;
@@ -318,7 +327,7 @@
             return;
         };
         let Some(value) = value else {
-            // The platform is out: the stewardship opens when it is back.
+            // The platform is unavailable: the leadership starts once the record can be read.
             return self.get(Key::Runner(runner));
         };
         self.pending_terms.remove(&runner);
@@ -329,7 +338,7 @@
         self.check_issuers(&runner);
     }
 
-    /// Tells the ledger which senders of open orders have ended already.
+    /// Reports to the ledger which issuers of its open intents have already ended.
     fn check_issuers(&mut self, runner: &Name) {
         let Some(ledger) = self.ledgers.get(runner) else {
             return;
@@ -347,12 +356,12 @@
         result: Option<Result<u64, Option<StoredValue>>>,
     ) {
         let key = Key::Runner(runner.clone());
-        let writing = self.ledgers.get(&runner).and_then(|l| l.pending_write());
+        let pending_seq = self.ledgers.get(&runner).and_then(|l| l.pending_write());
         match result {
             None => self.ledger_event(&runner, LedgerEvent::WriteUnconfirmed),
             Some(Ok(version)) => {
                 self.record_versions.insert(key, version);
-                if let Some(seq) = writing {
+                if let Some(seq) = pending_seq {
                     self.ledger_event(&runner, LedgerEvent::Written { seq });
                 }
             }
@@ -364,8 +373,8 @@
         }
     }
 
-    pub(crate) fn fence_answered(&mut self, runner: Name, epoch: Epoch, fenced: FenceReply) {
-        let event = match fenced {
+    pub(crate) fn fence_answered(&mut self, runner: Name, epoch: Epoch, reply: FenceReply) {
+        let event = match reply {
             FenceReply::Accepted(report) => LedgerEvent::Fenced { epoch, report },
             FenceReply::StaleEpoch(higher) => {
                 LedgerEvent::StaleEpoch { sent: epoch, current: higher }
@@ -378,13 +387,15 @@
     pub(crate) fn order_answered(
         &mut self,
         runner: Name,
-        of: Epoch,
+        sent_epoch: Epoch,
         seq: u64,
-        ordered: OrderReply,
+        reply: OrderReply,
     ) {
-        let event = match ordered {
+        let event = match reply {
             OrderReply::Answered(result, report) => LedgerEvent::Answered { seq, result, report },
-            OrderReply::StaleEpoch(epoch) => LedgerEvent::StaleEpoch { sent: of, current: epoch },
+            OrderReply::StaleEpoch(epoch) => {
+                LedgerEvent::StaleEpoch { sent: sent_epoch, current: epoch }
+            }
             OrderReply::Unanswered => {
                 self.log(format!("event=order-lost runner={runner} seq={seq}"));
                 LedgerEvent::OrderUnanswered { seq }
@@ -393,16 +404,16 @@
         self.ledger_event(&runner, event);
     }
 
-    pub(crate) fn set_desired(&mut self, wanted: BTreeMap<Name, DesiredEntries>) {
-        for (runner, wanted) in wanted {
+    pub(crate) fn set_desired(&mut self, desired: BTreeMap<Name, DesiredEntries>) {
+        for (runner, desired) in desired {
             let known = self.ledgers.get(&runner).and_then(|l| l.desired());
-            if known != Some(&wanted) {
-                self.ledger_event(&runner, LedgerEvent::Desired(wanted));
+            if known != Some(&desired) {
+                self.ledger_event(&runner, LedgerEvent::Desired(desired));
             }
         }
     }
 
-    pub(crate) fn ledgers_process_ended(&mut self, host: &HostId) {
+    pub(crate) fn notify_ledgers_ended(&mut self, host: &HostId) {
         let runners: Vec<Name> = self.ledgers.keys().cloned().collect();
         for runner in runners {
             self.ledger_event(&runner, LedgerEvent::Ended(host.clone()));
@@ -410,12 +421,12 @@
     }
 }
 
-/// Whether a report says something that routers should hear at once.
+/// Whether a status differs enough from the last one sent that peers need it immediately.
 fn needs_broadcast(old: &UpstreamStatus, new: &UpstreamStatus) -> bool {
-    let moved = old.running.abs_diff(new.running) > old.running / 4 + 1;
-    let other =
+    let load_changed = old.running.abs_diff(new.running) > old.running / 4 + 1;
+    let state_changed =
         (old.leaving, old.reachable, old.reserved) != (new.leaving, new.reachable, new.reserved);
-    moved || other || old.entries != new.entries
+    load_changed || state_changed || old.entries != new.entries
 }
 
 fn parse_group(stored: StoredValue) -> Option<vanetally_member::VersionedRecord> {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
-//! All decisions of one entry host behind one narrow door.
+//! The decision logic of one entry host as a state machine.
 //!
 //! [`Core::handle`] takes an [`Event`] and returns [`Action`]s. It reads no clock, opens no
-//! socket and draws no random number: the daemon, tests and benches drive the same code.
+//! sockets and uses no random numbers, so the daemon, tests and benchmarks run the same code.
 #![deny(missing_docs, unsafe_code)]
 
 mod config;
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -1,4 +1,4 @@
-//! The core's parts and the dispatch of events.
+//! The core's state and the dispatch of events.
 
 use crate::{Action, EpochHolder, Event, Frame, Key, gossip::GossipState, requests::Attempt};
 use std::{
@@ -13,40 +13,40 @@
 use vanetally_route::{Router, UpstreamStatus};
 use vanetally_types::{HostId, Name, Tick};
 
-/// What a core is told at its start.
+/// Start options of a core.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// This process.
     pub me: HostId,
-    /// How this host is listed.
+    /// This host's entry in the list of hosts.
     pub listed: ListedHost,
-    /// Slots of once-only ids; the same on all hosts.
+    /// Number of slots for once-only ids; the same on all hosts.
     pub slots: u16,
-    /// Groups of runners; the same on all hosts.
+    /// Number of groups of runners; the same on all hosts.
     pub groups: u16,
-    /// Between two polls of a runner, in milliseconds.
+    /// Interval between two polls of a runner.
     pub poll_ms: u64,
-    /// Between two pings, in milliseconds.
+    /// Interval between two pings.
     pub ping_ms: u64,
-    /// A peer silent for this long is suspected, in milliseconds.
+    /// Silence after which a peer is suspected to have failed.
     pub suspect_ms: u64,
-    /// No deadline lies further ahead than this, in milliseconds.
+    /// Maximum time from a request's arrival to its deadline.
     pub horizon_ms: u64,
-    /// Most requests waiting for a replica.
+    /// Maximum number of requests waiting for a replica.
     pub max_queued: usize,
 }
 
-/// What is known of polling one runner.
+/// The polling state of one runner.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Probe {
     pub in_flight: bool,
     pub next_poll: Tick,
     pub failures: u32,
-    /// The last report sent to peers and when.
+    /// The status last sent to peers, and when.
     pub last_sent: Option<(UpstreamStatus, Tick)>,
 }
 
-/// All decisions of one entry host.
+/// The state machine of one entry host.
 pub struct Core {
     pub(crate) options: Options,
     pub(crate) now: Tick,
@@ -67,31 +67,38 @@
     pub(crate) slots: Vec<Slot>,
     pub(crate) slot_holders: BTreeMap<u16, EpochHolder>,
     pub(crate) last_reads: BTreeMap<u16, Tick>,
+    /// Slots whose record is being read to decide on a takeover.
     pub(crate) takeover_reads: BTreeSet<u16>,
     pub(crate) attempts: BTreeMap<u64, Attempt>,
+    /// Outcomes that the holder has not acknowledged: id, outcome, last sent, sent until.
     pub(crate) unacked_outcomes: BTreeMap<Ticket, (Id, Outcome, Tick, Tick)>,
     // Runners.
     pub(crate) groups: Vec<GroupLeadership>,
     pub(crate) group_leaders: BTreeMap<u16, EpochHolder>,
+    /// When this host last tried to become leader of each group.
     pub(crate) last_claims: BTreeMap<u16, Tick>,
     pub(crate) ledgers: BTreeMap<Name, Ledger>,
     pub(crate) record_versions: BTreeMap<Key, u64>,
+    /// Terms of new leaderships whose runner record is still being read.
     pub(crate) pending_terms: BTreeMap<Name, u64>,
     pub(crate) probes: BTreeMap<Name, Probe>,
     pub(crate) runner_status: BTreeMap<Name, UpstreamStatus>,
     // Planning.
     pub(crate) planner: Planner,
+    /// When this host became the planner, if it is.
     pub(crate) planning_since: Option<Tick>,
     pub(crate) next_plan: Tick,
     pub(crate) next_demand_report: Tick,
+    /// Since when each unreachable runner has been so.
     pub(crate) lost_since: BTreeMap<Name, Tick>,
+    /// Hash of the desired entries last sent to each leader, and when.
     pub(crate) sent_desired: BTreeMap<Name, (u64, Tick)>,
     // Peers.
     pub(crate) gossip: GossipState,
 }
 
 impl Core {
-    /// A core at its start.
+    /// Creates a core without configuration and without known peers.
     pub fn new(now: Tick, options: Options) -> Self {
         let slot_options = vanetally_claim::Options {
             retention_ms: options.horizon_ms,
@@ -145,13 +152,13 @@
         }
     }
 
-    /// Takes an event and says what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Tick, event: Event) -> Vec<Action> {
         self.now = now;
         match event {
             Event::Arrive(arrival) => self.handle_arrival(arrival),
-            Event::Ended { id, end, response_started: sent, answer } => {
-                self.attempt_ended(id, end, sent, answer)
+            Event::Ended { id, end, response_started, answer } => {
+                self.attempt_ended(id, end, response_started, answer)
             }
             Event::Config(revision, source) => self.offer_revision(revision, source),
             Event::KeyRead(key, value) => self.key_read(key, value),
@@ -160,12 +167,12 @@
                 self.hosts_listed = true;
                 self.members.update_list(now, list);
             }
-            Event::Polled { runner, polled_at: asked, reply: polled } => {
-                self.poll_answered(runner, asked, polled)
+            Event::Polled { runner, polled_at, reply } => {
+                self.poll_answered(runner, polled_at, reply)
             }
-            Event::Fenced(runner, epoch, fenced) => self.fence_answered(runner, epoch, fenced),
-            Event::Ordered(runner, of, seq, ordered) => {
-                self.order_answered(runner, of, seq, ordered)
+            Event::Fenced(runner, epoch, reply) => self.fence_answered(runner, epoch, reply),
+            Event::Ordered(runner, epoch, seq, reply) => {
+                self.order_answered(runner, epoch, seq, reply)
             }
             Event::Frame(from, frame) => self.handle_frame(from, frame),
             Event::Stop => self.begin_stop(),
@@ -179,12 +186,12 @@
         self.keeper.current()
     }
 
-    /// Whether the balancer may send callers here.
+    /// Whether the load balancer may send requests to this host.
     pub fn is_ready(&self) -> bool {
         !self.stopping && self.keeper.current().number > 0
     }
 
-    /// Requests waiting and running here.
+    /// Numbers of requests waiting and running on this host.
     pub fn requests(&self) -> (usize, usize) {
         let (waiting, running) = self.router.counts();
         (waiting + self.attempts.values().filter(|a| !a.granted).count(), running)
@@ -212,7 +219,7 @@
         }
     }
 
-    /// Sends a frame to all hosts that may be there.
+    /// Sends a frame to all hosts that are not suspected to have failed.
     pub(crate) fn broadcast(&mut self, frame: &Frame) {
         let names: Vec<Name> = self.reachable_peers();
         for name in names {
@@ -221,11 +228,11 @@
     }
 
     pub(crate) fn reachable_peers(&self) -> Vec<Name> {
-        let spoke = |p: &&vanetally_member::Peer| {
+        let is_reachable = |p: &&vanetally_member::Peer| {
             let last = p.last_seen.unwrap_or(p.known_since);
             self.now.since(last) < self.options.suspect_ms
         };
-        self.members.peers().filter(spoke).map(|p| p.listed.name.clone()).collect()
+        self.members.peers().filter(is_reachable).map(|p| p.listed.name.clone()).collect()
     }
 
     fn key_read(&mut self, key: Key, value: Option<Option<crate::StoredValue>>) {
@@ -270,31 +277,32 @@
         }
     }
 
-    /// A host that was paused must not take its own silence for that of others.
+    /// Restarts the timeouts of peers after a pause of this process, during which it could not
+    /// receive their pings.
     fn detect_pause(&mut self) {
-        let gap = self.now.since(self.last_tick);
+        let gap_ms = self.now.since(self.last_tick);
         self.last_tick = self.now;
-        if gap >= self.options.suspect_ms / 2 {
+        if gap_ms >= self.options.suspect_ms / 2 {
             self.members.reset_timeouts(self.now);
-            self.log(format!("event=resumed gap_ms={gap}"));
+            self.log(format!("event=resumed gap_ms={gap_ms}"));
         }
     }
 
-    /// Whether nothing is left to finish or to hand over.
+    /// Whether no requests, slots or leaderships are left to finish or to hand over.
     fn is_drained(&self) -> bool {
         let idle = self.requests() == (0, 0) && !self.has_recent_unacked();
-        let alone = self.reachable_peers().is_empty();
-        let held = |s: &Slot| s.role() != vanetally_claim::Role::Other || s.is_handing_over();
-        let steward = |g: &GroupLeadership| g.role() != vanetally_member::Role::Other;
-        idle && (alone || !(self.slots.iter().any(held) || self.groups.iter().any(steward)))
+        let no_peers = self.reachable_peers().is_empty();
+        let holds = |s: &Slot| s.role() != vanetally_claim::Role::Other || s.is_handing_over();
+        let leads = |g: &GroupLeadership| g.role() != vanetally_member::Role::Other;
+        idle && (no_peers || !(self.slots.iter().any(holds) || self.groups.iter().any(leads)))
     }
 }
 
-/// Between two rounds of everything that is not about requests, in milliseconds.
+/// Interval of all periodic work except that on requests.
 const UPKEEP_INTERVAL_MS: u64 = 250;
-/// Least time between two writes of a slot, in milliseconds.
+/// Minimum interval between two writes of a slot's record.
 const SLOT_WRITE_INTERVAL_MS: u64 = 100;
-/// How long an attempt waits for its id to be written, in milliseconds.
+/// Maximum time that an attempt waits for its id to be written.
 const SLOT_WAIT_LIMIT_MS: u64 = 5_000;
-/// Most ids in a slot, so that its record stays below a megabyte.
+/// Maximum number of ids in a slot; keeps its record below a megabyte.
 const MAX_SLOT_IDS: usize = 15_000;
--- a/crates/core/src/planning.rs
+++ b/crates/core/src/planning.rs
@@ -1,4 +1,4 @@
-//! The planner's part: demand in, wanted entries out.
+//! Planning on one host: collects demand and sends desired entries to the leaders of runners.
 
 use crate::{Core, Frame};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,30 +9,32 @@
 use vanetally_route::{Phase, UpstreamStatus};
 use vanetally_types::{Name, Tick, hash64, rendezvous};
 
-/// Between two plans, and between two reports of demand, in milliseconds.
+/// Interval of plans and of demand reports.
 const PLAN_INTERVAL_MS: u64 = 1_000;
-/// How long a new planner listens before its first plan, in milliseconds.
+/// Maximum time that a new planner waits for statuses of all runners before its first plan; also
+/// the interval at which unchanged desired entries are sent again.
 const PLAN_WARMUP_MS: u64 = 3_000;
-/// How long a runner may be out of reach before its entries get other places, in milliseconds.
+/// How long a runner may be unreachable before its entries are placed elsewhere.
 const UNREACHABLE_GRACE_MS: u64 = 3_000;
 
 impl Core {
-    /// The planner is the most preferred living host; two at once would cost moves only.
+    /// The planner: the highest-ranked eligible host. Two planners at once are harmless apart from
+    /// needless moves.
     fn planner_name(&self) -> Option<Name> {
-        let alive = self.members.eligible_hosts(self.now);
-        rendezvous(hash64(b"planner"), &alive).cloned()
+        let eligible = self.members.eligible_hosts(self.now);
+        rendezvous(hash64(b"planner"), &eligible).cloned()
     }
 
     pub(crate) fn tick_planning(&mut self) {
         let Some(planner) = self.planner_name() else {
             return;
         };
-        let mine = planner == self.options.me.name;
+        let is_planner = planner == self.options.me.name;
         if self.now >= self.next_demand_report {
             self.next_demand_report = self.now + PLAN_INTERVAL_MS;
-            self.report_demand(&planner, mine);
+            self.report_demand(&planner, is_planner);
         }
-        if !mine {
+        if !is_planner {
             if self.planning_since.take().is_some() {
                 self.planner = Default::default();
             }
@@ -48,34 +50,36 @@
         }
     }
 
-    fn report_demand(&mut self, planner: &Name, mine: bool) {
-        let arrived = self.router.take_arrivals();
-        if arrived.is_empty() {
+    /// Passes the demand that arrived on this host to the planner.
+    fn report_demand(&mut self, planner: &Name, is_planner: bool) {
+        let arrivals = self.router.take_arrivals();
+        if arrivals.is_empty() {
             return;
         }
-        let arrived: BTreeMap<Name, (u32, u32)> =
-            arrived.into_iter().map(|(name, a)| (name, (a.count, a.slot_ms as u32))).collect();
-        match mine {
-            true => self.add_demand(arrived),
-            false => self.send(planner, Frame::Demand(arrived)),
+        let arrivals: BTreeMap<Name, (u32, u32)> =
+            arrivals.into_iter().map(|(name, a)| (name, (a.count, a.slot_ms as u32))).collect();
+        match is_planner {
+            true => self.add_demand(arrivals),
+            false => self.send(planner, Frame::Demand(arrivals)),
         }
     }
 
-    pub(crate) fn add_demand(&mut self, arrived: BTreeMap<Name, (u32, u32)>) {
+    pub(crate) fn add_demand(&mut self, arrivals: BTreeMap<Name, (u32, u32)>) {
         self.planner.demand.advance(self.now);
-        for (target, (count, work)) in arrived {
-            self.planner.demand.add(&target, count, f64::from(work));
+        for (target, (count, slot_ms)) in arrivals {
+            self.planner.demand.add(&target, count, f64::from(slot_ms));
         }
     }
 
-    /// Whether all runners have been seen, or the time to hear of them has passed.
+    /// Whether the statuses of all runners are known, or the planner has waited long enough for
+    /// them.
     fn can_plan(&self) -> bool {
         let Some(since) = self.planning_since else {
             return false;
         };
-        let all = self.ledgers.keys().all(|name| self.runner_status.contains_key(name));
-        let listened = self.now.since(since) >= PLAN_WARMUP_MS;
-        self.keeper.current().number > 0 && (listened || (all && !self.ledgers.is_empty()))
+        let all_known = self.ledgers.keys().all(|name| self.runner_status.contains_key(name));
+        let waited = self.now.since(since) >= PLAN_WARMUP_MS;
+        self.keeper.current().number > 0 && (waited || (all_known && !self.ledgers.is_empty()))
     }
 
     fn plan(&mut self) {
@@ -101,7 +105,7 @@
     }
 
     fn plan_entry(&self, catalog: &Catalog, entry: catalog::Entry) -> Entry {
-        // The newest version carries the demand of its model.
+        // A model's demand counts for its newest version only.
         let target = match entry.id.split_once('@') {
             None => Some(entry.id.clone()),
             Some((model, version)) => catalog
@@ -113,29 +117,29 @@
         };
         let estimate = target.map(|t| self.planner.demand.estimate(&t)).unwrap_or_default();
         let runners = catalog.runners.iter().enumerate();
-        let may = runners.filter(|(_, r)| catalog.allows_placement(&entry.labels, &r.labels));
+        let allowed = runners.filter(|(_, r)| catalog.places(&entry.labels, &r.labels));
         Entry {
             id: entry.id,
             base: entry.base,
             size: entry.size,
             load: estimate.slots,
             rate: estimate.rate,
-            allowed: may.map(|(at, _)| at).collect(),
+            allowed: allowed.map(|(index, _)| index).collect(),
         }
     }
 
     fn plan_runner(&mut self, runner: &catalog::Runner) -> Runner {
-        let seen = self.runner_status.get(&runner.name).cloned().unwrap_or_default();
-        let leaving = is_leaving(&runner.labels) || seen.leaving;
-        let lost = self.is_lost(&runner.name, &seen);
+        let status = self.runner_status.get(&runner.name).cloned().unwrap_or_default();
+        let leaving = is_leaving(&runner.labels) || status.leaving;
+        let lost = self.is_lost(&runner.name, &status);
         let usable = !leaving && !lost;
-        let present = || -> BTreeSet<Name> {
-            let kept = seen.entries.iter().filter(|(_, p)| **p != Phase::Closing);
+        let current = || -> BTreeSet<Name> {
+            let kept = status.entries.iter().filter(|(_, p)| **p != Phase::Closing);
             kept.map(|(name, _)| name.clone()).collect()
         };
         let entries = match self.planner.planned(&runner.name) {
             Some(placed) if usable => placed.clone(),
-            _ => present(),
+            _ => current(),
         };
         Runner {
             name: runner.name.clone(),
@@ -143,14 +147,14 @@
             capacity: runner.capacity.0,
             slots: f64::from(runner.slots),
             usable,
-            reserved: unplanned_bytes(&seen, &entries),
+            reserved: unplanned_bytes(&status, &entries),
             entries,
         }
     }
 
-    /// Whether a runner has been out of reach for long.
-    fn is_lost(&mut self, runner: &Name, seen: &UpstreamStatus) -> bool {
-        if seen.reachable {
+    /// Whether a runner has been unreachable for longer than the grace period.
+    fn is_lost(&mut self, runner: &Name, status: &UpstreamStatus) -> bool {
+        if status.reachable {
             self.lost_since.remove(runner);
             return false;
         }
@@ -158,6 +162,7 @@
         self.now.since(since) >= UNREACHABLE_GRACE_MS
     }
 
+    /// Sends the planned entries of each usable runner to the leader of its group.
     fn send_desired(&mut self, catalog: &Catalog, input: &Input) {
         let sizes: BTreeMap<Name, DesiredEntry> = catalog
             .entries()
@@ -170,39 +175,40 @@
                 continue;
             };
             let pairs = placed.iter().filter_map(|e| Some((e.clone(), sizes.get(e)?.clone())));
-            let wanted: DesiredEntries = pairs.collect();
+            let desired: DesiredEntries = pairs.collect();
             let group = group_of(&runner.name, self.options.groups);
             let Some((_, holder)) = self.group_leaders.get(&group) else {
                 continue;
             };
-            by_host.entry(holder.name.clone()).or_default().insert(runner.name.clone(), wanted);
+            by_host.entry(holder.name.clone()).or_default().insert(runner.name.clone(), desired);
         }
-        for (host, wanted) in by_host {
+        for (host, desired) in by_host {
             match host == self.options.me.name {
-                true => self.set_desired(wanted),
-                false => self.send_desired_to(host, wanted),
+                true => self.set_desired(desired),
+                false => self.send_desired_to(host, desired),
             }
         }
     }
 
-    /// Sends wanted entries when they changed, and now and then in case a frame was lost.
-    fn send_desired_to(&mut self, host: Name, wanted: BTreeMap<Name, DesiredEntries>) {
-        let text = serde_json::to_vec(&wanted).unwrap_or_default();
-        let hash = hash64(&text);
-        let told = self.sent_desired.get(&host).copied();
-        let again = told.is_none_or(|(old, at): (u64, Tick)| {
+    /// Sends desired entries if they have changed, and otherwise at intervals, because frames may be
+    /// lost.
+    fn send_desired_to(&mut self, host: Name, desired: BTreeMap<Name, DesiredEntries>) {
+        let json = serde_json::to_vec(&desired).unwrap_or_default();
+        let hash = hash64(&json);
+        let last_sent = self.sent_desired.get(&host).copied();
+        let due = last_sent.is_none_or(|(old, at): (u64, Tick)| {
             old != hash || self.now.since(at) >= PLAN_WARMUP_MS
         });
-        if again {
+        if due {
             self.sent_desired.insert(host.clone(), (hash, self.now));
-            self.send(&host, Frame::Desired(wanted));
+            self.send(&host, Frame::Desired(desired));
         }
     }
 }
 
-/// Memory that entries outside of the plan may take on a runner. What the plan itself waits for
-/// is counted as an entry already.
-fn unplanned_bytes(seen: &UpstreamStatus, placed: &BTreeSet<Name>) -> u64 {
-    let waits = placed.iter().any(|name| !seen.entries.contains_key(name));
-    if waits { 0 } else { seen.reserved }
+/// Memory on a runner that entries outside the plan may take. While planned entries are not on the
+/// runner yet, its reserved memory may be theirs, which the plan already counts.
+fn unplanned_bytes(status: &UpstreamStatus, placed: &BTreeSet<Name>) -> u64 {
+    let is_pending = placed.iter().any(|name| !status.entries.contains_key(name));
+    if is_pending { 0 } else { status.reserved }
 }
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of callers at this entry host.
+//! Requests of callers on this entry host: claiming once-only ids, routing, reporting outcomes.
 
 use crate::{Action, Arrival, Core, Frame, RefusalReason, Refused};
 use std::sync::Arc;
@@ -8,26 +8,26 @@
 };
 use vanetally_types::{HostId, Tick, Verdict};
 
-/// A once-only request at this entry host.
+/// A once-only request on this entry host.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     id: Id,
     request: Request,
-    /// Whether the holder granted it; then it is the router's.
+    /// Whether the slot's holder granted it and it was passed to the router.
     pub granted: bool,
-    asked: Tick,
+    claimed_at: Tick,
     tries: u32,
 }
 
-/// After this long without a reply the holder is asked again, in milliseconds.
+/// Time without a reply after which a claim is sent again.
 const CLAIM_RETRY_MS: u64 = 1_000;
-/// How often an attempt is passed from host to host before it is refused.
+/// Maximum number of hosts that a claim is sent to in turn before the attempt is refused.
 const MAX_CLAIM_TRIES: u32 = 8;
-/// When to come back after an id could not be decided, in milliseconds.
+/// Retry delay for callers whose id could not be decided.
 const UNDECIDED_RETRY_MS: u64 = 2_000;
-/// Between two tellings of a finished attempt, in milliseconds.
+/// Interval at which an unacknowledged outcome is sent again.
 const OUTCOME_RESEND_MS: u64 = 1_000;
-/// A planned stop waits this long for a holder to confirm them, in milliseconds.
+/// Maximum time that a planned stop waits for an outcome to be acknowledged.
 const STOP_ACK_WAIT_MS: u64 = 5_000;
 
 impl Core {
@@ -36,8 +36,13 @@
             return self.route(arrival.request);
         };
         let number = arrival.request.id;
-        let attempt =
-            Attempt { id, request: arrival.request, granted: false, asked: self.now, tries: 0 };
+        let attempt = Attempt {
+            id,
+            request: arrival.request,
+            granted: false,
+            claimed_at: self.now,
+            tries: 0,
+        };
         self.attempts.insert(number, attempt);
         self.send_claim(number, None);
     }
@@ -58,15 +63,15 @@
         }
     }
 
-    /// The router refuses a request; a granted one is given back to its slot.
+    /// Refuses a request on behalf of the router; reports the outcome of a granted one to its slot.
     fn request_refused(&mut self, id: u64, refusal: Refusal) {
         if let Some(attempt) = self.attempts.remove(&id) {
-            let finish = match refusal.verdict {
+            let outcome = match refusal.verdict {
                 Verdict::NotRun => Outcome::NotRun,
                 Verdict::MayHaveRun => Outcome::Unknown,
                 Verdict::Ran => Outcome::Ran(None),
             };
-            self.report_outcome(attempt.id, id, finish);
+            self.report_outcome(attempt.id, id, outcome);
         }
         let reason = match refusal.reason {
             Reason::DeadlineUnmeetable => RefusalReason::DeadlineUnmeetable,
@@ -74,8 +79,8 @@
             Reason::NoUpstream => RefusalReason::NoUpstream,
             Reason::UpstreamFailed => RefusalReason::UpstreamFailed,
         };
-        let retry = (refusal.verdict == Verdict::NotRun).then_some(refusal.retry_after_ms);
-        self.refuse(id, reason, refusal.verdict, retry);
+        let retry_after_ms = (refusal.verdict == Verdict::NotRun).then_some(refusal.retry_after_ms);
+        self.refuse(id, reason, refusal.verdict, retry_after_ms);
     }
 
     fn refuse(
@@ -92,31 +97,31 @@
         Ticket { entry: self.options.me.clone(), number }
     }
 
-    /// Asks the slot's holder, or `at` if that is given, whether the request may run.
-    fn send_claim(&mut self, number: u64, at: Option<HostId>) {
+    /// Sends a claim for the request's id to the slot's holder, or to `to` if that is given.
+    fn send_claim(&mut self, number: u64, to: Option<HostId>) {
         let Some(attempt) = self.attempts.get_mut(&number) else {
             return;
         };
-        attempt.asked = self.now;
+        attempt.claimed_at = self.now;
         attempt.tries += 1;
         let (id, deadline, tries) = (attempt.id, attempt.request.deadline, attempt.tries);
         let slot = slot_of(id, self.options.slots);
-        let holder = at.or_else(|| self.slot_holders.get(&slot).map(|h| h.1.clone()));
-        let ask = ClaimRequest { id, deadline: deadline.0, ticket: self.ticket(number) };
-        let serves = |h: &HostId| self.members.is_reachable(self.now, h);
+        let holder = to.or_else(|| self.slot_holders.get(&slot).map(|h| h.1.clone()));
+        let claim = ClaimRequest { id, deadline: deadline.0, ticket: self.ticket(number) };
+        let is_reachable = |h: &HostId| self.members.is_reachable(self.now, h);
         match holder {
             _ if tries > MAX_CLAIM_TRIES => self.abandon(number),
-            // Waiting for a successor would hold the answer back; the caller may come again.
-            Some(holder) if !serves(&holder) => self.abandon(number),
+            // The caller may retry; waiting here for a new holder would delay the answer.
+            Some(holder) if !is_reachable(&holder) => self.abandon(number),
             Some(holder) if holder != self.options.me => {
-                self.send(&holder.name, Frame::Claim(ask));
+                self.send(&holder.name, Frame::Claim(claim));
             }
-            Some(_) => self.handle_claim(ask),
+            Some(_) => self.handle_claim(claim),
             None => {}
         }
     }
 
-    /// No holder decides: the caller gets a final answer and the holder hears that this attempt
+    /// Refuses a request whose id no holder decided, and reports to the holder that this attempt
     /// will not run.
     fn abandon(&mut self, number: u64) {
         let Some(attempt) = self.attempts.remove(&number) else {
@@ -138,6 +143,7 @@
             return;
         }
         let Some(attempt) = self.attempts.get_mut(&number) else {
+            // The grant is for an attempt that has already ended on this host.
             if reply == Reply::Grant && !self.unacked_outcomes.contains_key(&ticket) {
                 self.report_outcome(id, number, Outcome::NotRun);
             }
@@ -162,8 +168,13 @@
             Reply::MayHaveRun => {
                 self.decline(number, RefusalReason::IdUncertain, Verdict::MayHaveRun, None);
             }
-            Reply::RetryAfter(millis) => {
-                self.decline(number, RefusalReason::IdUndecided, Verdict::MayHaveRun, Some(millis));
+            Reply::RetryAfter(delay_ms) => {
+                self.decline(
+                    number,
+                    RefusalReason::IdUndecided,
+                    Verdict::MayHaveRun,
+                    Some(delay_ms),
+                );
             }
             Reply::NotHolder(Some(holder)) if holder != from => {
                 self.send_claim(number, Some(holder))
@@ -183,30 +194,29 @@
         self.refuse(number, reason, verdict, retry_after_ms);
     }
 
-    /// Tells the slot's holder how an attempt ended, until it has heard.
-    fn report_outcome(&mut self, id: Id, number: u64, finish: Outcome) {
+    /// Sends an attempt's outcome to the slot's holder until that acknowledges it.
+    fn report_outcome(&mut self, id: Id, number: u64, outcome: Outcome) {
         let ticket = self.ticket(number);
         let until = self.now + self.options.horizon_ms;
-        self.unacked_outcomes.insert(ticket.clone(), (id, finish, self.now, until));
+        self.unacked_outcomes.insert(ticket.clone(), (id, outcome, self.now, until));
         self.send_outcome(&ticket);
     }
 
     fn send_outcome(&mut self, ticket: &Ticket) {
-        let Some((id, finish, told, _)) = self.unacked_outcomes.get_mut(ticket) else {
+        let Some((id, outcome, sent_at, _)) = self.unacked_outcomes.get_mut(ticket) else {
             return;
         };
-        *told = self.now;
-        let (id, finish) = (*id, finish.clone());
+        *sent_at = self.now;
+        let (id, outcome) = (*id, outcome.clone());
         let slot = slot_of(id, self.options.slots);
         let Some((_, holder)) = self.slot_holders.get(&slot).cloned() else {
             return;
         };
         if holder != self.options.me {
             let ticket = ticket.clone();
-            return self.send(&holder.name, Frame::Finished { id, ticket, outcome: finish });
+            return self.send(&holder.name, Frame::Finished { id, ticket, outcome });
         }
-        let event =
-            vanetally_claim::Event::Finished { id, ticket: ticket.clone(), outcome: finish };
+        let event = vanetally_claim::Event::Finished { id, ticket: ticket.clone(), outcome };
         self.unacked_outcomes.remove(ticket);
         self.slot_event(slot, event);
     }
@@ -215,48 +225,49 @@
         &mut self,
         id: u64,
         end: AttemptEnd,
-        sent: bool,
+        response_started: bool,
         answer: Option<Arc<Answer>>,
     ) {
         let granted = self.attempts.get(&id).is_some_and(|a| a.granted);
-        let over = matches!(end, AttemptEnd::Completed | AttemptEnd::CallerGone) || sent;
-        let actions =
-            self.router.handle(self.now, RouteEvent::Ended { id, end, response_started: sent });
+        let is_final =
+            matches!(end, AttemptEnd::Completed | AttemptEnd::CallerGone) || response_started;
+        let actions = self.router.handle(self.now, RouteEvent::Ended { id, end, response_started });
         self.run_route_actions(actions);
-        if !over {
+        if !is_final {
             return;
         }
         let Some(attempt) = self.attempts.remove(&id) else {
             return;
         };
-        let finish = match (granted, end) {
+        let outcome = match (granted, end) {
             (true, AttemptEnd::Completed) => Outcome::Ran(answer),
             (true, _) => Outcome::Unknown,
             (false, _) => Outcome::NotRun,
         };
-        self.report_outcome(attempt.id, id, finish);
+        self.report_outcome(attempt.id, id, outcome);
     }
 
     pub(crate) fn tick_requests(&mut self) {
         let actions = self.router.handle(self.now, RouteEvent::Tick);
         self.run_route_actions(actions);
-        let (now, mut again, mut late) = (self.now, Vec::new(), Vec::new());
+        let (now, mut overdue, mut expired) = (self.now, Vec::new(), Vec::new());
         for (number, attempt) in &self.attempts {
             if attempt.granted {
                 continue;
             }
             if now >= attempt.request.deadline {
-                late.push(*number);
-            } else if now.since(attempt.asked) >= CLAIM_RETRY_MS {
-                again.push(*number);
+                expired.push(*number);
+            } else if now.since(attempt.claimed_at) >= CLAIM_RETRY_MS {
+                overdue.push(*number);
             }
         }
-        late.into_iter().for_each(|number| self.abandon(number));
-        again.into_iter().for_each(|number| self.retry_claim(number));
+        expired.into_iter().for_each(|number| self.abandon(number));
+        overdue.into_iter().for_each(|number| self.retry_claim(number));
         self.resend_outcomes();
     }
 
-    /// A holder may let an attempt wait for another one, as long as the holder is known.
+    /// Sends a claim again. A known holder may keep an attempt waiting for another one, so the tries
+    /// start anew.
     fn retry_claim(&mut self, number: u64) {
         let Some(attempt) = self.attempts.get_mut(&number) else { return };
         let slot = slot_of(attempt.id, self.options.slots);
@@ -266,10 +277,10 @@
         self.send_claim(number, None);
     }
 
-    /// Whether an attempt's end is unconfirmed and worth delaying a planned stop for.
+    /// Whether an outcome is unacknowledged and recent enough to delay a planned stop.
     pub(crate) fn has_recent_unacked(&self) -> bool {
-        let mut ends = self.unacked_outcomes.values();
-        ends.any(|(_, _, _, until)| {
+        let mut outcomes = self.unacked_outcomes.values();
+        outcomes.any(|(_, _, _, until)| {
             self.now.since(*until - self.options.horizon_ms) < STOP_ACK_WAIT_MS
         })
     }
@@ -277,7 +288,7 @@
     fn resend_outcomes(&mut self) {
         let now = self.now;
         self.unacked_outcomes.retain(|_, (_, _, _, until)| now < *until);
-        let due = |told: Tick| now.since(told) >= OUTCOME_RESEND_MS;
+        let due = |sent_at: Tick| now.since(sent_at) >= OUTCOME_RESEND_MS;
         let tickets: Vec<Ticket> = self
             .unacked_outcomes
             .iter()
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,4 +1,4 @@
-//! Upkeep of the slots of once-only ids: who holds which, takeover, hand-over.
+//! Slots of once-only ids: holders, takeover and handover.
 
 use crate::{Core, EpochHolder, Frame, Key, StoredValue};
 use vanetally_claim::{
@@ -7,13 +7,13 @@
 };
 use vanetally_types::{HostId, Name, hash64, rendezvous_rank};
 
-/// Between two looks at entry hosts and earlier holders, in milliseconds.
+/// Interval of liveness checks of entry hosts and earlier holders.
 const LIVENESS_CHECK_INTERVAL_MS: u64 = 500;
-/// Between two reads of a slot's record by one host, in milliseconds.
+/// Minimum interval between two reads of a slot's record by one host.
 const SLOT_READ_INTERVAL_MS: u64 = 1_000;
 
 impl Core {
-    /// Lets slot `number` take an event and carries out what it wants.
+    /// Passes an event to slot `number` and carries out the resulting actions.
     pub(crate) fn slot_event(&mut self, number: u16, event: SlotEvent) {
         let Some(slot) = self.slots.get_mut(usize::from(number)) else {
             return;
@@ -21,17 +21,17 @@
         let before = (slot.role(), slot.mode().clone());
         let actions = slot.handle(self.now, event);
         let after = (slot.role(), slot.mode().clone());
-        let head = slot.record().map(|r| (r.epoch, r.holder.clone()));
+        let latest = slot.record().map(|r| (r.epoch, r.holder.clone()));
         if before != after {
             self.log(format!(
                 "event=slot-changed slot={number} role={:?} mode={} epoch={}",
                 after.0,
                 after.1.as_str(),
-                head.as_ref().map_or(0, |h| h.0)
+                latest.as_ref().map_or(0, |h| h.0)
             ));
         }
-        if let Some(head) = head {
-            self.update_slot_holder(number, head);
+        if let Some(latest) = latest {
+            self.update_slot_holder(number, latest);
         }
         for action in actions {
             self.slot_action(number, action);
@@ -50,23 +50,23 @@
                 self.send(&to, Frame::ClaimReply { ticket, id, reply });
             }
             SlotAction::Send { to, message } => self.send(&to.name, Frame::Slot(number, message)),
-            SlotAction::Forward { to, id, ticket, outcome: finish } => {
-                self.send(&to.name, Frame::Finished { id, ticket, outcome: finish });
+            SlotAction::Forward { to, id, ticket, outcome } => {
+                self.send(&to.name, Frame::Finished { id, ticket, outcome });
             }
         }
     }
 
-    /// The highest epoch of a slot that this host knows, with its holder.
-    fn update_slot_holder(&mut self, number: u16, head: EpochHolder) {
-        if self.slot_holders.get(&number).is_none_or(|known| known.0 < head.0) {
-            self.slot_holders.insert(number, head);
+    /// Stores a slot's epoch and holder if the epoch is the highest known.
+    fn update_slot_holder(&mut self, number: u16, latest: EpochHolder) {
+        if self.slot_holders.get(&number).is_none_or(|known| known.0 < latest.0) {
+            self.slot_holders.insert(number, latest);
             self.schedule_tables();
         }
     }
 
-    pub(crate) fn slot_announced(&mut self, number: u16, head: EpochHolder) {
-        let (epoch, holder) = head.clone();
-        self.update_slot_holder(number, head);
+    pub(crate) fn slot_announced(&mut self, number: u16, latest: EpochHolder) {
+        let (epoch, holder) = latest.clone();
+        self.update_slot_holder(number, latest);
         self.slot_event(number, SlotEvent::EpochAnnounced { epoch, holder });
     }
 
@@ -74,25 +74,25 @@
         self.slot_event(number, SlotEvent::Message { from, message });
     }
 
-    pub(crate) fn slots_process_ended(&mut self, host: &HostId) {
+    pub(crate) fn notify_slots_ended(&mut self, host: &HostId) {
         for number in 0..self.options.slots {
             self.slot_event(number, SlotEvent::Ended(host.clone()));
         }
     }
 
-    /// An entry host asks a slot that is perhaps held here.
-    pub(crate) fn handle_claim(&mut self, ask: ClaimRequest) {
-        let number = slot_of(ask.id, self.options.slots);
-        self.slot_event(number, SlotEvent::Request(ask));
+    /// Handles a claim of an entry host; the slot rejects it if this host is not the holder.
+    pub(crate) fn handle_claim(&mut self, claim: ClaimRequest) {
+        let number = slot_of(claim.id, self.options.slots);
+        self.slot_event(number, SlotEvent::Request(claim));
     }
 
-    pub(crate) fn handle_outcome(&mut self, id: Id, ticket: Ticket, finish: Outcome) {
+    pub(crate) fn handle_outcome(&mut self, id: Id, ticket: Ticket, outcome: Outcome) {
         let number = slot_of(id, self.options.slots);
-        let held = self.slots[usize::from(number)].role() == Role::Holder;
-        if held {
+        let is_holder = self.slots[usize::from(number)].role() == Role::Holder;
+        if is_holder {
             self.send(&ticket.entry.name.clone(), Frame::FinishAck(ticket.clone()));
         }
-        self.slot_event(number, SlotEvent::Finished { id, ticket, outcome: finish });
+        self.slot_event(number, SlotEvent::Finished { id, ticket, outcome });
     }
 
     pub(crate) fn slot_read(&mut self, number: u16, value: Option<Option<StoredValue>>) {
@@ -119,29 +119,29 @@
         self.slot_event(number, event);
     }
 
-    /// The living hosts for a slot, most preferred first.
+    /// The eligible hosts in the slot's order of preference.
     fn ranked_hosts(&self, number: u16) -> Vec<Name> {
-        let alive = self.members.eligible_hosts(self.now);
+        let eligible = self.members.eligible_hosts(self.now);
         let key = hash64(format!("slot/{number}").as_bytes());
-        rendezvous_rank(key, &alive).into_iter().cloned().collect()
+        rendezvous_rank(key, &eligible).into_iter().cloned().collect()
     }
 
-    /// The process that should succeed this host in a slot.
+    /// The process that should take over a slot from this host.
     fn successor(&self, number: u16) -> Option<HostId> {
         let ranked = self.ranked_hosts(number);
         let others = ranked.iter().filter(|n| **n != self.options.me.name);
         others.filter_map(|n| self.members.current_process(n)).next()
     }
 
-    /// Whether this host should take the slot now: its holder does not serve, and this host is
-    /// its deputy or, without one, the most preferred.
+    /// Whether this host should take over the slot now: the holder is unreachable, and this host is
+    /// the backup or, if there is no eligible backup, ranks first.
     fn should_take_over(&self, number: u16, absent: bool) -> bool {
         let slot = &self.slots[usize::from(number)];
         if slot.role() != Role::Other || self.stopping {
             return false;
         }
-        let head = self.slot_holders.get(&number);
-        if !absent && head.is_some_and(|h| self.members.is_reachable(self.now, &h.1)) {
+        let latest = self.slot_holders.get(&number);
+        if !absent && latest.is_some_and(|h| self.members.is_reachable(self.now, &h.1)) {
             return false;
         }
         let record = slot.record();
@@ -169,39 +169,43 @@
         }
     }
 
-    /// Reads the record of a slot that seems to have no holder.
+    /// Reads the record of a slot without a reachable holder.
     fn check_slot_holder(&mut self, number: u16) {
-        let head = self.slot_holders.get(&number);
-        let served = head.is_some_and(|h| self.members.is_reachable(self.now, &h.1));
-        let mine = head.is_some_and(|h| h.1 == self.options.me);
-        let last = self.last_reads.get(&number).copied().unwrap_or(self.started);
-        if (served && !mine) || self.stopping || self.now.since(last) < SLOT_READ_INTERVAL_MS {
+        let latest = self.slot_holders.get(&number);
+        let is_reachable = latest.is_some_and(|h| self.members.is_reachable(self.now, &h.1));
+        let held_here = latest.is_some_and(|h| h.1 == self.options.me);
+        let last_read = self.last_reads.get(&number).copied().unwrap_or(self.started);
+        if (is_reachable && !held_here)
+            || self.stopping
+            || self.now.since(last_read) < SLOT_READ_INTERVAL_MS
+        {
             return;
         }
-        let unread = self.slots[usize::from(number)].record().is_none();
-        if unread || mine || self.should_take_over(number, head.is_none()) {
+        let is_unread = self.slots[usize::from(number)].record().is_none();
+        if is_unread || held_here || self.should_take_over(number, latest.is_none()) {
             self.last_reads.insert(number, self.now);
             self.takeover_reads.insert(number);
             self.get(Key::Slot(number));
         }
     }
 
-    /// Sees to the deputy of a slot held here, or hands the slot over.
+    /// Replaces an ineligible backup of a slot held here, or hands the slot over before a stop.
     fn maintain_slot(&mut self, number: u16) {
         let slot = &self.slots[usize::from(number)];
         let successor = self.successor(number);
         if self.stopping {
             if let Some(to) = successor {
                 let ranked = self.ranked_hosts(number);
-                let second = ranked.iter().filter(|n| **n != to.name);
-                let backup = second.filter_map(|n| self.members.current_process(n)).next();
+                let others = ranked.iter().filter(|n| **n != to.name);
+                let backup = others.filter_map(|n| self.members.current_process(n)).next();
                 self.slot_event(number, SlotEvent::Release { to, backup: backup });
             }
             return;
         }
         let backup = slot.record().and_then(|r| r.backup.clone());
-        let sound = backup.as_ref().is_some_and(|d| self.members.is_process_eligible(self.now, d));
-        if !sound && successor.is_some() {
+        let is_eligible =
+            backup.as_ref().is_some_and(|d| self.members.is_process_eligible(self.now, d));
+        if !is_eligible && successor.is_some() {
             self.slot_event(number, SlotEvent::SetBackup(successor));
         }
         if self.now >= self.next_liveness_check {
@@ -210,18 +214,18 @@
         }
     }
 
-    /// Ends doubts about holders that operators state to be destroyed.
+    /// Resolves earlier holders that have ended or that operators declared destroyed.
     fn resolve_ended_holders(&mut self, number: u16) {
         let slot = &self.slots[usize::from(number)];
-        let doubts: Vec<HostId> = slot.unresolved_holders().cloned().collect();
-        for host in doubts {
+        let holders: Vec<HostId> = slot.unresolved_holders().cloned().collect();
+        for host in holders {
             if self.is_declared_gone(&host) || self.members.has_ended(&host) {
                 self.slot_event(number, SlotEvent::Ended(host));
             }
         }
     }
 
-    /// Attempts of entry hosts that are silent count as unknown.
+    /// Marks the attempts of unreachable entry hosts as unknown.
     fn check_entry_hosts(&mut self, number: u16) {
         let entries: Vec<HostId> = self.slots[usize::from(number)].running_entries();
         for host in entries {
--- a/crates/core/tests/decoders.rs
+++ b/crates/core/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Whatever bytes arrive, decoders answer without a panic, and what is sent is read again.
+//! Decoders never panic on arbitrary input, and encoded values decode to equal ones.
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use vanetally_claim::{ClaimRequest, Id, Record as SlotRecord, Ticket};
@@ -11,7 +11,7 @@
 
 fn encode(frame: &Frame) -> Vec<u8> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(frame, &mut bytes).expect("frames can be written");
+    ciborium::into_writer(frame, &mut bytes).expect("encode the frame");
     bytes
 }
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn frames_return() {
+fn frame_round_trip() {
     for frame in frames() {
         assert_eq!(decode::<Frame>(&encode(&frame)), Some(frame));
     }
@@ -42,18 +42,18 @@
 
 #[test]
 fn deep_nesting() {
-    // Lists within lists must not exhaust the stack.
+    // Guards against stack exhaustion by deeply nested lists.
     assert_eq!(decode::<Frame>(&vec![0x81; 1_000_000]), None);
 }
 
-/// The same cases every time, so that the verdict is the same.
-fn fixed() -> ProptestConfig {
+/// A fixed seed, so that every run tests the same inputs.
+fn fixed_seed() -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(1);
     ProptestConfig { rng_seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(fixed_seed())]
 
     #[test]
     fn random_frames(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
@@ -61,12 +61,12 @@
     }
 
     #[test]
-    fn damaged_frames(which in 0..6_usize, at in any::<prop::sample::Index>(), byte: u8) {
-        let mut bytes = encode(&frames()[which]);
-        let at = at.index(bytes.len());
-        bytes[at] = byte;
+    fn corrupted_frames(frame in 0..6_usize, at in any::<prop::sample::Index>(), byte: u8) {
+        let mut bytes = encode(&frames()[frame]);
+        let offset = at.index(bytes.len());
+        bytes[offset] = byte;
         let _ = decode::<Frame>(&bytes);
-        bytes.truncate(at);
+        bytes.truncate(offset);
         let _ = decode::<Frame>(&bytes);
     }
 
@@ -82,14 +82,14 @@
     }
 
     #[test]
-    fn random_words(text in "\\PC{0,60}") {
+    fn random_scalars(text in "\\PC{0,60}") {
         let _ = text.parse::<Selector>();
         let _ = text.parse::<Millis>();
         let _ = text.parse::<Size>();
     }
 
     #[test]
-    fn units_return(value in 0..u64::MAX / 2) {
+    fn unit_round_trip(value in 0..u64::MAX / 2) {
         prop_assert_eq!(Size(value).to_string().parse(), Ok(Size(value)));
         prop_assert_eq!(Millis(value).to_string().parse(), Ok(Millis(value)));
     }
