--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -80,8 +80,8 @@
 
     /// Requests the revision of `from`, unless one was requested within the last interval.
     pub(crate) fn request_config(&mut self, from: &HostId) {
-        if self.now.since(self.config_requested) >= CONFIG_REQUEST_INTERVAL_MS {
-            self.config_requested = self.now;
+        if self.now.since(self.config_requested_at) >= CONFIG_REQUEST_INTERVAL_MS {
+            self.config_requested_at = self.now;
             self.send(&from.name, Frame::PullConfig);
         }
     }
--- a/crates/core/src/dump.rs
+++ b/crates/core/src/dump.rs
@@ -32,10 +32,11 @@
     fn dump_hosts(&self) -> Value {
         let row = |peer: &vanetally_member::Peer| {
             json!({
-                "name": peer.listed.name, "domain": peer.listed.domain, "peer": peer.listed.link_addr,
+                "name": peer.listed.name, "domain": peer.listed.domain,
+                "peer": peer.listed.link_addr,
                 "incarnation": peer.incarnation, "listed": peer.is_listed,
                 "leaving": peer.leaving || peer.listed.leaving,
-                "silent_ms": peer.last_seen.map(|h| self.now.since(h)),
+                "silent_ms": peer.last_seen.map(|at| self.now.since(at)),
                 "alive": self.members.is_host_eligible(self.now, &peer.listed.name),
             })
         };
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -104,8 +104,8 @@
             Frame::PullConfig => self.send_config(&from),
             Frame::Config(revision) => self.offer_revision(revision, Source::Peer),
             Frame::RunnerStatus { runner, status } => self.apply_status(runner, status),
-            Frame::Demand(arrived) => self.add_demand(arrived),
-            Frame::Desired(wanted) => self.set_desired(wanted),
+            Frame::Demand(arrivals) => self.add_demand(arrivals),
+            Frame::Desired(desired) => self.set_desired(desired),
             Frame::Claim(claim) => self.handle_claim(claim),
             Frame::ClaimReply { ticket, id, reply } => self.claim_replied(from, ticket, id, reply),
             Frame::Finished { id, ticket, outcome } => self.handle_outcome(id, ticket, outcome),
@@ -116,6 +116,7 @@
         }
     }
 
+    /// Records a ping, and sends or requests what differs: configuration, tables, runner statuses.
     fn handle_ping(
         &mut self,
         from: HostId,
@@ -150,17 +151,19 @@
         self.gossip.statuses_sent.retain(|h| h.name != host.name || h == host);
         let polled: Vec<Name> = self.probes.keys().cloned().collect();
         for runner in polled {
-            if let Some(seen) = self.runner_status.get(&runner).cloned() {
-                self.send(&host.name, Frame::RunnerStatus { runner, status: seen });
+            if let Some(status) = self.runner_status.get(&runner).cloned() {
+                self.send(&host.name, Frame::RunnerStatus { runner, status });
             }
         }
     }
 
+    /// Notifies slots and ledgers that a process has ended.
     fn process_ended(&mut self, ended: &HostId) {
         self.notify_slots_ended(ended);
         self.notify_ledgers_ended(ended);
     }
 
+    /// Merges a peer's tables; slots and groups beyond this host's numbers are ignored.
     fn merge_tables(
         &mut self,
         slots: BTreeMap<u16, EpochHolder>,
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -174,13 +174,13 @@
             true => holder.map(|h| h.name),
             false => self.preferred_leader(number),
         };
-        let last_claim = self.last_claims.get(&number).copied().unwrap_or(self.started);
+        let last_claim = self.last_group_claims.get(&number).copied().unwrap_or(self.started);
         let due = self.now.since(last_claim) >= LEADER_CLAIM_INTERVAL_MS;
         if self.stopping {
             self.group_event(number, GroupEvent::Release);
         } else if (!is_eligible || leads) && poller.as_ref() == Some(&me) && due {
-            self.last_claims.insert(number, self.now);
-            self.group_event(number, GroupEvent::Claim { holder_serves: is_eligible && !leads });
+            self.last_group_claims.insert(number, self.now);
+            self.group_event(number, GroupEvent::Claim { leader_eligible: is_eligible && !leads });
         }
         for runner in self.runners_of(number) {
             self.ledger_event(&runner, LedgerEvent::Tick);
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -174,7 +174,7 @@
         let latest = self.slot_holders.get(&number);
         let is_reachable = latest.is_some_and(|h| self.members.is_reachable(self.now, &h.1));
         let held_here = latest.is_some_and(|h| h.1 == self.options.me);
-        let last_read = self.last_reads.get(&number).copied().unwrap_or(self.started);
+        let last_read = self.last_slot_reads.get(&number).copied().unwrap_or(self.started);
         if (is_reachable && !held_here)
             || self.stopping
             || self.now.since(last_read) < SLOT_READ_INTERVAL_MS
@@ -183,7 +183,7 @@
         }
         let is_unread = self.slots[usize::from(number)].record().is_none();
         if is_unread || held_here || self.should_take_over(number, latest.is_none()) {
-            self.last_reads.insert(number, self.now);
+            self.last_slot_reads.insert(number, self.now);
             self.takeover_reads.insert(number);
             self.get(Key::Slot(number));
         }
--- a/crates/core/tests/pauses.rs
+++ b/crates/core/tests/pauses.rs
@@ -8,8 +8,8 @@
 const SUSPECT_MS: u64 = 3_000;
 
 fn listed(name: &str) -> ListedHost {
-    let peer = "10.0.0.1:1".into();
-    ListedHost { name: name.into(), link_addr: peer, domain: "a".into(), leaving: false }
+    let link_addr = "10.0.0.1:1".into();
+    ListedHost { name: name.into(), link_addr, domain: "a".into(), leaving: false }
 }
 
 fn ping(core: &mut Core, now: Tick) {
--- a/crates/ledger/src/event.rs
+++ b/crates/ledger/src/event.rs
@@ -1,26 +1,26 @@
-//! What a ledger is told, what it wants done, and the types of both.
+//! Events and actions of a ledger, and the types that they use.
 
 use crate::{Epoch, Order, Record, Refusal, Report};
 use std::collections::BTreeMap;
 use vanetally_types::{Bytes, HostId, Name, Tick};
 
-/// What the catalog says of the runner.
+/// The catalog's properties of a runner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RunnerSpec {
     /// Memory for entries.
     pub capacity: Bytes,
-    /// Whether the runner checks epoch and sequence of orders.
+    /// Whether the runner checks epoch and sequence number of orders.
     pub fenced: bool,
-    /// The operator's bound on the life of an order once sent, in milliseconds.
+    /// The operator's bound on the time in which a sent order can still arrive.
     pub order_ttl_ms: Option<u64>,
-    /// Between telling routers that an entry closes and unloading it, in milliseconds.
+    /// Delay between closing an entry for routers and unloading it.
     pub drain_ms: u64,
 }
 
-/// What the plan wants on the runner.
+/// The entries that the plan places on a runner.
 pub type DesiredEntries = BTreeMap<Name, DesiredEntry>;
 
-/// An entry that the plan wants.
+/// An entry that the plan places on a runner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct DesiredEntry {
     /// Memory that it takes.
@@ -29,34 +29,33 @@
     pub base: Option<Name>,
 }
 
-/// What happens to a ledger.
+/// An input of a ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// This process became the runner's steward. `record` is the runner's written record, read
-    /// after that; runners that check orders have none.
+    /// This process became the runner's leader.
     LeadershipAcquired {
-        /// The stewardship's number.
+        /// The term of the leadership.
         term: u64,
-        /// The record as read.
+        /// The runner's record, read afterwards; runners that check orders have none.
         record: Option<Record>,
     },
-    /// The stewardship ended or is in doubt.
+    /// The leadership ended or can't be confirmed.
     LeadershipLost,
-    /// The runner accepted the fence and told its state.
+    /// The runner accepted a fence and reported its state.
     Fenced {
-        /// The epoch it accepted.
+        /// The accepted epoch.
         epoch: Epoch,
         /// Its state.
         report: Report,
     },
-    /// A fence or an order was refused for a higher epoch at the runner.
+    /// The runner refused a fence or an order because of its epoch.
     StaleEpoch {
         /// The epoch that the fence or the order carried.
         sent: Epoch,
         /// The runner's epoch.
         current: Epoch,
     },
-    /// The answer to a fence was lost.
+    /// A fence got no answer.
     FenceUnanswered {
         /// The epoch that the fence carried.
         epoch: Epoch,
@@ -68,66 +67,67 @@
         /// The runner's state.
         report: Report,
     },
-    /// What the plan wants from now on.
+    /// The plan's entries from now on.
     Desired(DesiredEntries),
-    /// The record with this sequence is written.
+    /// The record was written.
     Written {
-        /// Its sequence.
+        /// Its sequence number.
         seq: u64,
     },
-    /// It is unknown whether the record was written: the platform is out or its answer lost.
+    /// It is unknown whether the record was written: the platform did not answer.
     WriteUnconfirmed,
-    /// The record has been changed by somebody; here it is.
+    /// The write was rejected because the record had changed; this is the current one.
     WriteConflict(Option<Record>),
-    /// The runner answered an order: done, or refused.
+    /// The runner carried out or refused an order.
     Answered {
-        /// The order's sequence.
+        /// The order's sequence number.
         seq: u64,
         /// Whether it was carried out.
         result: Result<(), Refusal>,
         /// The runner's state after it.
         report: Report,
     },
-    /// The answer to an order was lost: it may have been carried out, or still will be.
+    /// An order got no answer: it may have been carried out, or may be later.
     OrderUnanswered {
-        /// The order's sequence.
+        /// The order's sequence number.
         seq: u64,
     },
-    /// It is proved that this process has ended.
+    /// This process has provably ended.
     Ended(HostId),
     /// Time passes.
     Tick,
 }
 
-/// What the driver is to do.
+/// An output of a ledger, for the driver to carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Raise the runner's epoch; answer with `Fenced`, `StaleEpoch` or `FenceUnanswered`.
+    /// Raise the runner's epoch; followed by `Fenced`, `StaleEpoch` or `FenceUnanswered`.
     Fence(Epoch),
-    /// Write the record by compare-and-swap on the version last seen.
+    /// Write the record by compare-and-swap on the last known version.
     Write(Record),
-    /// Send the order, once only; answer with `Answered`, `StaleEpoch` or `OrderUnanswered`.
+    /// Send the order at most once; followed by `Answered`, `StaleEpoch` or `OrderUnanswered`.
     Send(Order),
-    /// The stewardship needs a number above this one.
+    /// Renew the leadership under a term above this one.
     RaiseTerm(u64),
-    /// The record belongs to another stewardship: give this one up.
+    /// Another leader owns the record: give up the leadership.
     StepDown,
 }
 
-/// Guards that the model check switches off one at a time to see that it notices.
+/// Safety rules of a ledger. The model checker disables them one at a time to verify that it finds
+/// the resulting fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// Orders go out only when held memory plus the new entry fits.
+    /// A load is ordered only if the new entry fits beside the held memory.
     pub capacity: bool,
-    /// A lost answer to a fenced order is settled by a new fence.
+    /// An unanswered order to a fenced runner is followed by a new fence.
     pub refence: bool,
-    /// Reports asked for before the last answer are ignored.
+    /// Reports of polls sent before the last answer are ignored.
     pub report_order: bool,
-    /// Intents are written before orders are sent.
+    /// An intent is written before its order is sent.
     pub intent: bool,
-    /// An open intent holds its memory until it is settled.
+    /// An open intent counts as held memory until it is settled.
     pub hold_open: bool,
-    /// An intent is settled only once its sender is known to send no more.
+    /// An intent is settled only once its issuer can't send the order any more.
     pub issuer_quiet: bool,
 }
 
@@ -143,14 +143,14 @@
     };
 }
 
-/// How far the stewardship of a runner has come.
+/// State of the leadership of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LeaderState {
-    /// Somebody else's.
+    /// Another host leads the runner, or none does.
     Idle,
-    /// Waiting for the fence or the first write.
+    /// Waiting for the fence or the first write of the record.
     Opening,
-    /// May give orders.
+    /// Orders may be sent.
     Open,
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,21 +1,21 @@
-//! What is and may be resident on one runner, and the orders that change it.
+//! The entries that are or may become resident on one runner, and the orders that change them.
 //!
-//! [`Ledger`] is held by the runner's steward. It never lets resident, loading, not confirmed
-//! unloaded and possibly arriving entries exceed the runner's memory, whatever orders or answers
-//! are lost or late. It has no clock and no sockets: [`Ledger::handle`] takes an event and
-//! returns actions.
+//! The runner's leader keeps a [`Ledger`]. It ensures that entries which are resident, loading, not
+//! yet confirmed as unloaded or possibly still to be loaded never exceed the runner's memory, even
+//! if orders or answers are lost or late. It has no clock and no sockets: [`Ledger::handle`] takes
+//! an event and returns actions.
 #![deny(missing_docs, unsafe_code)]
 
-mod choose;
+mod epoch;
 mod event;
-mod fenced;
-mod intent;
 mod machine;
+mod next_action;
+mod record;
+mod record_writes;
 mod report;
-mod write;
 
+pub use epoch::Epoch;
 pub use event::{Action, DesiredEntries, DesiredEntry, Event, Guards, LeaderState, RunnerSpec};
-pub use fenced::Epoch;
-pub use intent::{Intent, Record};
 pub use machine::Ledger;
+pub use record::{Intent, Record};
 pub use report::{HeldEntry, Op, Order, Phase, Refusal, Report};
--- a/crates/ledger/src/report.rs
+++ b/crates/ledger/src/report.rs
@@ -1,54 +1,55 @@
-//! What runners say of themselves and what they are told.
+//! Reports of runners and orders to them.
 
 use crate::Epoch;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use vanetally_types::{Bytes, Name};
 
-/// Where an entry stands on a runner. Each phase takes the entry's memory.
+/// The phase of an entry on a runner. The entry takes its memory in each phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// Weights are coming from the weight store.
+    /// Its weights are being loaded from the weight store.
     Loading,
-    /// Ready for requests.
+    /// It is ready for requests.
     Resident,
-    /// Being removed; its memory is not free yet.
+    /// It is being removed; its memory is not free yet.
     Unloading,
 }
 
-/// An entry on a runner, as the runner reports it.
+/// An entry that takes memory on a runner, as the runner reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
 pub struct HeldEntry {
-    /// Where it stands.
+    /// Its phase.
     pub phase: Phase,
     /// Memory that it takes.
     pub bytes: Bytes,
-    /// Requests that use it now.
+    /// Number of requests that use it.
     pub in_flight: u32,
-    /// The entry that it needs beside it.
+    /// The entry that must be resident beside it.
     #[serde(default)]
     pub base: Option<Name>,
 }
 
-/// A runner's own state. For a runner that checks orders it is the truth after a fence.
+/// A runner's state as it reports it. For a runner that checks orders it is authoritative after a
+/// fence.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
 pub struct Report {
-    /// Grows with each start of the runner.
+    /// Increases with each start of the runner.
     pub incarnation: u64,
     /// The epoch that the runner accepts orders under; 0 before the first fence.
     pub epoch: u64,
-    /// The last order carried out under that epoch.
+    /// Sequence number of the last order carried out under that epoch.
     pub seq: u64,
-    /// What takes memory.
+    /// Entries that take memory.
     pub entries: BTreeMap<Name, HeldEntry>,
 }
 
-/// What an order does.
+/// The operation of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
 #[serde(tag = "op", rename_all = "kebab-case")]
 pub enum Op {
-    /// Bring an entry into memory.
+    /// Loads an entry into memory.
     Load {
         /// The entry.
         entry: Name,
@@ -57,7 +58,7 @@
         /// The entry that must be resident beside it.
         base: Option<Name>,
     },
-    /// Remove an entry if no request uses it.
+    /// Unloads an entry if no request uses it.
     Unload {
         /// The entry.
         entry: Name,
@@ -81,28 +82,28 @@
     }
 }
 
-/// An order with its fence.
+/// An order with its fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
 pub struct Order {
-    /// The epoch that it is given under.
+    /// The epoch under which it was issued.
     pub epoch: Epoch,
-    /// Grows with each order of an epoch.
+    /// Increases with each order of an epoch.
     pub seq: u64,
-    /// What to do.
+    /// The operation.
     #[serde(flatten)]
     pub op: Op,
 }
 
-/// Why a runner did not carry out an order. It certainly did nothing.
+/// Why a runner refused an order. A refused order had no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
-    /// The epoch or the sequence is not the one that it accepts.
+    /// The runner does not accept the epoch or the sequence number.
     Stale,
     /// Requests use the entry, or another entry needs it.
     Busy,
-    /// The base is missing, or there is nothing to unload.
+    /// The base is missing, or the entry to unload is not resident.
     Missing,
-    /// The weight store takes no further load now.
+    /// The weight store accepts no further load at present.
     Store,
 }
--- a/crates/member/src/group.rs
+++ b/crates/member/src/group.rs
@@ -1,30 +1,30 @@
-//! The stewardship of a group of runners.
+//! Leadership of a group of runners.
 //!
-//! A record in the platform's service names the steward and grows by a term with each change.
-//! Two hosts may believe at once that they are the steward; what they order is decided by the
-//! runner's fence or by the compare-and-swap on the runner's record, never by this record alone.
+//! A record in the platform's service names the leader; each change of it increments the term.
+//! Two hosts may consider themselves leader at the same time, so this record alone authorises no
+//! order: the runner's fence or the compare-and-swap on the runner's record does.
 
 use serde::{Deserialize, Serialize};
 use vanetally_types::{HostId, Name, hash64};
 
-/// The group of a runner among `groups`.
+/// Returns the group of a runner among `groups` groups.
 pub fn group_of(runner: &Name, groups: u16) -> u16 {
-    let spread = hash64(runner.as_bytes()) % u64::from(groups.max(1));
-    spread as u16
+    let group = hash64(runner.as_bytes()) % u64::from(groups.max(1));
+    group as u16
 }
 
-/// A stewardship as written.
+/// The leadership record of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Grows with each change.
+    /// Increases with each change of the record.
     pub term: u64,
-    /// The steward.
+    /// The leader.
     pub holder: HostId,
-    /// Whether the steward has handed it back.
+    /// Whether the leader has released the leadership.
     pub released: bool,
 }
 
-/// A record with the version that the platform gave it.
+/// A record and the version that the platform assigned to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct VersionedRecord {
     /// The platform's version.
@@ -33,139 +33,139 @@
     pub record: Record,
 }
 
-/// What happens to a stewardship.
+/// An input of a group's leadership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// This host should take it unless the recorded holder is among the living.
+    /// This host should become leader unless the known leader is eligible.
     Claim {
-        /// Whether the recorded holder, if any, is known to serve.
-        holder_serves: bool,
+        /// Whether the known leader, if any, is eligible.
+        leader_eligible: bool,
     },
-    /// The record as read.
+    /// The record as read; `None` if there is none.
     Read(Option<VersionedRecord>),
-    /// The last write took effect.
+    /// The last write took effect and has this version.
     Written {
         /// The platform's version.
         version: u64,
     },
-    /// It is unknown whether the last write took effect.
+    /// A read failed, or it is unknown whether the last write took effect.
     WriteUnconfirmed,
-    /// The last write did not take effect; this is the record.
+    /// The last write was rejected because the record had changed; this is the current one.
     WriteConflict(Option<VersionedRecord>),
-    /// A runner or a peer knows a term at least this high.
+    /// A runner or a peer reported this term.
     TermAnnounced {
         /// The term.
         term: u64,
-        /// Its holder, where known.
+        /// Its leader, if known.
         holder: Option<HostId>,
     },
-    /// Hand it back for a planned stop.
+    /// Release the leadership before a planned stop.
     Release,
 }
 
-/// What the driver is to do.
+/// An output of a group's leadership, for the driver to carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Read the record.
     Read,
-    /// Write by compare-and-swap on `base`; 0 means that there must be none.
+    /// Write the record by compare-and-swap.
     Write {
-        /// The version to replace.
+        /// The version to replace; 0 if there must be no record.
         base: u64,
         /// The record.
         record: Record,
     },
-    /// This host is the steward under this term.
+    /// This host became leader under this term.
     LeadershipAcquired(u64),
-    /// This host is not the steward any more.
+    /// This host is no longer the leader.
     LeadershipLost,
 }
 
-/// Whether this host is the steward.
+/// This host's role in a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Another host is, or none.
+    /// Another host is the leader, or none is.
     Other,
-    /// This host is writing itself in.
+    /// This host is writing itself into the record.
     Taking,
-    /// This host is.
+    /// This host is the leader.
     Holder,
 }
 
-/// One group's stewardship as one host sees it.
+/// The state of a group's leadership on one host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct GroupLeadership {
     me: HostId,
     role: Role,
     stored: Option<VersionedRecord>,
-    writing: Option<Record>,
+    pending_write: Option<Record>,
     reading: bool,
-    /// The highest term known anywhere.
-    highest: u64,
-    /// The holder of the highest term known from peers.
+    /// The highest known term.
+    highest_term: u64,
+    /// The leader under the highest known term, if known.
     holder: Option<HostId>,
 }
 
 impl GroupLeadership {
-    /// A stewardship of which nothing is known yet.
+    /// Creates the state of a group whose record has not been read.
     pub fn new(me: HostId) -> Self {
         Self {
             me,
             role: Role::Other,
             stored: None,
-            writing: None,
+            pending_write: None,
             reading: false,
-            highest: 0,
+            highest_term: 0,
             holder: None,
         }
     }
 
-    /// Whether this host is the steward.
+    /// This host's role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The highest term known and its holder.
+    /// The highest known term and its leader.
     pub fn known_leader(&self) -> (u64, Option<&HostId>) {
-        (self.highest, self.holder.as_ref())
+        (self.highest_term, self.holder.as_ref())
     }
 
-    /// Takes an event and says what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         match event {
-            Event::Claim { holder_serves } => self.claim(holder_serves, &mut out),
+            Event::Claim { leader_eligible } => self.claim(leader_eligible, &mut out),
             Event::Read(stored) => self.read(stored, &mut out),
-            Event::Written { version } => self.wrote(version, &mut out),
-            Event::WriteUnconfirmed => self.write_lost(&mut out),
-            Event::WriteConflict(stored) => self.write_refused(stored, &mut out),
-            Event::TermAnnounced { term, holder } => self.heard(term, holder, &mut out),
+            Event::Written { version } => self.written(version, &mut out),
+            Event::WriteUnconfirmed => self.write_unconfirmed(&mut out),
+            Event::WriteConflict(stored) => self.write_conflict(stored, &mut out),
+            Event::TermAnnounced { term, holder } => self.term_announced(term, holder, &mut out),
             Event::Release => self.release(&mut out),
         }
         out
     }
 
-    fn claim(&mut self, holder_serves: bool, out: &mut Vec<Action>) {
-        let idle = self.writing.is_none() && !self.reading;
-        let wanted = self.role == Role::Other && !(holder_serves && self.holder.is_some());
-        if idle && wanted {
+    fn claim(&mut self, leader_eligible: bool, out: &mut Vec<Action>) {
+        let idle = self.pending_write.is_none() && !self.reading;
+        let is_vacant = self.role == Role::Other && !(leader_eligible && self.holder.is_some());
+        if idle && is_vacant {
             self.reading = true;
             out.push(Action::Read);
         }
     }
 
     fn read(&mut self, stored: Option<VersionedRecord>, out: &mut Vec<Action>) {
-        if !std::mem::take(&mut self.reading) || self.writing.is_some() {
+        if !std::mem::take(&mut self.reading) || self.pending_write.is_some() {
             return;
         }
         self.stored = stored;
         if let Some(stored) = &self.stored {
-            let newer = stored.record.term > self.highest;
+            let is_newer = stored.record.term > self.highest_term;
             let record = stored.record.clone();
-            self.highest = self.highest.max(record.term);
-            if newer && !record.released && record.holder != self.me {
-                // Somebody took it since: look again before taking it from them.
+            self.highest_term = self.highest_term.max(record.term);
+            if is_newer && !record.released && record.holder != self.me {
+                // Another host became leader meanwhile: leave it until the next claim.
                 self.holder = Some(record.holder);
                 return;
             }
@@ -173,35 +173,35 @@
         self.write(false, out);
     }
 
-    /// The platform is out: a read failed, or a write that may have taken effect.
-    fn write_lost(&mut self, out: &mut Vec<Action>) {
+    /// The platform did not answer: a read failed, or a write may have taken effect.
+    fn write_unconfirmed(&mut self, out: &mut Vec<Action>) {
         self.reading = false;
-        if self.writing.take().is_some() {
-            self.drop(out);
+        if self.pending_write.take().is_some() {
+            self.step_down(out);
         }
     }
 
     fn write(&mut self, released: bool, out: &mut Vec<Action>) {
         let base = self.stored.as_ref().map_or(0, |s| s.version);
-        let record = Record { term: self.highest + 1, holder: self.me.clone(), released };
-        self.highest = record.term;
-        self.writing = Some(record.clone());
+        let record = Record { term: self.highest_term + 1, holder: self.me.clone(), released };
+        self.highest_term = record.term;
+        self.pending_write = Some(record.clone());
         if !released {
             self.role = Role::Taking;
         }
         out.push(Action::Write { base, record });
     }
 
-    fn wrote(&mut self, version: u64, out: &mut Vec<Action>) {
-        let Some(record) = self.writing.take() else {
+    fn written(&mut self, version: u64, out: &mut Vec<Action>) {
+        let Some(record) = self.pending_write.take() else {
             return;
         };
         let stored = VersionedRecord { version, record };
-        self.settle(stored, out);
+        self.confirm(stored, out);
     }
 
-    /// This host's own record stands.
-    fn settle(&mut self, stored: VersionedRecord, out: &mut Vec<Action>) {
+    /// Handles the confirmation that the stored record is this host's.
+    fn confirm(&mut self, stored: VersionedRecord, out: &mut Vec<Action>) {
         let record = stored.record.clone();
         self.stored = Some(stored);
         if record.released {
@@ -213,52 +213,54 @@
         out.push(Action::LeadershipAcquired(record.term));
     }
 
-    fn write_refused(&mut self, stored: Option<VersionedRecord>, out: &mut Vec<Action>) {
-        let Some(wrote) = self.writing.take() else {
+    fn write_conflict(&mut self, stored: Option<VersionedRecord>, out: &mut Vec<Action>) {
+        let Some(written) = self.pending_write.take() else {
             return;
         };
         match stored {
-            Some(new) if new.record == wrote => return self.settle(new, out),
-            Some(new) => {
-                self.highest = self.highest.max(new.record.term);
-                self.holder = Some(new.record.holder.clone());
-                self.stored = Some(new);
+            Some(current) if current.record == written => return self.confirm(current, out),
+            Some(current) => {
+                self.highest_term = self.highest_term.max(current.record.term);
+                self.holder = Some(current.record.holder.clone());
+                self.stored = Some(current);
             }
             None => self.stored = None,
         }
-        self.drop(out);
+        self.step_down(out);
     }
 
-    fn drop(&mut self, out: &mut Vec<Action>) {
-        let held = self.role != Role::Other;
+    fn step_down(&mut self, out: &mut Vec<Action>) {
+        let was_leader = self.role != Role::Other;
         self.role = Role::Other;
-        if held {
+        if was_leader {
             out.push(Action::LeadershipLost);
         }
     }
 
-    fn heard(&mut self, term: u64, holder: Option<HostId>, out: &mut Vec<Action>) {
-        if term <= self.highest && !(term == self.highest && self.holder.is_none()) {
+    fn term_announced(&mut self, term: u64, holder: Option<HostId>, out: &mut Vec<Action>) {
+        if term <= self.highest_term && !(term == self.highest_term && self.holder.is_none()) {
             return;
         }
-        self.highest = self.highest.max(term);
+        self.highest_term = self.highest_term.max(term);
         match holder {
             Some(holder) if holder == self.me => {}
             Some(holder) => {
                 self.holder = Some(holder);
-                if self.writing.is_none() {
-                    self.drop(out);
+                if self.pending_write.is_none() {
+                    self.step_down(out);
                 }
             }
-            // A runner knows a higher term: take the stewardship anew above it.
-            None if self.role == Role::Holder && self.writing.is_none() => self.write(false, out),
+            // A runner has a higher term: renew the leadership under a term above it.
+            None if self.role == Role::Holder && self.pending_write.is_none() => {
+                self.write(false, out)
+            }
             None => {}
         }
     }
 
     fn release(&mut self, out: &mut Vec<Action>) {
-        if self.role == Role::Holder && self.writing.is_none() {
-            self.drop(out);
+        if self.role == Role::Holder && self.pending_write.is_none() {
+            self.step_down(out);
             self.write(true, out);
         }
     }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,5 +1,5 @@
-//! Who is there: hosts and their incarnations, evidence of their end, and stewardships of runner
-//! groups. State machines without I/O.
+//! Membership: hosts and their incarnations, proof that a process has ended, and the leadership of
+//! groups of runners. State machines without I/O.
 #![deny(missing_docs, unsafe_code)]
 
 mod group;
--- a/crates/member/src/members.rs
+++ b/crates/member/src/members.rs
@@ -1,7 +1,7 @@
-//! The hosts as this one sees them.
+//! The hosts known to this one.
 //!
-//! Two sources: the platform's list, which lags, and what hosts say over links. Only a later
-//! incarnation of the same host proves that a process has ended; silence never does.
+//! They are known from two sources: the platform's list, which lags, and pings over links. Only a
+//! later incarnation of the same host proves that a process has ended; silence never does.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -10,48 +10,48 @@
 /// A host in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ListedHost {
-    /// Its name.
+    /// Host name.
     pub name: Name,
-    /// Where its links are accepted, `IP:PORT`.
+    /// Address on which it accepts links, `IP:PORT`.
     #[serde(rename = "peer")]
     pub link_addr: Name,
-    /// Its failure domain.
+    /// Failure domain.
     pub domain: Name,
-    /// Whether the platform is taking it away.
+    /// Whether the platform is about to remove it.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What is known of another host.
+/// Known state of another host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Peer {
-    /// As listed; kept after the list drops the host.
+    /// Its entry in the platform's list; kept after the host was removed from the list.
     pub listed: ListedHost,
-    /// Whether the platform's list has it now.
+    /// Whether the platform's latest list contains it.
     pub is_listed: bool,
-    /// The highest incarnation that spoke.
+    /// The highest incarnation that sent a ping.
     pub incarnation: Option<u64>,
-    /// When it last spoke.
+    /// When its last ping arrived.
     pub last_seen: Option<Tick>,
-    /// When this host first knew of it.
+    /// When this host first learned of it, or last restarted its timeout.
     pub known_since: Tick,
-    /// Whether it said that it is leaving.
+    /// Whether its last ping stated that it is leaving.
     pub leaving: bool,
 }
 
-/// All hosts that this one knows.
+/// All hosts known to this one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Members {
     me: HostId,
-    suspect: u64,
+    suspect_ms: u64,
     leaving: bool,
     peers: BTreeMap<Name, Peer>,
 }
 
 impl Members {
-    /// Only this host is known; a peer silent for `suspect` milliseconds is suspected.
-    pub fn new(me: HostId, suspect: u64) -> Self {
-        Self { me, suspect, leaving: false, peers: BTreeMap::new() }
+    /// Creates an empty membership; a peer silent for `suspect_ms` is suspected to have failed.
+    pub fn new(me: HostId, suspect_ms: u64) -> Self {
+        Self { me, suspect_ms, leaving: false, peers: BTreeMap::new() }
     }
 
     /// This process.
@@ -59,7 +59,7 @@
         &self.me
     }
 
-    /// States that this host is leaving.
+    /// Marks this host as leaving.
     pub fn set_leaving(&mut self) {
         self.leaving = true;
     }
@@ -69,8 +69,8 @@
         self.peers.values()
     }
 
-    /// This process was paused: that peers have not been heard says nothing of them. They get the
-    /// time to speak again before they are suspected.
+    /// Restarts the timeouts of all peers after this process was paused: it may have missed their
+    /// pings, so their silence is no sign of failure.
     pub fn reset_timeouts(&mut self, now: Tick) {
         for peer in self.peers.values_mut() {
             peer.known_since = now;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Takes the platform's list.
+    /// Applies the platform's list. Unlisted hosts are forgotten after a long silence.
     pub fn update_list(&mut self, now: Tick, list: Vec<ListedHost>) {
         for peer in self.peers.values_mut() {
             peer.is_listed = false;
@@ -98,13 +98,13 @@
             peer.is_listed = true;
             peer.listed = host;
         }
-        let suspect = self.suspect;
+        let suspect_ms = self.suspect_ms;
         self.peers.retain(|_, p| {
-            p.is_listed || p.last_seen.is_some_and(|h| now.since(h) < 100 * suspect)
+            p.is_listed || p.last_seen.is_some_and(|at| now.since(at) < 100 * suspect_ms)
         });
     }
 
-    /// A host spoke. Returns the earlier incarnation that this proves to have ended.
+    /// Records a ping. Returns the earlier incarnation that it proves to have ended.
     pub fn record_ping(&mut self, now: Tick, host: ListedHost, incarnation: u64) -> Option<HostId> {
         if host.name == self.me.name {
             return None;
@@ -118,18 +118,18 @@
             known_since: now,
             leaving: false,
         });
-        if peer.incarnation.is_some_and(|old| old > incarnation) {
+        if peer.incarnation.is_some_and(|known| known > incarnation) {
             return None;
         }
-        let ended = peer.incarnation.filter(|old| *old < incarnation);
+        let ended = peer.incarnation.filter(|previous| *previous < incarnation);
         peer.incarnation = Some(incarnation);
         peer.last_seen = Some(now);
         peer.leaving = host.leaving;
-        ended.map(|old| HostId::new(name, old))
+        ended.map(|previous| HostId::new(name, previous))
     }
 
-    /// Whether the host may be given duties: it speaks, or has not had the time to, and is not
-    /// leaving.
+    /// Whether the host may hold slots and groups: it is not silent, or not known for long enough to
+    /// be suspected, and it is not leaving.
     pub fn is_host_eligible(&self, now: Tick, name: &str) -> bool {
         if *name == *self.me.name {
             return !self.leaving;
@@ -141,11 +141,11 @@
         if peer.leaving || (peer.is_listed && peer.listed.leaving) {
             return false;
         }
-        let last = peer.last_seen.unwrap_or(peer.known_since);
-        now.since(last) < self.suspect
+        let last_seen = peer.last_seen.unwrap_or(peer.known_since);
+        now.since(last_seen) < self.suspect_ms
     }
 
-    /// Whether exactly this process may be given duties.
+    /// Whether this process may hold slots and groups and no later one is known on its host.
     pub fn is_process_eligible(&self, now: Tick, host: &HostId) -> bool {
         if *host == self.me {
             return !self.leaving;
@@ -154,19 +154,20 @@
         self.is_host_eligible(now, &host.name) && known.is_none_or(|i| i <= host.incarnation)
     }
 
-    /// Whether exactly this process speaks now, leaving or not.
+    /// Whether this process is not suspected and no later one is known on its host; it may be
+    /// leaving.
     pub fn is_reachable(&self, now: Tick, host: &HostId) -> bool {
         if *host == self.me {
             return true;
         }
         self.peers.get(&host.name).is_some_and(|p| {
-            let last = p.last_seen.unwrap_or(p.known_since);
-            let known = p.incarnation.is_none_or(|i| i <= host.incarnation);
-            known && now.since(last) < self.suspect
+            let last_seen = p.last_seen.unwrap_or(p.known_since);
+            let is_latest = p.incarnation.is_none_or(|i| i <= host.incarnation);
+            is_latest && now.since(last_seen) < self.suspect_ms
         })
     }
 
-    /// The hosts that may be given duties, this one included.
+    /// Sorted names of the hosts that may hold slots and groups, this one included.
     pub fn eligible_hosts(&self, now: Tick) -> Vec<Name> {
         let others = self.peers.values().filter(|p| self.peer_eligible(now, p));
         let mut names: Vec<Name> = others.map(|p| p.listed.name.clone()).collect();
@@ -177,7 +178,7 @@
         names
     }
 
-    /// The process that runs on the host `name` now, once it has spoken.
+    /// The latest known process on the host `name`; `None` before its first ping.
     pub fn current_process(&self, name: &str) -> Option<HostId> {
         if *name == *self.me.name {
             return Some(self.me.clone());
@@ -186,8 +187,8 @@
         Some(HostId::new(peer.listed.name.clone(), peer.incarnation?))
     }
 
-    /// Whether the process is proved to have ended by a later one on the same host.
+    /// Whether a later process on the same host proves that this one has ended.
     pub fn has_ended(&self, host: &HostId) -> bool {
-        self.current_process(&host.name).is_some_and(|now| host.is_superseded_by(&now))
+        self.current_process(&host.name).is_some_and(|current| host.is_superseded_by(&current))
     }
 }
