--- a/crates/ledger/src/machine.rs
+++ b/crates/ledger/src/machine.rs
@@ -265,8 +265,8 @@
         self.report = Some(report);
     }
 
-    /// Settles quiesced intents that a restart of the runner has made void: their connections led to
-    /// an earlier incarnation.
+    /// Records the runner's incarnation for quiesced intents, and settles those that precede a
+    /// restart of the runner.
     fn observe_incarnation(&mut self, polled_at: Tick, incarnation: u64) {
         let open_intents = &mut self.open_intents;
         self.quiesced.retain(|seq, intent| match intent.incarnation {
--- a/crates/member/src/group.rs
+++ b/crates/member/src/group.rs
@@ -133,29 +133,31 @@
 
     /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         match event {
-            Event::Claim { leader_eligible } => self.claim(leader_eligible, &mut out),
-            Event::Read(stored) => self.read(stored, &mut out),
-            Event::Written { version } => self.written(version, &mut out),
-            Event::WriteUnconfirmed => self.write_unconfirmed(&mut out),
-            Event::WriteConflict(stored) => self.write_conflict(stored, &mut out),
-            Event::TermAnnounced { term, holder } => self.term_announced(term, holder, &mut out),
-            Event::Release => self.release(&mut out),
+            Event::Claim { leader_eligible } => self.claim(leader_eligible, &mut actions),
+            Event::Read(stored) => self.read(stored, &mut actions),
+            Event::Written { version } => self.written(version, &mut actions),
+            Event::WriteUnconfirmed => self.write_unconfirmed(&mut actions),
+            Event::WriteConflict(stored) => self.write_conflict(stored, &mut actions),
+            Event::TermAnnounced { term, holder } => {
+                self.term_announced(term, holder, &mut actions)
+            }
+            Event::Release => self.release(&mut actions),
         }
-        out
+        actions
     }
 
-    fn claim(&mut self, leader_eligible: bool, out: &mut Vec<Action>) {
+    fn claim(&mut self, leader_eligible: bool, actions: &mut Vec<Action>) {
         let idle = self.pending_write.is_none() && !self.reading;
         let is_vacant = self.role == Role::Other && !(leader_eligible && self.holder.is_some());
         if idle && is_vacant {
             self.reading = true;
-            out.push(Action::Read);
+            actions.push(Action::Read);
         }
     }
 
-    fn read(&mut self, stored: Option<VersionedRecord>, out: &mut Vec<Action>) {
+    fn read(&mut self, stored: Option<VersionedRecord>, actions: &mut Vec<Action>) {
         if !std::mem::take(&mut self.reading) || self.pending_write.is_some() {
             return;
         }
@@ -170,18 +172,18 @@
                 return;
             }
         }
-        self.write(false, out);
+        self.write(false, actions);
     }
 
     /// The platform did not answer: a read failed, or a write may have taken effect.
-    fn write_unconfirmed(&mut self, out: &mut Vec<Action>) {
+    fn write_unconfirmed(&mut self, actions: &mut Vec<Action>) {
         self.reading = false;
         if self.pending_write.take().is_some() {
-            self.step_down(out);
+            self.step_down(actions);
         }
     }
 
-    fn write(&mut self, released: bool, out: &mut Vec<Action>) {
+    fn write(&mut self, released: bool, actions: &mut Vec<Action>) {
         let base = self.stored.as_ref().map_or(0, |s| s.version);
         let record = Record { term: self.highest_term + 1, holder: self.me.clone(), released };
         self.highest_term = record.term;
@@ -189,19 +191,19 @@
         if !released {
             self.role = Role::Taking;
         }
-        out.push(Action::Write { base, record });
+        actions.push(Action::Write { base, record });
     }
 
-    fn written(&mut self, version: u64, out: &mut Vec<Action>) {
+    fn written(&mut self, version: u64, actions: &mut Vec<Action>) {
         let Some(record) = self.pending_write.take() else {
             return;
         };
         let stored = VersionedRecord { version, record };
-        self.confirm(stored, out);
+        self.confirm(stored, actions);
     }
 
     /// Handles the confirmation that the stored record is this host's.
-    fn confirm(&mut self, stored: VersionedRecord, out: &mut Vec<Action>) {
+    fn confirm(&mut self, stored: VersionedRecord, actions: &mut Vec<Action>) {
         let record = stored.record.clone();
         self.stored = Some(stored);
         if record.released {
@@ -210,15 +212,15 @@
         }
         self.holder = Some(self.me.clone());
         self.role = Role::Holder;
-        out.push(Action::LeadershipAcquired(record.term));
+        actions.push(Action::LeadershipAcquired(record.term));
     }
 
-    fn write_conflict(&mut self, stored: Option<VersionedRecord>, out: &mut Vec<Action>) {
+    fn write_conflict(&mut self, stored: Option<VersionedRecord>, actions: &mut Vec<Action>) {
         let Some(written) = self.pending_write.take() else {
             return;
         };
         match stored {
-            Some(current) if current.record == written => return self.confirm(current, out),
+            Some(current) if current.record == written => return self.confirm(current, actions),
             Some(current) => {
                 self.highest_term = self.highest_term.max(current.record.term);
                 self.holder = Some(current.record.holder.clone());
@@ -226,18 +228,18 @@
             }
             None => self.stored = None,
         }
-        self.step_down(out);
+        self.step_down(actions);
     }
 
-    fn step_down(&mut self, out: &mut Vec<Action>) {
+    fn step_down(&mut self, actions: &mut Vec<Action>) {
         let was_leader = self.role != Role::Other;
         self.role = Role::Other;
         if was_leader {
-            out.push(Action::LeadershipLost);
+            actions.push(Action::LeadershipLost);
         }
     }
 
-    fn term_announced(&mut self, term: u64, holder: Option<HostId>, out: &mut Vec<Action>) {
+    fn term_announced(&mut self, term: u64, holder: Option<HostId>, actions: &mut Vec<Action>) {
         if term <= self.highest_term && !(term == self.highest_term && self.holder.is_none()) {
             return;
         }
@@ -247,21 +249,21 @@
             Some(holder) => {
                 self.holder = Some(holder);
                 if self.pending_write.is_none() {
-                    self.step_down(out);
+                    self.step_down(actions);
                 }
             }
             // A runner has a higher term: renew the leadership under a term above it.
             None if self.role == Role::Holder && self.pending_write.is_none() => {
-                self.write(false, out)
+                self.write(false, actions)
             }
             None => {}
         }
     }
 
-    fn release(&mut self, out: &mut Vec<Action>) {
+    fn release(&mut self, actions: &mut Vec<Action>) {
         if self.role == Role::Holder && self.pending_write.is_none() {
-            self.step_down(out);
-            self.write(true, out);
+            self.step_down(actions);
+            self.write(true, actions);
         }
     }
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,14 +1,14 @@
-//! Which request goes where, and when: admission, queueing, choice of a replica, retries, limits.
+//! Routing of requests to upstreams: admission, queueing, choice of a replica, and retries.
 //!
 //! [`Router`] is a state machine without clock, sockets or random numbers.
 #![deny(missing_docs, unsafe_code)]
 
-mod choose;
 mod index;
 mod queue;
 mod replica;
 mod retry_budget;
 mod router;
+mod selection;
 mod service_time;
 
 pub use replica::{Phase, Replica, Upstream, UpstreamStatus};
--- a/crates/route/src/replica.rs
+++ b/crates/route/src/replica.rs
@@ -1,156 +1,164 @@
-//! Upstreams as the router sees them.
+//! Upstreams and their state on this host.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use vanetally_types::{Name, Tick};
 
-/// What the catalog says of an upstream.
+/// The catalog's properties of an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstream {
-    /// Its name.
+    /// Unique name.
     pub name: Name,
-    /// Base address.
+    /// Base URL.
     pub url: Name,
     /// Failure domain.
     pub domain: Name,
-    /// Requests at full speed at once.
+    /// Number of concurrent requests that it runs at full speed.
     pub slots: u32,
-    /// Whether it is to get no new work.
+    /// Whether it must get no new requests because it is being removed.
     pub leaving: bool,
 }
 
-/// Whether requests may be sent for an entry.
+/// Whether an upstream can take requests for an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// Being loaded: soon.
+    /// The entry is being loaded.
     Loading,
-    /// Yes.
+    /// The entry takes requests.
     Ready,
-    /// No: it is about to be unloaded.
+    /// The entry is about to be unloaded and takes no more requests.
     Closing,
 }
 
-/// What the poller of an upstream saw last; it lags.
+/// The status of an upstream at its last poll.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamStatus {
     /// Entries in its memory.
     pub entries: BTreeMap<Name, Phase>,
-    /// Requests that it runs or has queued.
+    /// Number of requests that it runs or has queued.
     pub running: u32,
-    /// Whether it says that it is leaving.
+    /// Whether it reports that it is leaving.
     pub leaving: bool,
-    /// Whether it answered the last polls.
+    /// Whether it answered recent polls.
     pub reachable: bool,
-    /// Memory, in bytes, that entries outside of `entries` may take.
+    /// Memory in bytes that entries missing from `entries` may take.
     pub reserved: u64,
 }
 
-/// One upstream with this host's own knowledge of it.
+/// One upstream and this host's state of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Replica {
-    /// What the catalog says.
+    /// The catalog's properties.
     pub upstream: Upstream,
-    /// What was last reported.
+    /// The last known status.
     pub status: UpstreamStatus,
-    /// When that report arrived.
+    /// When that status arrived.
     pub status_at: Tick,
-    /// Own requests in flight when that report arrived.
-    own_then: u32,
-    /// Own requests in flight now.
-    pub own: u32,
-    /// Failures in a row.
+    /// Number of this host's requests in flight when that status arrived.
+    own_at_status: u32,
+    /// Number of this host's requests in flight.
+    pub own_in_flight: u32,
+    /// Number of failures in a row.
     failures: u32,
-    /// No requests before this, unless there is no other replica.
-    pub ejected: Tick,
-    /// When it came, for slow start.
-    since: Tick,
-    /// It refused for load: no requests before this.
+    /// No requests are sent before this time, unless no other replica serves the entry.
+    pub ejected_until: Tick,
+    /// Start of slow start: when the replica was declared, or returns from ejection.
+    ramp_start: Tick,
+    /// No requests are sent before this time, because the upstream refused one as overloaded.
     pub busy_until: Tick,
 }
 
-/// A report older than this says nothing of others' requests.
-const REPORT_LIFE: u64 = 5_000;
-/// Failures in a row before ejection.
-const MOST_FAILURES: u32 = 3;
-const EJECT_MILLIS: u64 = 1_000;
-const MOST_EJECT_MILLIS: u64 = 30_000;
-/// Over this span a new or returning replica gets a growing share.
-const SLOW_START: u64 = 3_000;
-/// How far beyond its slots a replica is filled, so that it never runs dry between reports.
-const WINDOW: f64 = 1.25;
+/// Age at which a status no longer counts for the estimate of other hosts' requests.
+const MAX_STATUS_AGE_MS: u64 = 5_000;
+/// Number of failures in a row that ejects a replica.
+const MAX_FAILURES: u32 = 3;
+/// Duration of the first ejection; it doubles with each further failure.
+const EJECTION_MS: u64 = 1_000;
+/// Maximum duration of an ejection.
+const MAX_EJECTION_MS: u64 = 30_000;
+/// Duration over which a new or returning replica gets a growing share of requests.
+const SLOW_START_MS: u64 = 3_000;
+/// Requests sent to a replica relative to its slots. More than 1, so that it has queued requests to
+/// start between two status updates.
+const WINDOW_FACTOR: f64 = 1.25;
 
 impl Replica {
-    /// A replica of which nothing is known yet.
+    /// Creates a replica of unknown status.
     pub fn new(now: Tick, upstream: Upstream) -> Self {
         Self {
             upstream,
             status: UpstreamStatus::default(),
             status_at: Tick::default(),
-            own_then: 0,
-            own: 0,
+            own_at_status: 0,
+            own_in_flight: 0,
             failures: 0,
-            ejected: Tick::default(),
-            since: now,
+            ejected_until: Tick::default(),
+            ramp_start: now,
             busy_until: Tick::default(),
         }
     }
 
-    /// Takes a report.
-    pub fn report(&mut self, now: Tick, status: UpstreamStatus) {
-        self.own_then = self.own;
+    /// Applies a status.
+    pub fn update_status(&mut self, now: Tick, status: UpstreamStatus) {
+        self.own_at_status = self.own_in_flight;
         self.status = status;
         self.status_at = now;
     }
 
-    /// Requests that are probably there: own ones, and others' by the discounted report.
-    pub fn estimate(&self, now: Tick) -> f64 {
-        let others = f64::from(self.status.running.saturating_sub(self.own_then));
-        let age = now.since(self.status_at).min(REPORT_LIFE) as f64;
-        f64::from(self.own) + others * (1.0 - age / REPORT_LIFE as f64)
+    /// Estimated number of requests at the upstream: this host's own, and those of others from the
+    /// last status, discounted by its age.
+    pub fn estimated_load(&self, now: Tick) -> f64 {
+        let others = f64::from(self.status.running.saturating_sub(self.own_at_status));
+        let age_ms = now.since(self.status_at).min(MAX_STATUS_AGE_MS) as f64;
+        f64::from(self.own_in_flight) + others * (1.0 - age_ms / MAX_STATUS_AGE_MS as f64)
     }
 
-    /// Load as a share of its slots, with a penalty while it starts slowly.
+    /// Estimated load relative to its slots, with a penalty during slow start.
     pub fn pressure(&self, now: Tick) -> f64 {
-        let young = SLOW_START.saturating_sub(now.since(self.since)) as f64 / SLOW_START as f64;
-        (self.estimate(now) + young) / f64::from(self.upstream.slots.max(1))
+        let penalty =
+            SLOW_START_MS.saturating_sub(now.since(self.ramp_start)) as f64 / SLOW_START_MS as f64;
+        (self.estimated_load(now) + penalty) / f64::from(self.upstream.slots.max(1))
     }
 
-    /// Whether another request fits the window.
-    pub fn has_room(&self, now: Tick) -> bool {
-        let window = f64::from(self.upstream.slots) * WINDOW;
-        now >= self.busy_until && self.estimate(now) + 1.0 <= window.max(1.0)
+    /// Whether the window allows another request.
+    pub fn has_capacity(&self, now: Tick) -> bool {
+        let window = f64::from(self.upstream.slots) * WINDOW_FACTOR;
+        now >= self.busy_until && self.estimated_load(now) + 1.0 <= window.max(1.0)
     }
 
-    /// Whether new work may be sent at all.
-    pub fn takes_work(&self) -> bool {
+    /// Whether new requests may be sent at all.
+    pub fn accepts_requests(&self) -> bool {
         !self.upstream.leaving && !self.status.leaving
     }
 
-    /// Whether `entry` can be served.
+    /// Whether requests for `entry` may be sent.
     pub fn serves(&self, entry: &Name) -> bool {
-        self.takes_work() && self.status.entries.get(entry) == Some(&Phase::Ready)
+        self.accepts_requests() && self.status.entries.get(entry) == Some(&Phase::Ready)
     }
 
-    /// A request ended well.
+    /// Records a completed request.
     pub fn succeeded(&mut self) {
         self.failures = 0;
     }
 
-    /// A request failed; `dead` if nobody answers at the address.
-    pub fn failed(&mut self, now: Tick, dead: bool) {
+    /// Records a failed request. An unreachable upstream is ejected at the first failure.
+    pub fn failed(&mut self, now: Tick, unreachable: bool) {
         self.failures += 1;
-        let over =
-            if dead { self.failures } else { (self.failures + 1).saturating_sub(MOST_FAILURES) };
-        if over > 0 {
-            let millis = EJECT_MILLIS << (over - 1).min(5);
-            self.ejected = now + millis.min(MOST_EJECT_MILLIS);
-            self.since = self.ejected;
+        let ejections = if unreachable {
+            self.failures
+        } else {
+            (self.failures + 1).saturating_sub(MAX_FAILURES)
+        };
+        if ejections > 0 {
+            let duration_ms = EJECTION_MS << (ejections - 1).min(5);
+            self.ejected_until = now + duration_ms.min(MAX_EJECTION_MS);
+            self.ramp_start = self.ejected_until;
         }
     }
 
-    /// It refused for load, not for a fault.
-    pub fn refused(&mut self, now: Tick, millis: u64) {
-        self.busy_until = now + millis;
+    /// Records a refusal for load; it does not count as a failure.
+    pub fn refused(&mut self, now: Tick, delay_ms: u64) {
+        self.busy_until = now + delay_ms;
     }
 }
--- a/crates/route/src/retry_budget.rs
+++ b/crates/route/src/retry_budget.rs
@@ -1,30 +1,30 @@
-//! The retry budget: retries may be only a small share of requests.
+//! The retry budget, which limits retries to a small share of requests.
 
-/// A bucket that requests fill and retries empty.
+/// A token bucket that requests fill and retries drain.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
     tokens: f64,
 }
 
-/// Retries allowed for each request.
-const SHARE: f64 = 0.05;
+/// Retries earned by each request.
+const RETRY_SHARE: f64 = 0.05;
 
-/// Most retries saved up.
-const MOST: f64 = 10.0;
+/// Maximum number of retries in the bucket.
+const MAX_TOKENS: f64 = 10.0;
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { tokens: MOST }
+        Self { tokens: MAX_TOKENS }
     }
 }
 
 impl RetryBudget {
-    /// A request arrived.
+    /// Adds the share of one request.
     pub fn deposit(&mut self) {
-        self.tokens = (self.tokens + SHARE).min(MOST);
+        self.tokens = (self.tokens + RETRY_SHARE).min(MAX_TOKENS);
     }
 
-    /// Whether a retry is allowed; takes it from the budget.
+    /// Takes one retry from the budget; returns whether it was allowed.
     pub fn withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/crates/route/src/service_time.rs
+++ b/crates/route/src/service_time.rs
@@ -1,30 +1,30 @@
-//! How long requests of a target keep a slot busy, learned from those that ended.
+//! Estimated service time of a target's requests, from those that have ended.
 
-/// Averages over the last requests of one target.
+/// Moving average of the service time of one target's requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceTime {
-    /// Milliseconds of a slot for one request.
+    /// Mean time in milliseconds for which a request occupies a slot.
     pub mean_ms: f64,
-    /// Requests that ended, up to a bound.
+    /// Number of requests in the average, up to `WINDOW`.
     samples: f64,
 }
 
-/// Assumed until the first request has ended.
-const GUESS_MILLIS: f64 = 1_000.0;
+/// Service time assumed until the first request has ended.
+const INITIAL_MS: f64 = 1_000.0;
 
-/// How many requests the average looks back.
+/// Number of requests over which the average moves.
 const WINDOW: f64 = 50.0;
 
 impl Default for ServiceTime {
     fn default() -> Self {
-        Self { mean_ms: GUESS_MILLIS, samples: 0.0 }
+        Self { mean_ms: INITIAL_MS, samples: 0.0 }
     }
 }
 
 impl ServiceTime {
-    /// A request took `millis`.
-    pub fn learn(&mut self, millis: f64) {
+    /// Adds the service time of a request to the average.
+    pub fn record(&mut self, duration_ms: f64) {
         self.samples = (self.samples + 1.0).min(WINDOW);
-        self.mean_ms += (millis - self.mean_ms) / self.samples;
+        self.mean_ms += (duration_ms - self.mean_ms) / self.samples;
     }
 }
--- a/crates/route/tests/verdicts.rs
+++ b/crates/route/tests/verdicts.rs
@@ -1,4 +1,4 @@
-//! What a refused request is told.
+//! Verdicts and reasons of refused requests, and the retry budget.
 
 use vanetally_route::{
     Action, AttemptEnd, Event, Options, Phase, Reason, Request, Router, Upstream, UpstreamStatus,
@@ -54,11 +54,12 @@
 
 #[test]
 fn retried_failure() {
-    // The first attempt may have run; that the second did not says nothing of the first.
+    // The first attempt may have run. That later attempts did not run must not hide this from the
+    // verdict.
     let mut router = router(&["r1", "r2"]);
     router.handle(NOW, Event::Arrive(request(1, false)));
-    let again = ended(&mut router, AttemptEnd::Failed(Verdict::MayHaveRun));
-    assert!(matches!(again[..], [Action::Call { .. }]), "{again:?}");
+    let retry = ended(&mut router, AttemptEnd::Failed(Verdict::MayHaveRun));
+    assert!(matches!(retry[..], [Action::Call { .. }]), "{retry:?}");
     let mut last = ended(&mut router, AttemptEnd::Unreachable);
     while verdict(&last).is_none() {
         assert!(matches!(last[..], [Action::Call { .. }]), "{last:?}");
@@ -73,12 +74,12 @@
     router.handle(NOW, Event::Arrive(request(1, false)));
     ended(&mut router, AttemptEnd::Failed(Verdict::MayHaveRun));
     router.handle(NOW, Event::Ended { id: 1, end: AttemptEnd::Refused, response_started: false });
-    let late = router.handle(NOW + 60_000, Event::Tick);
-    assert_eq!(verdict(&late), Some(Verdict::MayHaveRun));
+    let refused = router.handle(NOW + 60_000, Event::Tick);
+    assert_eq!(verdict(&refused), Some(Verdict::MayHaveRun));
 }
 
 #[test]
-fn once_failure() {
+fn once_only_failure() {
     let mut router = router(&["r1", "r2"]);
     router.handle(NOW, Event::Arrive(request(1, true)));
     let refused = ended(&mut router, AttemptEnd::Failed(Verdict::MayHaveRun));
@@ -86,19 +87,19 @@
 }
 
 #[test]
-fn dead_upstream() {
+fn unreachable_upstream() {
     let mut router = router(&["r1", "r2"]);
     router.handle(NOW, Event::Arrive(request(1, true)));
-    let again = ended(&mut router, AttemptEnd::Unreachable);
-    assert!(matches!(again[..], [Action::Call { .. }]), "not run: another upstream may");
+    let retry = ended(&mut router, AttemptEnd::Unreachable);
+    assert!(matches!(retry[..], [Action::Call { .. }]), "not run, so it is retried elsewhere");
 }
 
 #[test]
-fn nowhere_resident() {
+fn no_upstream() {
     let mut router = router(&[]);
-    let mut soon = request(1, false);
-    soon.deadline = NOW + 2_000;
-    let refused = router.handle(NOW, Event::Arrive(soon));
+    let mut request = request(1, false);
+    request.deadline = NOW + 2_000;
+    let refused = router.handle(NOW, Event::Arrive(request));
     let [Action::Refuse { refusal, .. }] = &refused[..] else { panic!("{refused:?}") };
     assert_eq!((refusal.reason, refusal.verdict), (Reason::NoUpstream, Verdict::NotRun));
     assert!(refusal.retry_after_ms > 0);
@@ -106,7 +107,7 @@
 
 #[test]
 fn retry_budget() {
-    // Everything fails: calls stay within a tenth above the requests, once the savings are spent.
+    // If all calls fail, retries add less than a tenth to the number of requests.
     let mut router = router(&["r1", "r2"]);
     let mut calls = 0_u32;
     let requests = 2_000;
