--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,13 +1,14 @@
-//! A model engine: completions over HTTP with server-sent events, orders, and state.
+//! The model engine: completions over HTTP with server-sent events, load and unload orders, and
+//! its state.
 //!
 //! `POST /v1/completions`, `POST /v1/chat/completions`, `GET /v1/resume/ID?after=N`,
 //! `GET /engine/state`, `POST /engine/fence`, `POST /engine/order`, `POST /restart`,
 //! `POST /fault`, `GET /stats`.
 
 use crate::{
-    fault::{Fate, Switch, lost},
+    fault::{FaultInjector, Outcome, lost_answer},
     memory::Memory,
-    model::{Batcher, Speed, token},
+    model::{Batcher, Speed, token_text},
 };
 use serde_json::{Value, json};
 use std::{
@@ -27,20 +28,20 @@
 };
 use vanetally_types::Name;
 
-/// What an engine is made of.
+/// Options of an engine.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Memory for entries, in bytes.
     pub capacity: u64,
-    /// Whether it checks epoch and sequence of orders.
+    /// Whether it rejects orders with a wrong epoch or an old sequence number.
     pub fenced: bool,
-    /// How fast it is.
+    /// Number of requests that run at full speed at once.
     pub slots: u32,
-    /// Between two tokens of a request that runs alone.
+    /// Time between two tokens while no more requests run than there are slots.
     pub token_interval: Duration,
-    /// Between a load's start and its end, for each gibibyte.
+    /// Load time per gibibyte.
     pub load_per_gib: Duration,
-    /// The weight store, `http://IP:PORT`; none for loads that wait for nobody.
+    /// The weight store, `http://IP:PORT`; without one, loads just take `load_per_gib`.
     pub store_url: Option<String>,
 }
 
@@ -59,47 +60,49 @@
 
 #[derive(Debug, Default)]
 struct Counts {
-    /// Runs by the id of once-only requests.
+    /// Number of runs by idempotency key.
     runs: BTreeMap<String, u64>,
     requests: u64,
     refused: u64,
     cancelled: u64,
     completed: u64,
     resumed: u64,
-    /// Requests that arrived after it said that it is leaving.
+    /// Requests that arrived after the engine announced that it is leaving.
     after_leaving: u64,
+    /// Arrival of the last such request, since the start of the engine.
     last_arrival_ms: u64,
 }
 
-/// A run that can be resumed.
+/// A run whose stream can be resumed.
 #[derive(Clone, Debug)]
-struct Kept {
+struct ResumableRun {
     prompt: String,
     model: String,
     tokens: u64,
 }
 
-/// An engine that listens.
+/// A running engine.
 pub struct Engine {
     options: Options,
     memory: Mutex<Memory>,
     batcher: Batcher,
-    faults: Switch,
+    faults: FaultInjector,
     counts: Mutex<Counts>,
-    kept: Mutex<BTreeMap<String, Kept>>,
-    lagging: Mutex<(Instant, Report)>,
-    caller: Client,
+    /// Resumable runs by request id.
+    resumable: Mutex<BTreeMap<String, ResumableRun>>,
+    /// The report returned while reports lag, with the time at which it was taken.
+    cached_report: Mutex<(Instant, Report)>,
+    client: Client,
     incarnation: AtomicU64,
     started: Instant,
 }
 
-const MOST_BODY: u64 = 8_000_000;
+const MAX_BODY_BYTES: u64 = 8_000_000;
 const DEFAULT_TOKENS: u64 = 16;
-const MOST_TOKENS: u64 = 100_000;
-const PREFILL: Duration = Duration::from_millis(10);
-const LONGEST_LOAD: Duration = Duration::from_secs(600);
-/// Runs kept for resuming.
-const MOST_KEPT: usize = 1_000;
+const MAX_TOKENS: u64 = 100_000;
+const PREFILL_PER_KB: Duration = Duration::from_millis(10);
+const MAX_LOAD_TIME: Duration = Duration::from_secs(600);
+const MAX_RESUMABLE_RUNS: usize = 1_000;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
@@ -117,23 +120,24 @@
         let speed = Speed {
             slots: options.slots,
             token_interval: options.token_interval,
-            prefill: PREFILL,
+            prefill_per_kb: PREFILL_PER_KB,
         };
-        let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?;
-        let incarnation = unix.as_millis() as u64;
-        let caller = Client::new(call::Options {
+        let since_unix_epoch =
+            std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?;
+        let incarnation = since_unix_epoch.as_millis() as u64;
+        let client = Client::new(call::Options {
             connect_timeout: Duration::from_secs(1),
-            idle_timeout: LONGEST_LOAD,
+            idle_timeout: MAX_LOAD_TIME,
         });
         let memory = Memory::new(options.capacity, options.fenced, incarnation);
         let engine = Arc::new(Self {
-            lagging: Mutex::new((Instant::now(), memory.report().clone())),
+            cached_report: Mutex::new((Instant::now(), memory.report().clone())),
             memory: Mutex::new(memory),
             batcher: Batcher::new(speed),
-            faults: Switch::default(),
+            faults: FaultInjector::default(),
             counts: Mutex::default(),
-            kept: Mutex::default(),
-            caller,
+            resumable: Mutex::default(),
+            client,
             incarnation: AtomicU64::new(incarnation),
             started: Instant::now(),
             options,
@@ -148,27 +152,27 @@
     fn serve(engine: &Arc<Self>, mut exchange: Exchange) {
         let path = exchange.path().to_owned();
         let reply = match path.as_str() {
-            "/fault" => engine.faults.set(&mut exchange),
-            "/stats" => engine.stats(),
+            "/fault" => engine.faults.update(&mut exchange),
+            "/stats" => engine.stats_reply(),
             "/restart" => engine.restart(),
-            _ if !engine.faults.pass() => lost(),
-            "/engine/state" => engine.state(200, None),
-            "/engine/fence" => engine.fence(&mut exchange),
-            "/engine/order" => Self::order(engine, &mut exchange),
-            "/v1/completions" | "/v1/chat/completions" => return engine.complete(exchange),
+            _ if !engine.faults.is_up_after_delay() => lost_answer(),
+            "/engine/state" => engine.state_reply(200, None),
+            "/engine/fence" => engine.handle_fence(&mut exchange),
+            "/engine/order" => Self::handle_order(engine, &mut exchange),
+            "/v1/completions" | "/v1/chat/completions" => {
+                return engine.handle_completion(exchange);
+            }
             _ => match path.strip_prefix("/v1/resume/") {
-                Some(id) => return engine.resume(id, exchange),
+                Some(id) => return engine.handle_resume(id, exchange),
                 None => Reply::new(404, "text/plain", "nothing here\n"),
             },
         };
         exchange.answer(reply);
     }
 
-    // Orders.
-
-    fn state(&self, status: u16, refusal: Option<Refusal>) -> Reply {
+    fn state_reply(&self, status: u16, refusal: Option<Refusal>) -> Reply {
         let (running, queued) = self.batcher.counts();
-        let faults = self.faults.now();
+        let faults = self.faults.current();
         let report = self.report(faults.report_lag_ms);
         let mut value = serde_json::to_value(report).unwrap_or_default();
         value["running"] = json!(running);
@@ -178,104 +182,105 @@
         Reply::json(status, &value)
     }
 
-    /// The state, or an older one while reports lag.
-    fn report(&self, lag: u64) -> Report {
+    /// Returns the current report, or one up to `lag_ms` old while reports lag.
+    fn report(&self, lag_ms: u64) -> Report {
         let report = lock(&self.memory).report().clone();
-        if lag == 0 {
+        if lag_ms == 0 {
             return report;
         }
-        let mut lagging = lock(&self.lagging);
-        if lagging.0.elapsed() >= Duration::from_millis(lag) {
-            *lagging = (Instant::now(), report);
+        let mut cached = lock(&self.cached_report);
+        if cached.0.elapsed() >= Duration::from_millis(lag_ms) {
+            *cached = (Instant::now(), report);
         }
-        lagging.1.clone()
+        cached.1.clone()
     }
 
-    fn fence(&self, exchange: &mut Exchange) -> Reply {
-        let body = exchange.body(MOST_BODY).unwrap_or_default();
+    fn handle_fence(&self, exchange: &mut Exchange) -> Reply {
+        let body = exchange.body(MAX_BODY_BYTES).unwrap_or_default();
         let body: Value = serde_json::from_slice(&body).unwrap_or_default();
         let Some(epoch) = body["epoch"].as_u64() else {
             return Reply::new(400, "text/plain", "epoch missing\n");
         };
         let accepted = lock(&self.memory).fence(epoch);
-        self.state(if accepted { 200 } else { 409 }, None)
+        self.state_reply(if accepted { 200 } else { 409 }, None)
     }
 
-    fn order(engine: &Arc<Self>, exchange: &mut Exchange) -> Reply {
-        let body = exchange.body(MOST_BODY).unwrap_or_default();
+    fn handle_order(engine: &Arc<Self>, exchange: &mut Exchange) -> Reply {
+        let body = exchange.body(MAX_BODY_BYTES).unwrap_or_default();
         let Ok(order) = serde_json::from_slice::<Order>(&body) else {
             return Reply::new(400, "text/plain", "no order\n");
         };
-        match engine.faults.fate() {
-            Fate::Lost => return lost(),
-            Fate::Late(millis) => {
+        match engine.faults.next_outcome() {
+            Outcome::RequestLost => return lost_answer(),
+            Outcome::Delayed(delay_ms) => {
                 let engine = engine.clone();
                 thread::spawn(move || {
-                    thread::sleep(Duration::from_millis(millis));
-                    // Nobody waits for what becomes of it.
-                    let _ = Self::carry_out(&engine, &order);
+                    thread::sleep(Duration::from_millis(delay_ms));
+                    // The caller already received a reply, so the result is dropped.
+                    let _ = Self::apply_order(&engine, &order);
                 });
-                return lost();
+                return lost_answer();
             }
-            Fate::AnswerLost => {
-                let _ = Self::carry_out(engine, &order);
-                return lost();
+            Outcome::AnswerLost => {
+                let _ = Self::apply_order(engine, &order);
+                return lost_answer();
             }
-            Fate::Normal => {}
+            Outcome::Normal => {}
         }
-        match Self::carry_out(engine, &order) {
-            Ok(()) => engine.state(202, None),
-            Err(refusal) => engine.state(409, Some(refusal)),
+        match Self::apply_order(engine, &order) {
+            Ok(()) => engine.state_reply(202, None),
+            Err(refusal) => engine.state_reply(409, Some(refusal)),
         }
     }
 
-    fn carry_out(engine: &Arc<Self>, order: &Order) -> Result<(), Refusal> {
-        lock(&engine.memory).order(order.epoch.0, order.seq, &order.op)?;
+    fn apply_order(engine: &Arc<Self>, order: &Order) -> Result<(), Refusal> {
+        lock(&engine.memory).apply_order(order.epoch.0, order.seq, &order.op)?;
         if let Op::Load { entry, bytes, .. } = &order.op {
             let (engine, entry, bytes) = (engine.clone(), entry.clone(), *bytes);
-            thread::spawn(move || engine.fetch(&entry, bytes));
+            thread::spawn(move || engine.load_weights(&entry, bytes));
         }
         Ok(())
     }
 
-    /// Brings an entry's weights from the weight store.
-    fn fetch(&self, entry: &Name, bytes: u64) {
+    /// Loads the weights of an entry, through the weight store if there is one.
+    fn load_weights(&self, entry: &Name, bytes: u64) {
         let incarnation = self.incarnation.load(Ordering::Relaxed);
         let gib = bytes as f64 / f64::from(1 << 30);
-        let span = self.options.load_per_gib.mul_f64(gib);
+        let load_time = self.options.load_per_gib.mul_f64(gib);
         match &self.options.store_url {
-            None => thread::sleep(span),
+            None => thread::sleep(load_time),
             Some(url) => {
                 let call = Call {
                     method: "POST".into(),
-                    url: format!("{url}/load?ms={}", span.as_millis()),
+                    url: format!("{url}/load?ms={}", load_time.as_millis()),
                     headers: Vec::new(),
                     body: Vec::new(),
-                    timeout: LONGEST_LOAD,
+                    timeout: MAX_LOAD_TIME,
                 };
-                if let Err(e) = self.caller.send(&call) {
+                if let Err(e) = self.client.send(&call) {
                     log::warn!("event=load-unaided entry={entry} error=\"{e}\"");
                 }
             }
         }
-        lock(&self.memory).loaded(entry, incarnation);
+        lock(&self.memory).finish_load(entry, incarnation);
     }
 
     fn restart(&self) -> Reply {
-        let next = self.incarnation.fetch_add(1, Ordering::Relaxed) + 1;
-        lock(&self.memory).restart(next);
+        let incarnation = self.incarnation.fetch_add(1, Ordering::Relaxed) + 1;
+        lock(&self.memory).restart(incarnation);
         Reply::new(200, "text/plain", "restarted\n")
     }
 
-    fn stats(&self) -> Reply {
+    fn stats_reply(&self) -> Reply {
         let memory = lock(&self.memory).clone();
         let counts = lock(&self.counts);
         let resident: Vec<&Name> = memory.report().entries.keys().collect();
         Reply::json(
             200,
             &json!({
-                "peak_bytes": memory.peak, "overcommits": memory.overcommits,
-                "capacity": self.options.capacity, "loads": memory.moves.0, "unloads": memory.moves.1,
+                "peak_bytes": memory.peak_bytes, "overcommits": memory.overcommits,
+                "capacity": self.options.capacity,
+                "loads": memory.move_counts.0, "unloads": memory.move_counts.1,
                 "epoch": memory.report().epoch, "resident": resident, "requests": counts.requests,
                 "refused": counts.refused, "completed": counts.completed,
                 "cancelled": counts.cancelled, "resumed": counts.resumed, "runs": counts.runs,
@@ -285,57 +290,55 @@
         )
     }
 
-    // Completions.
-
-    fn complete(&self, mut exchange: Exchange) {
-        let body = exchange.body(MOST_BODY).unwrap_or_default();
+    fn handle_completion(&self, mut exchange: Exchange) {
+        let body = exchange.body(MAX_BODY_BYTES).unwrap_or_default();
         let Ok(body) = serde_json::from_slice::<Value>(&body) else {
-            return exchange.answer(refusal(400, "bad_json"));
+            return exchange.answer(refusal_reply(400, "bad_json"));
         };
         let model = body["model"].as_str().unwrap_or("").to_owned();
         let id = exchange.header("X-Request-Id").unwrap_or("").to_owned();
         let key = exchange.header("Idempotency-Key").map(str::to_owned);
         let priority = exchange.header("X-Priority").and_then(|p| p.parse().ok()).unwrap_or(0);
-        if let Err(reply) = self.accept(&model, key) {
+        if let Err(reply) = self.admit(&model, key) {
             return exchange.answer(reply);
         }
         let prompt = match body.get("messages") {
             Some(messages) => messages.to_string(),
             None => body["prompt"].as_str().unwrap_or("").to_owned(),
         };
-        let asked = body["max_tokens"].as_u64().unwrap_or(DEFAULT_TOKENS);
-        let run = Kept { prompt, model, tokens: asked.clamp(1, MOST_TOKENS) };
-        self.keep(&id, &run);
-        let prefill = self.batcher.enter(priority, &run.prompt);
+        let max_tokens = body["max_tokens"].as_u64().unwrap_or(DEFAULT_TOKENS);
+        let run = ResumableRun { prompt, model, tokens: max_tokens.clamp(1, MAX_TOKENS) };
+        self.remember(&id, &run);
+        let prefill = self.batcher.join(priority, &run.prompt);
         thread::sleep(prefill);
-        let chat = exchange.path().starts_with("/v1/chat");
-        let whole = match body["stream"].as_bool() {
-            Some(true) => self.stream(&run, 0, exchange),
-            _ => self.whole(&run, chat, exchange),
+        let is_chat = exchange.path().starts_with("/v1/chat");
+        let is_complete = match body["stream"].as_bool() {
+            Some(true) => self.send_stream(&run, 0, exchange),
+            _ => self.send_whole(&run, is_chat, exchange),
         };
         self.batcher.leave();
-        lock(&self.memory).leave(&run.model);
+        lock(&self.memory).end_request(&run.model);
         let mut counts = lock(&self.counts);
-        match whole {
+        match is_complete {
             true => counts.completed += 1,
             false => counts.cancelled += 1,
         }
     }
 
-    /// Counts a request in, or says why it does not run.
-    fn accept(&self, model: &str, key: Option<String>) -> Result<(), Reply> {
-        let leaving = self.faults.now().leaving;
+    /// Admits a request, or returns the reply that refuses it.
+    fn admit(&self, model: &str, key: Option<String>) -> Result<(), Reply> {
+        let leaving = self.faults.current().leaving;
         let mut counts = lock(&self.counts);
         counts.requests += 1;
         if leaving {
             counts.after_leaving += 1;
             counts.last_arrival_ms = self.started.elapsed().as_millis() as u64;
             counts.refused += 1;
-            return Err(refusal(503, "leaving"));
+            return Err(refusal_reply(503, "leaving"));
         }
-        if !lock(&self.memory).enter(model) {
+        if !lock(&self.memory).begin_request(model) {
             counts.refused += 1;
-            return Err(refusal(404, "model_not_found"));
+            return Err(refusal_reply(404, "model_not_found"));
         }
         if let Some(key) = key {
             *counts.runs.entry(key).or_insert(0) += 1;
@@ -343,25 +346,27 @@
         Ok(())
     }
 
-    fn keep(&self, id: &str, run: &Kept) {
-        let mut kept = lock(&self.kept);
-        if kept.len() >= MOST_KEPT {
-            kept.pop_first();
+    /// Stores a run for resuming; at the limit it replaces the one with the lowest id.
+    fn remember(&self, id: &str, run: &ResumableRun) {
+        let mut resumable = lock(&self.resumable);
+        if resumable.len() >= MAX_RESUMABLE_RUNS {
+            resumable.pop_first();
         }
-        kept.insert(id.to_owned(), run.clone());
+        resumable.insert(id.to_owned(), run.clone());
     }
 
-    fn whole(&self, run: &Kept, chat: bool, exchange: Exchange) -> bool {
+    /// Generates the tokens and answers with all of them at once; always returns true.
+    fn send_whole(&self, run: &ResumableRun, is_chat: bool, exchange: Exchange) -> bool {
         let mut text = String::new();
         for n in 0..run.tokens {
-            thread::sleep(self.batcher.token());
-            text.push_str(&token(&run.prompt, n));
+            thread::sleep(self.batcher.token_delay());
+            text.push_str(&token_text(&run.prompt, n));
         }
-        if self.faults.fate() == Fate::AnswerLost {
-            exchange.answer(lost());
+        if self.faults.next_outcome() == Outcome::AnswerLost {
+            exchange.answer(lost_answer());
             return true;
         }
-        let choice = match chat {
+        let choice = match is_chat {
             true => json!({"index": 0, "finish_reason": "length",
                 "message": {"role": "assistant", "content": text}}),
             false => json!({"index": 0, "finish_reason": "length", "text": text}),
@@ -369,7 +374,7 @@
         exchange.answer(Reply::json(
             200,
             &json!({
-                "object": if chat { "chat.completion" } else { "text_completion" },
+                "object": if is_chat { "chat.completion" } else { "text_completion" },
                 "model": run.model, "choices": [choice],
                 "usage": {"completion_tokens": run.tokens},
             }),
@@ -377,20 +382,21 @@
         true
     }
 
-    /// Sends tokens from the `after`th on as events; false if the caller went or the stream broke.
-    fn stream(&self, run: &Kept, after: u64, exchange: Exchange) -> bool {
-        let head = [("Content-Type".to_owned(), "text/event-stream".to_owned())];
-        let Ok(mut stream) = exchange.stream(200, &head) else {
+    /// Streams the tokens from the `after`th on as events; returns false if the caller disconnected
+    /// or the stream broke.
+    fn send_stream(&self, run: &ResumableRun, after: u64, exchange: Exchange) -> bool {
+        let headers = [("Content-Type".to_owned(), "text/event-stream".to_owned())];
+        let Ok(mut stream) = exchange.stream(200, &headers) else {
             return false;
         };
-        let break_after = self.faults.now().break_after;
+        let break_after = self.faults.current().break_after;
         for n in after..run.tokens {
             if break_after > 0 && n == break_after && after == 0 {
                 stream.abort();
                 return false;
             }
-            thread::sleep(self.batcher.token());
-            let piece = token(&run.prompt, n);
+            thread::sleep(self.batcher.token_delay());
+            let piece = token_text(&run.prompt, n);
             let event = json!({"object": "chat.completion.chunk", "model": run.model, "choices": [
                 {"index": 0, "delta": {"content": piece}, "text": piece}]});
             if stream.send(format!("data: {event}\n\n").as_bytes()).is_err() {
@@ -400,22 +406,22 @@
         stream.send(b"data: [DONE]\n\n").is_ok() && stream.finish().is_ok()
     }
 
-    fn resume(&self, id: &str, exchange: Exchange) {
+    fn handle_resume(&self, id: &str, exchange: Exchange) {
         let after = exchange.query("after").and_then(|v| v.parse().ok()).unwrap_or(0);
-        let run = lock(&self.kept).get(id).cloned();
-        let allowed = !self.faults.now().no_resume;
-        match run.filter(|_| allowed) {
-            None => exchange.answer(refusal(404, "unknown_request")),
+        let run = lock(&self.resumable).get(id).cloned();
+        let can_resume = !self.faults.current().no_resume;
+        match run.filter(|_| can_resume) {
+            None => exchange.answer(refusal_reply(404, "unknown_request")),
             Some(run) => {
                 lock(&self.counts).resumed += 1;
                 let after = std::cmp::max(after, 1);
-                self.stream(&run, after, exchange);
+                self.send_stream(&run, after, exchange);
             }
         }
     }
 }
 
-fn refusal(status: u16, code: &str) -> Reply {
+fn refusal_reply(status: u16, code: &str) -> Reply {
     Reply::json(status, &json!({"error": {"message": code, "type": "engine", "code": code}}))
         .with_header("X-Verdict", "not-run")
 }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults, switched on by `POST /fault` with the fields to change.
+//! Fault injection: `POST /fault` sets the fields of [`Faults`] that its body names.
 
 use serde::{Deserialize, Serialize};
 use std::{
@@ -8,59 +8,59 @@
 };
 use vanetally_link::http::{Exchange, Reply};
 
-/// What goes wrong now.
+/// Faults that a stand-in injects.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Nothing is answered usefully.
+    /// Whether every protocol call is answered with status 500.
     pub down: bool,
-    /// Each answer takes this much longer, in milliseconds.
+    /// Added delay of each answer.
     pub slow_ms: u64,
-    /// Nothing is answered until this is switched off.
+    /// Whether protocol calls block until this is switched off.
     pub freeze: bool,
-    /// So many next writes, orders or runs take effect and their answers are lost.
+    /// Number of next writes, orders or runs that take effect but whose answers are lost.
     pub lose_answers: u32,
-    /// So many next writes or orders are lost without effect.
+    /// Number of next writes or orders that are lost without effect.
     pub lose_requests: u32,
-    /// So many next orders are answered as lost and take effect `late_ms` later.
+    /// Number of next orders that are answered as lost and take effect `late_ms` later.
     pub late_requests: u32,
-    /// How late those take effect, in milliseconds.
+    /// Delay with which the orders counted by `late_requests` take effect.
     pub late_ms: u64,
-    /// The list of hosts lags by this much, in milliseconds.
+    /// Minimum age of the host list that is returned.
     pub list_lag_ms: u64,
-    /// Load reports are this old, in milliseconds.
+    /// Maximum age of the engine reports that are returned.
     pub report_lag_ms: u64,
-    /// It says that it is leaving and refuses new work.
+    /// Whether the stand-in announces that it is leaving and refuses new work.
     pub leaving: bool,
-    /// Streams break after so many events; 0 for never.
+    /// Number of events after which a stream breaks; 0 for never.
     pub break_after: u64,
-    /// Broken streams can't be resumed.
+    /// Whether resuming a broken stream is refused.
     pub no_resume: bool,
 }
 
-/// What happens to a write or an order.
+/// The outcome of a write or an order under the injected faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Outcome {
     /// It takes effect and is answered.
     Normal,
     /// It takes effect and the answer is lost.
     AnswerLost,
-    /// It has no effect and no answer.
-    Lost,
-    /// It takes effect after so many milliseconds and the answer is lost.
-    Late(u64),
+    /// It has no effect and the answer is lost.
+    RequestLost,
+    /// It takes effect after this many milliseconds; the answer is lost.
+    Delayed(u64),
 }
 
-/// The faults of one stand-in.
+/// The faults of one stand-in, settable at runtime.
 #[derive(Debug, Default)]
-pub struct Switch(Mutex<Faults>);
+pub struct FaultInjector(Mutex<Faults>);
 
-const FREEZE_POLL: Duration = Duration::from_millis(5);
-const MOST_BODY: u64 = 1_000_000;
+const FREEZE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+const MAX_BODY_BYTES: u64 = 1_000_000;
 
-impl Switch {
-    /// The faults now.
-    pub fn now(&self) -> Faults {
+impl FaultInjector {
+    /// Returns the current faults.
+    pub fn current(&self) -> Faults {
         self.lock().clone()
     }
 
@@ -68,56 +68,56 @@
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Changes the fields that the exchange's body names.
-    pub fn set(&self, exchange: &mut Exchange) -> Reply {
-        let body = exchange.body(MOST_BODY).unwrap_or_default();
+    /// Sets the faults that the body of the request names; the others keep their values.
+    pub fn update(&self, exchange: &mut Exchange) -> Reply {
+        let body = exchange.body(MAX_BODY_BYTES).unwrap_or_default();
         let mut faults = self.lock();
         let mut value = serde_json::to_value(&*faults).unwrap_or_default();
-        let change: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-        for (key, field) in change.as_object().into_iter().flatten() {
+        let changes: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
+        for (key, field) in changes.as_object().into_iter().flatten() {
             value[key] = field.clone();
         }
         match serde_json::from_value::<Faults>(value) {
-            Ok(new) => {
-                *faults = new;
+            Ok(updated) => {
+                *faults = updated;
                 Reply::new(200, "text/plain", "set\n")
             }
             Err(e) => Reply::new(400, "text/plain", format!("{e}\n")),
         }
     }
 
-    /// Waits as slow or frozen stand-ins do; false if it is down.
-    pub fn pass(&self) -> bool {
+    /// Waits for the injected delay or the end of a freeze, then returns whether the stand-in is up.
+    pub fn is_up_after_delay(&self) -> bool {
         loop {
-            let faults = self.now();
+            let faults = self.current();
             if !faults.freeze {
                 thread::sleep(Duration::from_millis(faults.slow_ms));
-                return !self.now().down;
+                return !self.current().down;
             }
-            thread::sleep(FREEZE_POLL);
+            thread::sleep(FREEZE_POLL_INTERVAL);
         }
     }
 
-    /// Draws what happens to the next write or order.
-    pub fn fate(&self) -> Fate {
+    /// Returns the outcome of the next write or order and uses up the fault that causes it.
+    pub fn next_outcome(&self) -> Outcome {
         let mut faults = self.lock();
         if faults.lose_requests > 0 {
             faults.lose_requests -= 1;
-            return Fate::Lost;
+            return Outcome::RequestLost;
         }
         if faults.late_requests > 0 {
             faults.late_requests -= 1;
-            return Fate::Late(faults.late_ms);
+            return Outcome::Delayed(faults.late_ms);
         }
         if faults.lose_answers > 0 {
             faults.lose_answers -= 1;
-            return Fate::AnswerLost;
+            return Outcome::AnswerLost;
         }
-        Fate::Normal
+        Outcome::Normal
     }
 }
 
-/// What a caller gets when an answer is lost: nothing that tells whether there was an effect.
-pub fn lost() -> Reply {
+/// The reply sent in place of a lost answer: it does not show whether the request took effect.
+pub fn lost_answer() -> Reply {
     Reply::new(500, "text/plain", "no answer\n")
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,19 +1,21 @@
-//! Small stand-ins for what stands outside of the system: the platform's service, model engines,
-//! the weight store and plain services. Each speaks its protocol over HTTP and misbehaves on
-//! request (`POST /fault`). Their counters (`GET /stats`) are the judges of tests.
+//! Stand-ins for the outside systems: the platform's service, model engines, the weight store and
+//! plain services.
+//!
+//! Each stand-in serves its protocol over HTTP, injects faults on request (`POST /fault`) and
+//! reports counters (`GET /stats`), which the tests check.
 #![deny(missing_docs, unsafe_code)]
 
-/// Model engines.
+/// The model engine.
 pub mod engine;
-/// Faults that are switched on by request.
+/// Fault injection, controlled by `POST /fault`.
 pub mod fault;
-/// The platform's key-value service and list of hosts.
+/// The platform's service: key-value store, leases and host list.
 pub mod platform;
-/// Plain services.
+/// The plain service.
 pub mod service;
 /// The weight store.
 pub mod store;
 
-/// The memory of an engine, for drivers without sockets.
+/// The engine's memory, usable without sockets.
 pub mod memory;
 mod model;
--- a/crates/standin/src/memory.rs
+++ b/crates/standin/src/memory.rs
@@ -1,40 +1,40 @@
-//! An engine's memory: what takes it, and whether it was ever overcommitted.
+//! The memory of an engine: resident entries, fencing of orders, and peak and overcommit counters.
 
 use vanetally_ledger::{HeldEntry, Op, Phase, Refusal, Report};
 use vanetally_types::{Bytes, Name};
 
-/// Entries and the fence.
+/// The entries in an engine's memory and the epoch that fences its orders.
 #[derive(Clone, Debug)]
 pub struct Memory {
     capacity: Bytes,
     fenced: bool,
     report: Report,
-    /// The most memory that was ever taken.
-    pub peak: Bytes,
-    /// How often a load took more than there is.
+    /// Peak of the memory used.
+    pub peak_bytes: Bytes,
+    /// Number of loads that exceeded the capacity.
     pub overcommits: u64,
-    /// Loads begun and unloads done.
-    pub moves: (u64, u64),
+    /// Number of loads started and of unloads done.
+    pub move_counts: (u64, u64),
 }
 
 impl Memory {
-    /// Empty memory of an engine that has just started.
+    /// Creates the empty memory of an engine that has just started.
     pub fn new(capacity: Bytes, fenced: bool, incarnation: u64) -> Self {
         let report = Report { incarnation, ..Report::default() };
-        Self { capacity, fenced, report, peak: 0, overcommits: 0, moves: (0, 0) }
+        Self { capacity, fenced, report, peak_bytes: 0, overcommits: 0, move_counts: (0, 0) }
     }
 
-    /// What it reports.
+    /// Returns the report that the engine sends.
     pub fn report(&self) -> &Report {
         &self.report
     }
 
-    /// Forgets everything, as a restart does.
+    /// Drops all entries and the epoch, as a restart does.
     pub fn restart(&mut self, incarnation: u64) {
         self.report = Report { incarnation, ..Report::default() };
     }
 
-    /// Raises the epoch; false if a higher one is in force.
+    /// Raises the epoch; returns false if a higher one is in force.
     pub fn fence(&mut self, epoch: u64) -> bool {
         if epoch < self.report.epoch {
             return false;
@@ -46,8 +46,8 @@
         true
     }
 
-    /// Carries an order out; a load still has to be ended by [`Memory::loaded`].
-    pub fn order(&mut self, epoch: u64, seq: u64, op: &Op) -> Result<(), Refusal> {
+    /// Applies an order; a load stays in progress until [`Memory::finish_load`].
+    pub fn apply_order(&mut self, epoch: u64, seq: u64, op: &Op) -> Result<(), Refusal> {
         if self.fenced && (epoch != self.report.epoch || seq <= self.report.seq) {
             return Err(Refusal::Stale);
         }
@@ -69,32 +69,32 @@
         let base = base.cloned();
         let held = HeldEntry { phase: Phase::Loading, bytes, in_flight: 0, base };
         entries.insert(entry.clone(), held);
-        self.moves.0 += 1;
-        let taken: Bytes = entries.values().map(|h| h.bytes).sum();
-        self.peak = self.peak.max(taken);
-        if taken > self.capacity {
+        self.move_counts.0 += 1;
+        let used: Bytes = entries.values().map(|h| h.bytes).sum();
+        self.peak_bytes = self.peak_bytes.max(used);
+        if used > self.capacity {
             self.overcommits += 1;
         }
         Ok(())
     }
 
     fn unload(&mut self, entry: &Name) -> Result<(), Refusal> {
-        let needed = self.report.entries.values().any(|h| h.base.as_ref() == Some(entry));
+        let is_base = self.report.entries.values().any(|h| h.base.as_ref() == Some(entry));
         match self.report.entries.get(entry) {
             None => Err(Refusal::Missing),
-            Some(held) if held.in_flight > 0 || needed || held.phase == Phase::Loading => {
+            Some(held) if held.in_flight > 0 || is_base || held.phase == Phase::Loading => {
                 Err(Refusal::Busy)
             }
             Some(_) => {
                 self.report.entries.remove(entry);
-                self.moves.1 += 1;
+                self.move_counts.1 += 1;
                 Ok(())
             }
         }
     }
 
-    /// A load is through, unless the engine has restarted since.
-    pub fn loaded(&mut self, entry: &Name, incarnation: u64) {
+    /// Marks an entry as resident, unless the engine has restarted since the load began.
+    pub fn finish_load(&mut self, entry: &Name, incarnation: u64) {
         if self.report.incarnation == incarnation
             && let Some(held) = self.report.entries.get_mut(entry)
         {
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Counts a request in; false if the entry is not resident.
-    pub fn enter(&mut self, entry: &str) -> bool {
+    /// Counts a request as in flight; returns false if the entry is not resident.
+    pub fn begin_request(&mut self, entry: &str) -> bool {
         match self.report.entries.get_mut(entry) {
             Some(held) if held.phase == Phase::Resident => {
                 held.in_flight += 1;
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Counts a request out.
-    pub fn leave(&mut self, entry: &str) {
+    /// Ends a request counted by [`Memory::begin_request`].
+    pub fn end_request(&mut self, entry: &str) {
         if let Some(held) = self.report.entries.get_mut(entry) {
             held.in_flight = held.in_flight.saturating_sub(1);
         }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,10 +1,11 @@
-//! The platform's service: compare-and-swap, watches, leases, and the list of hosts.
+//! The platform's service: key-value store with compare-and-swap, watches and leases, and the host
+//! list.
 //!
 //! `GET /kv/KEY`, `GET /kv/KEY?after=VERSION&wait_ms=N` (watch), `PUT /kv/KEY?version=BASE`
 //! (`&lease=ID`), `POST /lease?ttl_ms=N`, `PUT /lease/ID`, `GET /hosts`, `PUT /hosts`,
 //! `POST /snapshot`, `POST /restore`, `POST /fault`, `GET /stats`.
 
-use crate::fault::{Fate, Switch, lost};
+use crate::fault::{FaultInjector, Outcome, lost_answer};
 use serde_json::json;
 use std::{
     collections::BTreeMap,
@@ -15,15 +16,16 @@
 use vanetally_link::http::{Exchange, Options, Reply, Server, Stopper};
 use vanetally_member::ListedHost;
 
-const MOST_VALUE: u64 = 1_000_000;
-const MOST_WAIT: u64 = 60_000;
-/// Writes and reads allowed a second.
-const RATES: (f64, f64) = (300.0, 2_000.0);
+const MAX_VALUE_BYTES: u64 = 1_000_000;
+const MAX_WAIT_MS: u64 = 60_000;
+/// Rate limits of writes and of reads.
+const RATE_LIMITS_PER_S: (f64, f64) = (300.0, 2_000.0);
 
 #[derive(Clone, Debug)]
-struct Cell {
+struct Entry {
     version: u64,
     bytes: Vec<u8>,
+    /// The lease whose end removes the entry.
     lease: Option<u64>,
 }
 
@@ -36,17 +38,18 @@
     limited: u64,
 }
 
-struct Bucket {
+struct TokenBucket {
     tokens: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
+    /// Takes one token if there is one; `rate` is the refill per second and the burst size.
     fn take(&mut self, rate: f64) -> bool {
         let now = Instant::now();
-        let earned = now.duration_since(self.at).as_secs_f64() * rate;
-        self.tokens = (self.tokens + earned).min(rate);
-        self.at = now;
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * rate;
+        self.tokens = (self.tokens + refill).min(rate);
+        self.refilled_at = now;
         let allowed = self.tokens >= 1.0;
         if allowed {
             self.tokens -= 1.0;
@@ -56,27 +59,28 @@
 }
 
 struct State {
-    cells: BTreeMap<String, Cell>,
-    snapshot: Option<BTreeMap<String, Cell>>,
+    entries: BTreeMap<String, Entry>,
+    snapshot: Option<BTreeMap<String, Entry>>,
     version: u64,
+    /// Time of the last renewal and duration of each lease.
     leases: BTreeMap<u64, (Instant, Duration)>,
-    /// The list with the time from which each state of it is visible.
+    /// Each version of the host list with the time at which it was set.
     hosts: Vec<(Instant, Vec<ListedHost>)>,
     counts: Counts,
-    writes: Bucket,
-    reads: Bucket,
+    writes: TokenBucket,
+    reads: TokenBucket,
 }
 
-/// A platform's service that listens.
+/// The platform's running service.
 pub struct Platform {
     state: Mutex<State>,
     changed: Condvar,
-    faults: Switch,
+    faults: FaultInjector,
     credential: String,
 }
 
 impl Platform {
-    /// Starts the service at `address`; callers must show `credential`.
+    /// Starts the service at `address`; it answers callers that present `credential`.
     ///
     /// # Errors
     /// If the address can't be bound.
@@ -85,21 +89,21 @@
         credential: &str,
     ) -> anyhow::Result<(SocketAddr, Stopper)> {
         let now = Instant::now();
-        let bucket = |tokens| Bucket { tokens, at: now };
+        let bucket = |tokens| TokenBucket { tokens, refilled_at: now };
         let state = State {
-            cells: BTreeMap::new(),
+            entries: BTreeMap::new(),
             snapshot: None,
             version: 0,
             leases: BTreeMap::new(),
             hosts: Vec::new(),
             counts: Counts::default(),
-            writes: bucket(RATES.0),
-            reads: bucket(RATES.1),
+            writes: bucket(RATE_LIMITS_PER_S.0),
+            reads: bucket(RATE_LIMITS_PER_S.1),
         };
         let platform = Arc::new(Self {
             state: Mutex::new(state),
             changed: Condvar::new(),
-            faults: Switch::default(),
+            faults: FaultInjector::default(),
             credential: format!("Bearer {credential}"),
         });
         let server = Server::try_bind(address)?;
@@ -116,97 +120,98 @@
         let method = exchange.method();
         let path = exchange.path().to_owned();
         let reply = match (method.as_str(), path.as_str()) {
-            ("POST", "/fault") => self.faults.set(&mut exchange),
-            ("GET", "/stats") => self.stats(),
+            ("POST", "/fault") => self.faults.update(&mut exchange),
+            ("GET", "/stats") => self.stats_reply(),
             ("POST", "/snapshot") => self.snapshot(),
             ("POST", "/restore") => self.restore(),
             ("PUT", "/hosts") => self.set_hosts(&mut exchange),
-            _ if !self.faults.pass() => lost(),
+            _ if !self.faults.is_up_after_delay() => lost_answer(),
             _ if exchange.header("Authorization") != Some(&self.credential) => {
                 Reply::new(401, "text/plain", "unknown credential\n")
             }
-            ("GET", "/hosts") => self.hosts(),
-            ("POST", "/lease") => self.lease(&exchange),
-            _ => self.keyed(&method, &path, &mut exchange),
+            ("GET", "/hosts") => self.hosts_reply(),
+            ("POST", "/lease") => self.grant_lease(&exchange),
+            _ => self.handle_lease_or_key(&method, &path, &mut exchange),
         };
         exchange.answer(reply);
     }
 
-    fn keyed(&self, method: &str, path: &str, exchange: &mut Exchange) -> Reply {
+    /// Handles the paths that name a lease or a key.
+    fn handle_lease_or_key(&self, method: &str, path: &str, exchange: &mut Exchange) -> Reply {
         if let Some(id) = path.strip_prefix("/lease/").and_then(|id| id.parse().ok()) {
-            return self.renew(id);
+            return self.renew_lease(id);
         }
         let Some(key) = path.strip_prefix("/kv/") else {
             return Reply::new(404, "text/plain", "nothing here\n");
         };
         match method {
-            "GET" => self.get(key, exchange),
-            "PUT" => self.put(key, exchange),
+            "GET" => self.handle_get(key, exchange),
+            "PUT" => self.handle_put(key, exchange),
             _ => Reply::new(405, "text/plain", "GET or PUT\n"),
         }
     }
 
-    fn get(&self, key: &str, exchange: &Exchange) -> Reply {
+    fn handle_get(&self, key: &str, exchange: &Exchange) -> Reply {
         let number = |name: &str| exchange.query(name).and_then(|v| v.parse::<u64>().ok());
-        let wait = Duration::from_millis(number("wait_ms").unwrap_or(0).min(MOST_WAIT));
+        let wait = Duration::from_millis(number("wait_ms").unwrap_or(0).min(MAX_WAIT_MS));
         let mut state = self.lock();
-        if !state.reads.take(RATES.1) {
+        if !state.reads.take(RATE_LIMITS_PER_S.1) {
             state.counts.limited += 1;
             return Reply::new(429, "text/plain", "too many reads\n");
         }
         state.counts.reads += 1;
         let Some(after) = number("after") else {
-            return value(200, state.cells.get(key));
+            return value_reply(200, state.entries.get(key));
         };
         state.counts.watches += 1;
-        let until = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         loop {
-            let same = state.cells.get(key).map_or(0, |c| c.version) == after;
-            let left = until.saturating_duration_since(Instant::now());
-            if !same || left.is_zero() {
-                return value(200, state.cells.get(key));
+            let is_unchanged = state.entries.get(key).map_or(0, |e| e.version) == after;
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if !is_unchanged || remaining.is_zero() {
+                return value_reply(200, state.entries.get(key));
             }
-            let waited = self.changed.wait_timeout(state, left.min(Duration::from_millis(100)));
-            state = waited.unwrap_or_else(|e| e.into_inner()).0;
-            if self.faults.now().down {
-                return lost();
+            let woken = self.changed.wait_timeout(state, remaining.min(Duration::from_millis(100)));
+            state = woken.unwrap_or_else(|e| e.into_inner()).0;
+            if self.faults.current().down {
+                return lost_answer();
             }
         }
     }
 
-    fn put(&self, key: &str, exchange: &mut Exchange) -> Reply {
-        let Ok(bytes) = exchange.body(MOST_VALUE) else {
+    fn handle_put(&self, key: &str, exchange: &mut Exchange) -> Reply {
+        let Ok(bytes) = exchange.body(MAX_VALUE_BYTES) else {
             return Reply::new(413, "text/plain", "a value has at most a megabyte\n");
         };
         let number = |name: &str| exchange.query(name).and_then(|v| v.parse::<u64>().ok());
         let base = number("version").unwrap_or(0);
         let lease = number("lease");
-        let fate = self.faults.fate();
-        if fate == Fate::Lost {
-            return lost();
+        let outcome = self.faults.next_outcome();
+        if outcome == Outcome::RequestLost {
+            return lost_answer();
         }
         let mut state = self.lock();
-        if !state.writes.take(RATES.0) {
+        if !state.writes.take(RATE_LIMITS_PER_S.0) {
             state.counts.limited += 1;
             return Reply::new(429, "text/plain", "too many writes\n");
         }
         state.counts.writes += 1;
-        let current = state.cells.get(key).map_or(0, |c| c.version);
+        let current = state.entries.get(key).map_or(0, |e| e.version);
         if current != base {
             state.counts.refused += 1;
-            return value(409, state.cells.get(key));
+            return value_reply(409, state.entries.get(key));
         }
         state.version += 1;
-        let cell = Cell { version: state.version, bytes, lease };
+        let entry = Entry { version: state.version, bytes, lease };
         let reply =
-            Reply::new(200, "text/plain", "").with_header("X-Version", cell.version.to_string());
-        state.cells.insert(key.to_owned(), cell);
+            Reply::new(200, "text/plain", "").with_header("X-Version", entry.version.to_string());
+        state.entries.insert(key.to_owned(), entry);
         drop(state);
         self.changed.notify_all();
-        if fate == Fate::Normal { reply } else { lost() }
+        if outcome == Outcome::Normal { reply } else { lost_answer() }
     }
 
-    fn lease(&self, exchange: &Exchange) -> Reply {
+    fn grant_lease(&self, exchange: &Exchange) -> Reply {
         let ttl = exchange.query("ttl_ms").and_then(|v| v.parse().ok()).unwrap_or(10_000);
         let mut state = self.lock();
         state.version += 1;
@@ -215,14 +220,15 @@
         Reply::new(200, "text/plain", id.to_string())
     }
 
-    fn renew(&self, id: u64) -> Reply {
+    /// Renews a lease, after removing the expired leases and their entries.
+    fn renew_lease(&self, id: u64) -> Reply {
         let mut state = self.lock();
         let now = Instant::now();
-        let over: Vec<u64> =
+        let expired: Vec<u64> =
             state.leases.iter().filter(|(_, l)| now > l.0 + l.1).map(|(id, _)| *id).collect();
-        for id in over {
+        for id in expired {
             state.leases.remove(&id);
-            state.cells.retain(|_, cell| cell.lease != Some(id));
+            state.entries.retain(|_, entry| entry.lease != Some(id));
         }
         match state.leases.get_mut(&id) {
             Some(lease) => {
@@ -233,17 +239,17 @@
         }
     }
 
-    fn hosts(&self) -> Reply {
-        let lag = Duration::from_millis(self.faults.now().list_lag_ms);
+    fn hosts_reply(&self) -> Reply {
+        let lag = Duration::from_millis(self.faults.current().list_lag_ms);
         let mut state = self.lock();
         state.counts.reads += 1;
-        let visible = state.hosts.iter().rev().find(|(at, _)| at.elapsed() >= lag);
+        let visible = state.hosts.iter().rev().find(|(set_at, _)| set_at.elapsed() >= lag);
         let list = visible.or(state.hosts.first()).map(|(_, list)| list.clone());
         Reply::json(200, &json!(list.unwrap_or_default()))
     }
 
     fn set_hosts(&self, exchange: &mut Exchange) -> Reply {
-        let body = exchange.body(MOST_VALUE).unwrap_or_default();
+        let body = exchange.body(MAX_VALUE_BYTES).unwrap_or_default();
         match serde_json::from_slice::<Vec<ListedHost>>(&body) {
             Ok(list) => {
                 self.lock().hosts.push((Instant::now(), list));
@@ -255,41 +261,43 @@
 
     fn snapshot(&self) -> Reply {
         let mut state = self.lock();
-        state.snapshot = Some(state.cells.clone());
+        state.snapshot = Some(state.entries.clone());
         Reply::new(200, "text/plain", "kept\n")
     }
 
-    /// Restores the last snapshot; versions go on growing.
+    /// Restores the last snapshot under new, higher versions.
     fn restore(&self) -> Reply {
         let mut state = self.lock();
-        let mut cells = state.snapshot.clone().unwrap_or_default();
-        for cell in cells.values_mut() {
+        let mut entries = state.snapshot.clone().unwrap_or_default();
+        for entry in entries.values_mut() {
             state.version += 1;
-            cell.version = state.version;
+            entry.version = state.version;
         }
-        state.cells = cells;
+        state.entries = entries;
         drop(state);
         self.changed.notify_all();
         Reply::new(200, "text/plain", "restored\n")
     }
 
-    fn stats(&self) -> Reply {
+    fn stats_reply(&self) -> Reply {
         let state = self.lock();
-        let c = &state.counts;
+        let counts = &state.counts;
         Reply::json(
             200,
             &json!({
-                "reads": c.reads, "writes": c.writes, "refused": c.refused, "watches": c.watches,
-                "limited": c.limited, "keys": state.cells.len(), "faults": self.faults.now(),
+                "reads": counts.reads, "writes": counts.writes, "refused": counts.refused,
+                "watches": counts.watches, "limited": counts.limited,
+                "keys": state.entries.len(), "faults": self.faults.current(),
             }),
         )
     }
 }
 
-fn value(status: u16, cell: Option<&Cell>) -> Reply {
-    match cell {
+/// The reply with an entry's value and version; 404 in place of 200 if there is none.
+fn value_reply(status: u16, entry: Option<&Entry>) -> Reply {
+    match entry {
         None => Reply::new(if status == 200 { 404 } else { status }, "text/plain", ""),
-        Some(cell) => Reply::new(status, "application/octet-stream", cell.bytes.clone())
-            .with_header("X-Version", cell.version.to_string()),
+        Some(entry) => Reply::new(status, "application/octet-stream", entry.bytes.clone())
+            .with_header("X-Version", entry.version.to_string()),
     }
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,6 +1,6 @@
-//! A plain service that counts each run of each request id.
+//! The plain service, which counts the runs of each idempotency key.
 
-use crate::fault::{Fate, Switch, lost};
+use crate::fault::{FaultInjector, Outcome, lost_answer};
 use serde_json::json;
 use std::{
     collections::BTreeMap,
@@ -13,30 +13,33 @@
 
 #[derive(Debug, Default)]
 struct Counts {
+    /// Number of runs by idempotency key.
     runs: BTreeMap<String, u64>,
     requests: u64,
+    /// Requests that arrived after the service announced that it is leaving.
     after_leaving: u64,
 }
 
-/// A service that listens.
+/// A running service.
 pub struct Service {
     counts: Mutex<Counts>,
-    faults: Switch,
-    takes: Duration,
+    faults: FaultInjector,
+    run_time: Duration,
 }
 
-const MOST_BODY: u64 = 8_000_000;
+const MAX_BODY_BYTES: u64 = 8_000_000;
 
 impl Service {
-    /// Starts a service at `address`; each call takes `takes`.
+    /// Starts a service at `address` whose calls take `run_time` each.
     ///
     /// # Errors
     /// If the address can't be bound.
     pub fn try_start(
         address: SocketAddr,
-        takes: Duration,
+        run_time: Duration,
     ) -> anyhow::Result<(SocketAddr, Stopper)> {
-        let service = Arc::new(Self { counts: Mutex::default(), faults: Switch::default(), takes });
+        let service =
+            Arc::new(Self { counts: Mutex::default(), faults: FaultInjector::default(), run_time });
         let server = Server::try_bind(address)?;
         let address = server.address();
         let stopper = server.serve("service", Options::default(), move |e| service.serve(e));
@@ -45,20 +48,20 @@
 
     fn serve(&self, mut exchange: Exchange) {
         let reply = match exchange.path() {
-            "/fault" => self.faults.set(&mut exchange),
-            "/stats" => self.stats(),
-            _ if !self.faults.pass() => lost(),
-            _ => self.run(&mut exchange),
+            "/fault" => self.faults.update(&mut exchange),
+            "/stats" => self.stats_reply(),
+            _ if !self.faults.is_up_after_delay() => lost_answer(),
+            _ => self.handle_call(&mut exchange),
         };
         exchange.answer(reply);
     }
 
-    fn run(&self, exchange: &mut Exchange) -> Reply {
-        let body = exchange.body(MOST_BODY).unwrap_or_default();
+    fn handle_call(&self, exchange: &mut Exchange) -> Reply {
+        let body = exchange.body(MAX_BODY_BYTES).unwrap_or_default();
         let key = exchange.header("Idempotency-Key").map(str::to_owned);
         let mut counts = self.counts.lock().unwrap_or_else(|e| e.into_inner());
         counts.requests += 1;
-        if self.faults.now().leaving {
+        if self.faults.current().leaving {
             counts.after_leaving += 1;
             return Reply::json(503, &json!({"error": "leaving"}))
                 .with_header("X-Verdict", "not-run");
@@ -67,10 +70,10 @@
             *counts.runs.entry(key.clone()).or_insert(0) += 1;
         }
         drop(counts);
-        let fate = self.faults.fate();
-        thread::sleep(self.takes);
-        if fate != Fate::Normal {
-            return lost();
+        let outcome = self.faults.next_outcome();
+        thread::sleep(self.run_time);
+        if outcome != Outcome::Normal {
+            return lost_answer();
         }
         Reply::json(
             200,
@@ -82,7 +85,7 @@
         )
     }
 
-    fn stats(&self) -> Reply {
+    fn stats_reply(&self) -> Reply {
         let counts = self.counts.lock().unwrap_or_else(|e| e.into_inner());
         Reply::json(
             200,
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,6 +1,6 @@
-//! The weight store: `POST /load?ms=N` answers when a load that takes N milliseconds is through.
+//! The weight store: `POST /load?ms=N` answers after a load that takes N milliseconds.
 
-use crate::fault::{Switch, lost};
+use crate::fault::{FaultInjector, lost_answer};
 use serde_json::json;
 use std::{
     net::SocketAddr,
@@ -13,37 +13,40 @@
 #[derive(Debug)]
 struct State {
     running: u32,
-    most: u32,
+    max_running: u32,
     total: u64,
-    next: Instant,
+    /// Earliest start of the next load.
+    next_start: Instant,
 }
 
-/// A weight store that listens.
+/// A running weight store.
 pub struct Store {
     state: Mutex<State>,
     freed: Condvar,
-    faults: Switch,
-    /// Between the starts of two loads.
-    every: Duration,
+    faults: FaultInjector,
+    /// Minimum time between the starts of two loads.
+    start_interval: Duration,
+    /// Maximum number of loads in progress.
     slots: u32,
 }
 
 impl Store {
-    /// Starts a store that begins `per_10s` loads in ten seconds and carries `slots` at once.
+    /// Starts a store at `address` that starts `loads_per_10s` loads in ten seconds at most, with
+    /// `slots` in progress at once.
     ///
     /// # Errors
     /// If the address can't be bound.
     pub fn try_start(
         address: SocketAddr,
-        per_10s: u32,
+        loads_per_10s: u32,
         slots: u32,
     ) -> anyhow::Result<(SocketAddr, Stopper)> {
-        let state = State { running: 0, most: 0, total: 0, next: Instant::now() };
+        let state = State { running: 0, max_running: 0, total: 0, next_start: Instant::now() };
         let store = Arc::new(Self {
             state: Mutex::new(state),
             freed: Condvar::new(),
-            faults: Switch::default(),
-            every: Duration::from_secs(10) / per_10s.max(1),
+            faults: FaultInjector::default(),
+            start_interval: Duration::from_secs(10) / loads_per_10s.max(1),
             slots: slots.max(1),
         });
         let server = Server::try_bind(address)?;
@@ -58,32 +61,32 @@
 
     fn serve(&self, mut exchange: Exchange) {
         let reply = match exchange.path() {
-            "/fault" => self.faults.set(&mut exchange),
+            "/fault" => self.faults.update(&mut exchange),
             "/stats" => {
                 let state = self.lock();
-                Reply::json(200, &json!({"loads": state.total, "most": state.most}))
+                Reply::json(200, &json!({"loads": state.total, "most": state.max_running}))
             }
-            "/load" if self.faults.pass() => {
-                let millis = exchange.query("ms").and_then(|v| v.parse().ok()).unwrap_or(0);
-                self.load(Duration::from_millis(millis))
+            "/load" if self.faults.is_up_after_delay() => {
+                let load_ms = exchange.query("ms").and_then(|v| v.parse().ok()).unwrap_or(0);
+                self.load(Duration::from_millis(load_ms))
             }
-            _ => lost(),
+            _ => lost_answer(),
         };
         exchange.answer(reply);
     }
 
-    fn load(&self, span: Duration) -> Reply {
+    fn load(&self, duration: Duration) -> Reply {
         let mut state = self.lock();
         while state.running >= self.slots {
             state = self.freed.wait(state).unwrap_or_else(|e| e.into_inner());
         }
         state.running += 1;
         state.total += 1;
-        state.most = state.most.max(state.running);
-        let start = state.next.max(Instant::now());
-        state.next = start + self.every;
+        state.max_running = state.max_running.max(state.running);
+        let start = state.next_start.max(Instant::now());
+        state.next_start = start + self.start_interval;
         drop(state);
-        thread::sleep(start.saturating_duration_since(Instant::now()) + span);
+        thread::sleep(start.saturating_duration_since(Instant::now()) + duration);
         self.lock().running -= 1;
         self.freed.notify_one();
         Reply::new(200, "text/plain", "loaded\n")
