--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -144,8 +144,8 @@
         });
         let server = Server::try_bind(address)?;
         let address = server.address();
-        let bounds = http::Options { max_exchanges: 4_000, ..http::Options::default() };
-        let stopper = server.serve("engine", bounds, move |e| Self::serve(&engine, e));
+        let http_options = http::Options { max_exchanges: 4_000, ..http::Options::default() };
+        let stopper = server.serve("engine", http_options, move |e| Self::serve(&engine, e));
         Ok((address, stopper))
     }
 
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Waits for the injected delay or the end of a freeze, then returns whether the stand-in is up.
+    /// Waits out the injected delay or freeze, then returns whether the stand-in is up.
     pub fn is_up_after_delay(&self) -> bool {
         loop {
             let faults = self.current();
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -31,8 +31,8 @@
 }
 
 impl Store {
-    /// Starts a store at `address` that starts `loads_per_10s` loads in ten seconds at most, with
-    /// `slots` in progress at once.
+    /// Starts a store at `address` that begins at most `loads_per_10s` loads in ten seconds and has
+    /// at most `slots` in progress.
     ///
     /// # Errors
     /// If the address can't be bound.
--- a/src/standin.rs
+++ b/src/standin.rs
@@ -1,4 +1,4 @@
-//! Starts one stand-in and prints where it listens.
+//! `vanetally-standin`: runs one stand-in and prints the address that it listens on.
 
 use anyhow::{Context, bail};
 use lexopt::{Arg, ValueExt};
@@ -31,18 +31,19 @@
     listen: SocketAddr,
     credential: String,
     engine: engine::Options,
-    per_10s: u32,
-    takes: Duration,
+    loads_per_10s: u32,
+    run_time: Duration,
 }
 
+/// Parses the arguments; returns `None` if they only ask for the help or the version.
 fn parse() -> anyhow::Result<Option<Args>> {
     let mut args = Args {
         role: String::new(),
         listen: "127.0.0.1:0".parse()?,
         credential: String::new(),
         engine: engine::Options::default(),
-        per_10s: 15,
-        takes: Duration::from_millis(1),
+        loads_per_10s: 15,
+        run_time: Duration::from_millis(1),
     };
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
@@ -54,12 +55,12 @@
                 args.engine.capacity = parser.value()?.parse::<u64>()? << 30;
             }
             Arg::Long("slots") => args.engine.slots = parser.value()?.parse()?,
-            Arg::Long("token-ms") => args.engine.token_interval = millis(&mut parser)?,
-            Arg::Long("load-ms-per-gib") => args.engine.load_per_gib = millis(&mut parser)?,
+            Arg::Long("token-ms") => args.engine.token_interval = parse_millis(&mut parser)?,
+            Arg::Long("load-ms-per-gib") => args.engine.load_per_gib = parse_millis(&mut parser)?,
             Arg::Long("store") => args.engine.store_url = Some(parser.value()?.string()?),
             Arg::Long("unfenced") => args.engine.fenced = false,
-            Arg::Long("per-10s") => args.per_10s = parser.value()?.parse()?,
-            Arg::Long("takes-ms") => args.takes = millis(&mut parser)?,
+            Arg::Long("per-10s") => args.loads_per_10s = parser.value()?.parse()?,
+            Arg::Long("takes-ms") => args.run_time = parse_millis(&mut parser)?,
             Arg::Long("help") => {
                 print!("{HELP}");
                 return Ok(None);
@@ -74,22 +75,22 @@
     Ok(Some(args))
 }
 
-fn millis(parser: &mut lexopt::Parser) -> anyhow::Result<Duration> {
+fn parse_millis(parser: &mut lexopt::Parser) -> anyhow::Result<Duration> {
     Ok(Duration::from_millis(parser.value()?.parse()?))
 }
 
 fn main() -> anyhow::Result<()> {
     env_logger::init();
     let Some(args) = parse()? else { return Ok(()) };
-    let started = match args.role.as_str() {
+    let server = match args.role.as_str() {
         "platform" => Platform::try_start(args.listen, &args.credential),
         "engine" => Engine::try_start(args.listen, args.engine),
-        "store" => Store::try_start(args.listen, args.per_10s, args.engine.slots),
-        "service" => Service::try_start(args.listen, args.takes),
+        "store" => Store::try_start(args.listen, args.loads_per_10s, args.engine.slots),
+        "service" => Service::try_start(args.listen, args.run_time),
         role => bail!("`{role}` is no role: see --help"),
     };
     let (address, _stopper) =
-        started.with_context(|| format!("{} at {}", args.role, args.listen))?;
+        server.with_context(|| format!("{} at {}", args.role, args.listen))?;
     println!("listening {address}");
     loop {
         std::thread::park();
--- a/src/tool/args.rs
+++ b/src/tool/args.rs
@@ -1,4 +1,4 @@
-//! Arguments of the tool.
+//! Command-line arguments of the tool.
 
 use anyhow::{Context, bail};
 use lexopt::{Arg, ValueExt};
@@ -30,48 +30,48 @@
 Exit codes: 0 done, 1 failed or beaten by another change, 2 bad arguments or unsound catalog.
 ";
 
-/// What to do.
+/// The command to run.
 pub enum Command {
-    /// Check a file.
+    /// Check a catalog file.
     Check(String),
-    /// Print the present revision.
+    /// Print the current revision.
     Show,
-    /// Compare a file with it.
+    /// Compare a catalog file with the current revision.
     Diff(String),
-    /// Put a file in its place.
+    /// Replace the catalog of the current revision by a file.
     Apply(String),
-    /// Write a host's revision to the platform.
+    /// Write the revision that a host follows to the platform.
     Restore(String),
-    /// Print a daemon's state.
+    /// Print the state of a daemon.
     State(String),
-    /// Hash a token.
+    /// Hash a caller's token.
     Token,
     /// Run the demonstration.
     Demo,
 }
 
-/// The command with its options.
+/// The command and its options.
 pub struct Args {
-    /// What to do.
+    /// The command to run.
     pub command: Command,
-    /// The platform's service.
+    /// URL of the platform's service.
     pub platform: Option<String>,
-    /// The credential shown to it.
+    /// Credential for the platform's service.
     pub credential: Option<String>,
-    /// The revision that the operator looked at.
+    /// Number of the revision that the change must be based on; `None` accepts any.
     pub base: Option<u64>,
-    /// Name of the change.
+    /// Name of the change; `None` for a random one.
     pub change: Option<String>,
-    /// Numbers must exceed this one.
+    /// Exclusive lower bound of the number of the new revision.
     pub floor: u64,
-    /// Whether to print JSON.
+    /// Whether to print JSON instead of tables.
     pub json: bool,
 }
 
 impl Args {
-    /// Reads the arguments; `None` if they only asked for help.
+    /// Parses the arguments; returns `None` if they only ask for the help or the version.
     pub fn parse() -> anyhow::Result<Option<Self>> {
-        let mut words = Vec::new();
+        let mut operands = Vec::new();
         let mut args = Self {
             command: Command::Show,
             platform: std::env::var("VANETALLY_PLATFORM").ok(),
@@ -84,7 +84,7 @@
         let mut parser = lexopt::Parser::from_env();
         while let Some(arg) = parser.next()? {
             match arg {
-                Arg::Value(word) => words.push(word.string()?),
+                Arg::Value(operand) => operands.push(operand.string()?),
                 Arg::Long("platform") => args.platform = Some(parser.value()?.string()?),
                 Arg::Long("credential") => args.credential = Some(parser.value()?.string()?),
                 Arg::Long("base") => args.base = Some(parser.value()?.parse()?),
@@ -102,28 +102,28 @@
                 other => return Err(other.unexpected().into()),
             }
         }
-        args.command = command(words)?;
+        args.command = parse_command(operands)?;
         Ok(Some(args))
     }
 }
 
-fn command(words: Vec<String>) -> anyhow::Result<Command> {
-    let mut words = words.into_iter();
-    let name = words.next().context("no command; see --help")?;
-    let mut operand =
-        |what: &str| words.next().with_context(|| format!("{name}: {what} is missing"));
+fn parse_command(operands: Vec<String>) -> anyhow::Result<Command> {
+    let mut operands = operands.into_iter();
+    let name = operands.next().context("no command; see --help")?;
+    let mut next_operand =
+        |what: &str| operands.next().with_context(|| format!("{name}: {what} is missing"));
     let command = match name.as_str() {
-        "check" => Command::Check(operand("FILE")?),
+        "check" => Command::Check(next_operand("FILE")?),
         "show" => Command::Show,
-        "diff" => Command::Diff(operand("FILE")?),
-        "apply" => Command::Apply(operand("FILE")?),
-        "restore" => Command::Restore(operand("HOST")?),
-        "state" => Command::State(operand("HOST")?),
+        "diff" => Command::Diff(next_operand("FILE")?),
+        "apply" => Command::Apply(next_operand("FILE")?),
+        "restore" => Command::Restore(next_operand("HOST")?),
+        "state" => Command::State(next_operand("HOST")?),
         "token" => Command::Token,
         "demo" => Command::Demo,
         other => bail!("`{other}` is no command; see --help"),
     };
-    if let Some(extra) = words.next() {
+    if let Some(extra) = operands.next() {
         bail!("`{extra}` is one word too many; see --help");
     }
     Ok(command)
--- a/src/tool/catalog.rs
+++ b/src/tool/catalog.rs
@@ -1,4 +1,4 @@
-//! Commands about the catalog.
+//! The commands for catalogs and tokens.
 
 use super::{Error, args::Args, state};
 use anyhow::{Context, anyhow};
@@ -9,15 +9,17 @@
 };
 use vanetally_link::platform::{HttpPlatform, Platform, PutOutcome};
 
-/// The key that holds the present revision.
-const HEAD: &str = "config/head";
-/// For one call of the platform.
-const WITHIN: Duration = Duration::from_secs(5);
-/// Between two tries while the platform does not answer, and how many there are.
-const PAUSE: Duration = Duration::from_millis(500);
-const TRIES: u32 = 60;
-
-fn load(file: &str) -> Result<Catalog, Error> {
+/// Key of the current revision in the platform's store.
+const HEAD_KEY: &str = "config/head";
+/// Timeout of one call to the platform.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause between two attempts while the platform does not answer.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of steps of a publication, repeated ones included.
+const MAX_STEPS: u32 = 60;
+
+/// Loads and checks the catalog in `file`.
+fn load_catalog(file: &str) -> Result<Catalog, Error> {
     let catalog: Catalog =
         jsonc::from_path(Path::new(file)).map_err(|e| Error::Usage(e.to_string()))?;
     let faults = check::check(&catalog);
@@ -28,9 +30,9 @@
     Err(Error::Usage(format!("the catalog is not sound\n{}", lines.join("\n"))))
 }
 
-/// `vanetally check FILE`.
+/// Runs `vanetally check FILE`.
 pub fn check(file: &str) -> Result<(), Error> {
-    let catalog = load(file)?;
+    let catalog = load_catalog(file)?;
     println!(
         "{file}: sound ({} models, {} adapters, {} runners, {} services, {} callers)",
         catalog.models.len(),
@@ -42,15 +44,17 @@
     Ok(())
 }
 
-fn platform(args: &Args) -> Result<HttpPlatform, Error> {
-    let usage = |what: &str| Error::Usage(format!("{what} is missing; see --help"));
-    let url = args.platform.as_ref().ok_or_else(|| usage("--platform"))?;
-    let credential = args.credential.as_ref().ok_or_else(|| usage("--credential"))?;
-    Ok(HttpPlatform::new(url, credential.as_str().into(), WITHIN))
+/// Returns a client of the platform's service.
+fn platform_client(args: &Args) -> Result<HttpPlatform, Error> {
+    let missing = |what: &str| Error::Usage(format!("{what} is missing; see --help"));
+    let url = args.platform.as_ref().ok_or_else(|| missing("--platform"))?;
+    let credential = args.credential.as_ref().ok_or_else(|| missing("--credential"))?;
+    Ok(HttpPlatform::new(url, credential.as_str().into(), CALL_TIMEOUT))
 }
 
-fn head(platform: &dyn Platform) -> anyhow::Result<Head> {
-    match platform.get(HEAD)? {
+/// Reads the current revision; version and number are 0 if there is none.
+fn read_head(platform: &dyn Platform) -> anyhow::Result<Head> {
+    match platform.get(HEAD_KEY)? {
         None => Ok(Head { version: 0, revision: Arc::new(Revision::default()) }),
         Some(value) => {
             let revision =
@@ -60,9 +64,9 @@
     }
 }
 
-/// `vanetally show`.
+/// Runs `vanetally show`.
 pub fn show(args: &Args) -> Result<(), Error> {
-    let head = head(&platform(args)?)?;
+    let head = read_head(&platform_client(args)?)?;
     if args.json {
         print_json(&*head.revision)?;
         return Ok(());
@@ -77,10 +81,10 @@
     Ok(())
 }
 
-/// `vanetally diff FILE`.
+/// Runs `vanetally diff FILE`.
 pub fn diff(args: &Args, file: &str) -> Result<(), Error> {
-    let catalog = load(file)?;
-    let head = head(&platform(args)?)?;
+    let catalog = load_catalog(file)?;
+    let head = read_head(&platform_client(args)?)?;
     println!("against revision {}", head.revision.number);
     for line in diff::diff(&head.revision.catalog, &catalog) {
         println!("{line}");
@@ -88,13 +92,14 @@
     Ok(())
 }
 
-/// `vanetally apply FILE`.
+/// Runs `vanetally apply FILE`.
 pub fn apply(args: &Args, file: &str) -> Result<(), Error> {
-    let catalog = load(file)?;
+    let catalog = load_catalog(file)?;
     publish(args, catalog, args.floor)
 }
 
-/// `vanetally restore HOST`: the host's revision gets a number above its own.
+/// Runs `vanetally restore HOST`: publishes the catalog of the host's revision under a higher
+/// number.
 pub fn restore(args: &Args, host: &str) -> Result<(), Error> {
     let value = state::fetch(host, "/revision")?;
     let revision: Revision =
@@ -106,17 +111,18 @@
 }
 
 fn publish(args: &Args, catalog: Catalog, floor: u64) -> Result<(), Error> {
-    let platform = platform(args)?;
-    let change = args.change.clone().unwrap_or_else(random_name);
-    let mut publish = Publication::new(change.as_str().into(), catalog.clone(), args.base, floor);
-    let mut step = publish.start();
-    for _ in 0..TRIES {
+    let platform = platform_client(args)?;
+    let change = args.change.clone().unwrap_or_else(random_change);
+    let mut publication =
+        Publication::new(change.as_str().into(), catalog.clone(), args.base, floor);
+    let mut step = publication.start();
+    for _ in 0..MAX_STEPS {
         let event = match step {
-            Step::Read => read(&platform),
-            Step::Write { base, ref revision } => write(&platform, base, revision)?,
+            Step::Read => run_read(&platform),
+            Step::Write { base, ref revision } => run_write(&platform, base, revision)?,
             Step::Wait => {
-                thread::sleep(PAUSE);
-                read(&platform)
+                thread::sleep(RETRY_INTERVAL);
+                run_read(&platform)
             }
             Step::Applied(number) => {
                 println!("applied as revision {number}, change {change}");
@@ -126,19 +132,20 @@
                 println!("revision {number} says the same already");
                 return Ok(());
             }
-            Step::Conflict(present) => return Err(beaten(&present, &catalog)),
+            Step::Conflict(current) => return Err(conflict_error(&current, &catalog)),
         };
-        step = publish.next(event);
+        step = publication.next(event);
     }
-    let text = format!(
+    let message = format!(
         "the platform does not answer: it is not known whether change {change} took effect; \
          `apply` again with `--change {change}` tells"
     );
-    Err(anyhow!(text).into())
+    Err(anyhow!(message).into())
 }
 
-fn read(platform: &dyn Platform) -> Event {
-    match head(platform) {
+/// Reads the head and returns the event for the publication.
+fn run_read(platform: &dyn Platform) -> Event {
+    match read_head(platform) {
         Ok(head) => Event::Read(head),
         Err(e) => {
             eprintln!("vanetally: {e:#}; trying again");
@@ -147,9 +154,10 @@
     }
 }
 
-fn write(platform: &dyn Platform, base: u64, revision: &Revision) -> Result<Event, Error> {
+/// Writes the head and returns the event for the publication.
+fn run_write(platform: &dyn Platform, base: u64, revision: &Revision) -> Result<Event, Error> {
     let bytes = serde_json::to_vec(revision).context("the revision can't be written")?;
-    Ok(match platform.put(HEAD, base, &bytes) {
+    Ok(match platform.put(HEAD_KEY, base, &bytes) {
         Ok(PutOutcome::Written(_)) => Event::Written,
         Ok(PutOutcome::Conflict(_)) => Event::Conflict,
         Err(vanetally_link::platform::Error::Rejected(text)) => return Err(anyhow!(text).into()),
@@ -160,20 +168,21 @@
     })
 }
 
-fn beaten(present: &Revision, wanted: &Catalog) -> Error {
-    let lines = diff::diff(&present.catalog, wanted).join("\n");
+/// The error for a change that lost to `current`.
+fn conflict_error(current: &Revision, catalog: &Catalog) -> Error {
+    let lines = diff::diff(&current.catalog, catalog).join("\n");
     Error::Failed(anyhow!(
         "not applied: revision {} (change {}) came first; from it to yours it would be\n{lines}",
-        present.number,
-        present.change
+        current.number,
+        current.change
     ))
 }
 
-fn random_name() -> String {
+fn random_change() -> String {
     format!("{:016x}", rand::random::<u64>())
 }
 
-/// `vanetally token`.
+/// Runs `vanetally token`.
 pub fn token() -> Result<(), Error> {
     let mut line = String::new();
     std::io::stdin().read_line(&mut line).context("no token on standard input")?;
--- a/src/tool/demo.rs
+++ b/src/tool/demo.rs
@@ -1,4 +1,4 @@
-//! `vanetally demo`: everything on loopback inside one process.
+//! The command `vanetally demo`: entry hosts and stand-ins on loopback in one process.
 
 use anyhow::Context;
 use serde_json::{Value, json};
@@ -25,39 +25,39 @@
 const TOKEN: &str = "demo-token";
 const GIB: u64 = 1 << 30;
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
-const LISTEN: [u16; 2] = [18_080, 18_090];
-const READY_WITHIN: Duration = Duration::from_secs(30);
+const LISTEN_PORTS: [u16; 2] = [18_080, 18_090];
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs until the process is ended.
+/// Runs the demonstration until the process is terminated.
 pub fn run() -> anyhow::Result<()> {
-    let any: SocketAddr = "127.0.0.1:0".parse()?;
-    let (platform, _platform) = Platform::try_start(any, CREDENTIAL)?;
-    let (store, _store) = Store::try_start(any, 50, 10)?;
+    let any_port: SocketAddr = "127.0.0.1:0".parse()?;
+    let (platform, _platform_stopper) = Platform::try_start(any_port, CREDENTIAL)?;
+    let (store, _store_stopper) = Store::try_start(any_port, 50, 10)?;
     let mut engines = Vec::new();
-    for at in 0..DOMAINS.len() {
+    for index in 0..DOMAINS.len() {
         let options = engine::Options {
             capacity: 48 * GIB,
-            fenced: at != 2,
+            fenced: index != 2,
             store_url: Some(format!("http://{store}")),
             ..engine::Options::default()
         };
-        engines.push(Engine::try_start(any, options)?);
+        engines.push(Engine::try_start(any_port, options)?);
     }
-    let (service, _service) = Service::try_start(any, Duration::from_millis(5))?;
+    let (service, _service_stopper) = Service::try_start(any_port, Duration::from_millis(5))?;
     let addresses: Vec<SocketAddr> = engines.iter().map(|(address, _)| *address).collect();
     publish(&platform.to_string(), &catalog(&addresses, service)?)?;
     let daemons = start_daemons(&platform.to_string())?;
     wait_ready(&daemons)?;
-    print_lines(&daemons);
+    print_examples(&daemons);
     loop {
         thread::park();
     }
 }
 
 fn catalog(engines: &[SocketAddr], service: SocketAddr) -> anyhow::Result<Catalog> {
-    let runner = |(at, address): (usize, &SocketAddr)| {
-        json!({"name": format!("runner-{}", at + 1), "url": format!("http://{address}"),
-            "domain": DOMAINS[at], "capacity": "48GiB", "slots": 16, "fenced": at != 2})
+    let runner = |(index, address): (usize, &SocketAddr)| {
+        json!({"name": format!("runner-{}", index + 1), "url": format!("http://{address}"),
+            "domain": DOMAINS[index], "capacity": "48GiB", "slots": 16, "fenced": index != 2})
     };
     let model = |name: &str, size: &str, kind: &str| json!({"name": name, "versions": [{"name": "v1", "size": size}], "labels": {"kind": kind}});
     let runners: Vec<Value> = engines.iter().enumerate().map(runner).collect();
@@ -98,8 +98,8 @@
     };
     let client =
         HttpPlatform::new(&format!("http://{platform}"), CREDENTIAL.into(), Duration::from_secs(5));
-    let put = client.put("config/head", 0, &serde_json::to_vec(&revision)?)?;
-    anyhow::ensure!(matches!(put, PutOutcome::Written(_)), "the configuration was not taken");
+    let outcome = client.put("config/head", 0, &serde_json::to_vec(&revision)?)?;
+    anyhow::ensure!(matches!(outcome, PutOutcome::Written(_)), "the configuration was not taken");
     Ok(())
 }
 
@@ -109,9 +109,9 @@
 
 fn start_daemons(platform: &str) -> anyhow::Result<Vec<Arc<Daemon>>> {
     let mut settings = Vec::new();
-    for (at, port) in LISTEN.iter().enumerate() {
+    for (index, port) in LISTEN_PORTS.iter().enumerate() {
         let value = json!({
-            "host": format!("entry-{}", at + 1), "domain": DOMAINS[at],
+            "host": format!("entry-{}", index + 1), "domain": DOMAINS[index],
             "listen": format!("127.0.0.1:{port}"), "admin": format!("127.0.0.1:{}", port + 1),
             "peer": free_port()?.to_string(), "platform": format!("http://{platform}"),
             "credential": CREDENTIAL, "link_key": "demo-link-key-0123456789",
@@ -122,27 +122,27 @@
         .iter()
         .map(|s| json!({"name": s.host, "peer": s.peer.to_string(), "domain": s.domain}))
         .collect();
-    let caller = caller();
+    let client = http_client();
     let call = Call {
         method: "PUT".into(),
         url: format!("http://{platform}/hosts"),
         headers: Vec::new(),
         body: serde_json::to_vec(&hosts)?,
-        timeout: READY_WITHIN,
+        timeout: READY_TIMEOUT,
     };
-    caller.send(&call).context("list the hosts")?;
-    let start = |s: Settings| Ok(Arc::new(Daemon::try_start(s)?));
-    settings.into_iter().map(start).collect()
+    client.send(&call).context("list the hosts")?;
+    let start_daemon = |settings: Settings| Ok(Arc::new(Daemon::try_start(settings)?));
+    settings.into_iter().map(start_daemon).collect()
 }
 
-fn caller() -> Client {
-    Client::new(Options { connect_timeout: READY_WITHIN, idle_timeout: READY_WITHIN })
+fn http_client() -> Client {
+    Client::new(Options { connect_timeout: READY_TIMEOUT, idle_timeout: READY_TIMEOUT })
 }
 
-/// Waits until each declared model answers through the first entry host.
+/// Waits until the first entry host serves every model and adapter.
 fn wait_ready(daemons: &[Arc<Daemon>]) -> anyhow::Result<()> {
-    let began = Instant::now();
-    let caller = caller();
+    let started = Instant::now();
+    let client = http_client();
     for model in ["ladder", "summary", "tagger", "offer", "ladder-hydro"] {
         loop {
             let body = json!({"model": model, "prompt": "ready?", "max_tokens": 1});
@@ -151,19 +151,19 @@
                 url: format!("http://{}/v1/completions", daemons[0].addresses().0),
                 headers: vec![("Authorization".into(), format!("Bearer {TOKEN}"))],
                 body: body.to_string().into_bytes(),
-                timeout: READY_WITHIN,
+                timeout: READY_TIMEOUT,
             };
-            if caller.send(&call).is_ok_and(|answer| answer.status == 200) {
+            if client.send(&call).is_ok_and(|answer| answer.status == 200) {
                 break;
             }
-            anyhow::ensure!(began.elapsed() < READY_WITHIN, "`{model}` is not served");
+            anyhow::ensure!(started.elapsed() < READY_TIMEOUT, "`{model}` is not served");
             thread::sleep(Duration::from_millis(100));
         }
     }
     Ok(())
 }
 
-fn print_lines(daemons: &[Arc<Daemon>]) {
+fn print_examples(daemons: &[Arc<Daemon>]) {
     let (first, admin) = daemons[0].addresses();
     let (second, _) = daemons[1].addresses();
     println!(
--- a/src/tool/mod.rs
+++ b/src/tool/mod.rs
@@ -1,4 +1,4 @@
-//! Commands of the tool.
+//! The commands of the tool.
 
 mod args;
 mod catalog;
@@ -7,11 +7,11 @@
 
 use args::{Args, Command};
 
-/// Why a command did not succeed.
+/// A failed command.
 pub enum Error {
-    /// The arguments or the input are wrong.
+    /// The arguments or the input are invalid.
     Usage(String),
-    /// It was tried and failed.
+    /// The command was run and failed.
     Failed(anyhow::Error),
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Runs the command that the arguments name.
+/// Runs the command given by the arguments.
 pub fn run() -> Result<(), Error> {
     let Some(args) = Args::parse().map_err(|e| Error::Usage(format!("{e:#}")))? else {
         return Ok(());
--- a/src/vanetallyd.rs
+++ b/src/vanetallyd.rs
@@ -1,4 +1,4 @@
-//! The daemon: the same program on every entry host.
+//! `vanetallyd`, the daemon that runs on every entry host.
 
 use anyhow::bail;
 use lexopt::{Arg, ValueExt};
@@ -28,32 +28,33 @@
 Exit codes: 0 stopped as planned, 1 failed, 2 bad settings or arguments.
 ";
 
-/// The version and the commit that was built.
+/// Version and commit of this build.
 const BUILD: &str = concat!(env!("CARGO_PKG_VERSION"), "+", env!("VANETALLY_BUILD"));
 /// Exit code for bad settings or arguments.
-const USAGE: u8 = 2;
+const EXIT_USAGE: u8 = 2;
 
 struct Args {
     settings: Option<PathBuf>,
-    check: bool,
+    check_only: bool,
     is_gateway: bool,
 }
 
-/// What there is to do.
-enum Job {
-    /// Run with the product's own protocols.
+/// The program to run.
+enum Command {
+    /// The daemon, with vanetally's own protocols.
     Daemon(Box<Settings>),
-    /// Run on the platform, with the settings at this path.
+    /// The gateway on the users' platform, with the settings at this path.
     Gateway(PathBuf),
 }
 
-fn parse() -> anyhow::Result<Option<Args>> {
-    let (mut settings, mut check, mut is_gateway) = (None, false, false);
+/// Parses the arguments; returns `None` if they only ask for the help or the version.
+fn parse_args() -> anyhow::Result<Option<Args>> {
+    let (mut settings, mut check_only, mut is_gateway) = (None, false, false);
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
         match arg {
             Arg::Long("settings") => settings = Some(PathBuf::from(parser.value()?.string()?)),
-            Arg::Long("check") => check = true,
+            Arg::Long("check") => check_only = true,
             Arg::Value(value) if value == "gateway" => is_gateway = true,
             Arg::Long("help") => {
                 print!("{HELP}");
@@ -66,21 +67,21 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    Ok(Some(Args { settings, check, is_gateway }))
+    Ok(Some(Args { settings, check_only, is_gateway }))
 }
 
 fn main() -> ExitCode {
-    let job = match prepare() {
-        Ok(Some(job)) => job,
+    let command = match resolve_command() {
+        Ok(Some(command)) => command,
         Ok(None) => return ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("vanetallyd: {e:#}");
-            return ExitCode::from(USAGE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
-    let outcome = match job {
-        Job::Daemon(settings) => run(*settings),
-        Job::Gateway(path) => run_gateway(path).map(|()| true),
+    let outcome = match command {
+        Command::Daemon(settings) => run_daemon(*settings),
+        Command::Gateway(path) => run_gateway(path).map(|()| true),
     };
     match outcome {
         Ok(true) => ExitCode::SUCCESS,
@@ -92,9 +93,10 @@
     }
 }
 
-/// What to run, or `None` if there is nothing to run.
-fn prepare() -> anyhow::Result<Option<Job>> {
-    let Some(args) = parse()? else {
+/// Returns the command to run, with its settings checked; `None` if the arguments only ask for the
+/// help, the version or the check.
+fn resolve_command() -> anyhow::Result<Option<Command>> {
+    let Some(args) = parse_args()? else {
         return Ok(None);
     };
     let path = match args.settings {
@@ -102,17 +104,17 @@
         None if args.is_gateway => settings::path()?,
         None => bail!("--settings FILE is missing; see --help"),
     };
-    let job = if args.is_gateway {
+    let command = if args.is_gateway {
         settings::at(&path)?;
-        Job::Gateway(path.clone())
+        Command::Gateway(path.clone())
     } else {
-        Job::Daemon(Box::new(Settings::from_path(&path)?))
+        Command::Daemon(Box::new(Settings::from_path(&path)?))
     };
-    if args.check {
+    if args.check_only {
         println!("{}: sound", path.display());
         return Ok(None);
     }
-    Ok(Some(job))
+    Ok(Some(command))
 }
 
 fn run_gateway(path: PathBuf) -> anyhow::Result<()> {
@@ -121,7 +123,8 @@
     vanetally_gateway::run(BUILD, reload()?, reload, vanetally_platform::ports())
 }
 
-fn run(settings: Settings) -> anyhow::Result<bool> {
+/// Runs the daemon until it has stopped; returns whether the stop went as planned.
+fn run_daemon(settings: Settings) -> anyhow::Result<bool> {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
     let daemon = Arc::new(Daemon::try_start(settings)?);
     let mut signals = signal_hook::iterator::Signals::new([
