--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -19,10 +19,10 @@
 }
 
 impl Core {
-    /// Passes a revision to the keeper and applies it if it is newer and valid.
+    /// Applies a revision if it is newer and valid.
     pub(crate) fn offer_revision(&mut self, revision: Arc<Revision>, source: Source) {
         let number = revision.number;
-        match self.keeper.offer(revision, source) {
+        match self.revisions.offer(revision, source) {
             Outcome::Accepted => self.apply_revision(source),
             Outcome::Unchanged => {}
             Outcome::Stale { offered, current } => {
@@ -39,7 +39,7 @@
 
     /// Passes the new revision's upstreams and runners to the router and the ledgers.
     fn apply_revision(&mut self, source: Source) {
-        let revision = self.keeper.current().clone();
+        let revision = self.revisions.current().clone();
         self.log(format!("event=config-taken revision={} source={source:?}", revision.number));
         let upstreams = upstreams(&revision.catalog);
         let actions = self.router.handle(self.now, RouteEvent::Upstreams(upstreams));
@@ -72,8 +72,8 @@
 
     /// Sends the revision in force to a peer that requested it.
     pub(crate) fn send_config(&mut self, from: &HostId) {
-        if self.keeper.current().number > 0 {
-            let revision = self.keeper.current().clone();
+        if self.revisions.current().number > 0 {
+            let revision = self.revisions.current().clone();
             self.send(&from.name, Frame::Config(revision));
         }
     }
@@ -88,7 +88,7 @@
 
     /// Whether the catalog's `gone` label declares this process or its whole host destroyed.
     pub(crate) fn is_declared_gone(&self, host: &HostId) -> bool {
-        let hosts = &self.keeper.current().catalog.hosts;
+        let hosts = &self.revisions.current().catalog.hosts;
         let gone = |v: &Name| &**v == "yes" || **v == *host.incarnation.to_string();
         hosts.iter().any(|h| h.name == host.name && h.labels.get("gone").is_some_and(gone))
     }
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -64,7 +64,7 @@
     pub(crate) fn ping_all(&mut self) {
         let mut listed = self.options.listed.clone();
         listed.leaving = self.stopping;
-        let config = self.keeper.current().number;
+        let config = self.revisions.current().number;
         let frame = Frame::Ping { listed, config, tables: self.tables_hash() };
         let names: Vec<Name> = self.members.peers().map(|p| p.listed.name.clone()).collect();
         for name in names {
@@ -134,7 +134,7 @@
         if self.members.current_process(&from.name).as_ref() != Some(&from) {
             return;
         }
-        if config > self.keeper.current().number {
+        if config > self.revisions.current().number {
             self.request_config(&from);
         }
         if tables != self.tables_hash() {
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -60,7 +60,7 @@
     }
 
     fn url_of(&self, runner: &str) -> Option<Name> {
-        let runners = &self.keeper.current().catalog.runners;
+        let runners = &self.revisions.current().catalog.runners;
         runners.iter().find(|r| *r.name == *runner).map(|r| r.url.clone())
     }
 
@@ -108,7 +108,7 @@
 
     /// Starts the leadership of one runner; the record of an unfenced runner is read first.
     fn acquire_runner(&mut self, runner: &Name, term: u64) {
-        let runners = &self.keeper.current().catalog.runners;
+        let runners = &self.revisions.current().catalog.runners;
         let fenced = runners.iter().find(|r| r.name == *runner).is_some_and(|r| r.fenced);
         if fenced {
             return self
@@ -154,7 +154,7 @@
     }
 
     pub(crate) fn tick_groups(&mut self) {
-        if !self.hosts_listed || self.keeper.current().number == 0 {
+        if !self.hosts_listed || self.revisions.current().number == 0 {
             return;
         }
         for number in 0..self.options.groups {
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -51,7 +51,7 @@
     pub(crate) options: Options,
     pub(crate) now: Tick,
     pub(crate) actions: Vec<Action>,
-    pub(crate) keeper: RevisionTracker,
+    pub(crate) revisions: RevisionTracker,
     pub(crate) members: Members,
     pub(crate) router: Router,
     pub(crate) started: Tick,
@@ -115,7 +115,7 @@
         Self {
             now,
             actions: Vec::new(),
-            keeper: RevisionTracker::default(),
+            revisions: RevisionTracker::default(),
             members: Members::new(me.clone(), options.suspect_ms),
             router: Router::new(router),
             started: now,
@@ -183,12 +183,12 @@
 
     /// The revision in force.
     pub fn revision(&self) -> &Arc<Revision> {
-        self.keeper.current()
+        self.revisions.current()
     }
 
     /// Whether the load balancer may send requests to this host.
     pub fn is_ready(&self) -> bool {
-        !self.stopping && self.keeper.current().number > 0
+        !self.stopping && self.revisions.current().number > 0
     }
 
     /// Numbers of requests waiting and running on this host.
--- a/crates/core/src/planning.rs
+++ b/crates/core/src/planning.rs
@@ -79,12 +79,12 @@
         };
         let all_known = self.ledgers.keys().all(|name| self.runner_status.contains_key(name));
         let waited = self.now.since(since) >= PLAN_WARMUP_MS;
-        self.keeper.current().number > 0 && (waited || (all_known && !self.ledgers.is_empty()))
+        self.revisions.current().number > 0 && (waited || (all_known && !self.ledgers.is_empty()))
     }
 
     fn plan(&mut self) {
         self.planner.demand.advance(self.now);
-        let revision = self.keeper.current().clone();
+        let revision = self.revisions.current().clone();
         let catalog = &revision.catalog;
         let input = self.plan_input(catalog);
         let limits = StoreLimits {
@@ -117,7 +117,7 @@
         };
         let estimate = target.map(|t| self.planner.demand.estimate(&t)).unwrap_or_default();
         let runners = catalog.runners.iter().enumerate();
-        let allowed = runners.filter(|(_, r)| catalog.places(&entry.labels, &r.labels));
+        let allowed = runners.filter(|(_, r)| catalog.allows_placement(&entry.labels, &r.labels));
         Entry {
             id: entry.id,
             base: entry.base,
