--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -1,6 +1,6 @@
-//! The operators' side: health, readiness, metrics and the state dump.
+//! HTTP interface for operators: health, readiness, metrics and the state dump.
 
-use crate::{board::Board, hub::Input, telemetry};
+use crate::{hub::Input, shared::Shared, telemetry};
 use serde_json::json;
 use std::{
     sync::{
@@ -12,14 +12,13 @@
 };
 use vanetally_link::http::{Exchange, Reply};
 
-/// How long a state dump may take.
-const DUMP_WITHIN: Duration = Duration::from_secs(5);
+const DUMP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answers health and readiness, which the balancer may ask on either port.
-pub(crate) fn health(board: &Board, path: &str) -> Option<Reply> {
+/// Answers the health and readiness paths, which the load balancer may request on either port.
+pub(crate) fn health(shared: &Shared, path: &str) -> Option<Reply> {
     match path {
         "/healthz" => Some(Reply::new(200, "text/plain", "ok\n")),
-        "/readyz" if board.ready.load(Ordering::Relaxed) => {
+        "/readyz" if shared.ready.load(Ordering::Relaxed) => {
             Some(Reply::new(200, "text/plain", "ready\n"))
         }
         "/readyz" => Some(Reply::new(503, "text/plain", "not ready\n")),
@@ -27,16 +26,16 @@
     }
 }
 
-/// Answers one exchange on the operators' port.
-pub(crate) fn answer(board: &Arc<Board>, hub: &Sender<Input>, exchange: Exchange) {
-    if let Some(reply) = health(board, exchange.path()) {
+/// Serves one exchange on the operators' port.
+pub(crate) fn serve(shared: &Arc<Shared>, hub: &Sender<Input>, exchange: Exchange) {
+    if let Some(reply) = health(shared, exchange.path()) {
         return exchange.answer(reply);
     }
     let reply = match exchange.path() {
         "/metrics" => Reply::new(200, "text/plain; version=0.0.4", telemetry::handle().render()),
-        "/state" => state(hub),
+        "/state" => dump_state(hub),
         "/revision" => {
-            let revision = board.revision();
+            let revision = shared.revision();
             Reply::json(200, &serde_json::to_value(&*revision).unwrap_or_default())
         }
         path => Reply::json(404, &json!({"error": {"message": format!("no `{path}` here")}})),
@@ -44,10 +43,10 @@
     exchange.answer(reply);
 }
 
-fn state(hub: &Sender<Input>) -> Reply {
+fn dump_state(hub: &Sender<Input>) -> Reply {
     let (sender, inbox) = channel();
-    let asked = hub.send(Input::Dump(sender)).is_ok();
-    match asked.then(|| inbox.recv_timeout(DUMP_WITHIN)) {
+    let sent = hub.send(Input::Dump(sender)).is_ok();
+    match sent.then(|| inbox.recv_timeout(DUMP_TIMEOUT)) {
         Some(Ok(state)) => Reply::json(200, &state),
         _ => Reply::json(503, &json!({"error": {"message": "the daemon is stopping or stuck"}})),
     }
--- a/crates/daemon/src/admission.rs
+++ b/crates/daemon/src/admission.rs
@@ -1,4 +1,5 @@
-//! Who calls, what they may reach, and by when: checks that need no decision of the core.
+//! Checks of a request that need no decision of the core: authentication, admission, deadline and
+//! idempotency key.
 
 use crate::refusal::Refusal;
 use sha2::{Digest, Sha256};
@@ -10,21 +11,21 @@
 };
 use vanetally_types::Tick;
 
-/// SHA-256 of a bearer token, in hex, as the catalog holds it.
+/// Returns the SHA-256 of a bearer token, hex-encoded as in the catalog.
 pub fn token_hash(token: &str) -> String {
     let mut text = String::new();
     for byte in Sha256::digest(token.as_bytes()) {
-        // Writing to a string does not fail.
+        // Writing to a `String` can't fail.
         let _ = write!(text, "{byte:02x}");
     }
     text
 }
 
-/// The caller that the `Authorization` header proves.
+/// Returns the caller that the `Authorization` header authenticates.
 ///
 /// # Errors
-/// 401 if there is no bearer token or nobody has it.
-pub(crate) fn identify<'a>(
+/// 401 if the bearer token is missing or unknown.
+pub(crate) fn authenticate<'a>(
     catalog: &'a Catalog,
     authorization: Option<&str>,
 ) -> Result<&'a Caller, Refusal> {
@@ -34,9 +35,9 @@
     let hash = token_hash(token.trim());
     let mut found = None;
     for caller in &catalog.callers {
-        // All callers are compared, each in constant time.
-        let same = caller.token_sha256.to_ascii_lowercase().as_bytes().ct_eq(hash.as_bytes());
-        if bool::from(same) {
+        // Compares all callers, each in constant time, so that the time reveals no token.
+        let equal = caller.token_sha256.to_ascii_lowercase().as_bytes().ct_eq(hash.as_bytes());
+        if bool::from(equal) {
             found = Some(caller);
         }
     }
@@ -46,7 +47,7 @@
 /// Checks that `caller` may reach `target`.
 ///
 /// # Errors
-/// 404 if there is no such target, 403 if the selectors do not admit the caller.
+/// 404 if there is no such target, 403 if no rule admits the caller.
 pub(crate) fn admit(
     catalog: &Catalog,
     caller: &Caller,
@@ -64,55 +65,59 @@
     Ok(target)
 }
 
-/// The deadline that the `X-Deadline` header states, in Unix milliseconds.
+/// Returns the deadline in the `X-Deadline` header, in Unix milliseconds; `default_ms` from now
+/// without the header.
 ///
 /// # Errors
-/// 400 if it is no number or lies beyond `horizon`, 408 if it has passed.
+/// 400 if it is not a number or more than `horizon_ms` ahead, 408 if it has passed.
 pub(crate) fn deadline(
     header: Option<&str>,
     now: Tick,
-    default: u64,
-    horizon: u64,
+    default_ms: u64,
+    horizon_ms: u64,
 ) -> Result<Tick, Refusal> {
     let Some(text) = header else {
-        return Ok(now + default);
+        return Ok(now + default_ms);
     };
-    let bad = |text: &str| Refusal::new(400, "bad_deadline", text);
+    let bad_deadline = |text: &str| Refusal::new(400, "bad_deadline", text);
     let millis: u64 = text
         .trim()
         .parse()
-        .map_err(|_| bad("X-Deadline must be Unix time in whole milliseconds"))?;
+        .map_err(|_| bad_deadline("X-Deadline must be Unix time in whole milliseconds"))?;
     let deadline = Tick(millis);
     if deadline <= now {
         return Err(Refusal::new(408, "deadline_passed", "the deadline has passed"));
     }
-    if deadline.since(now) > horizon {
-        return Err(bad(&format!("the deadline lies more than {horizon} ms ahead")));
+    if deadline.since(now) > horizon_ms {
+        return Err(bad_deadline(&format!("the deadline lies more than {horizon_ms} ms ahead")));
     }
     Ok(deadline)
 }
 
-/// Longest id of a once-only request, in bytes.
-const LONGEST_KEY: usize = 256;
+/// Maximum length of an idempotency key.
+const MAX_KEY_BYTES: usize = 256;
 
-/// The id of a once-only request: `None` if the request may be repeated.
+/// Returns the idempotency key of a once-only request; `None` if the request may run repeatedly.
+///
+/// `required` states whether the target's requests are once-only, `marker` is the `X-Once-Only`
+/// header.
 ///
 /// # Errors
-/// 400 if the request must not run twice and has no id, or the id is unusable.
-pub(crate) fn once_key<'a>(
+/// 400 if a once-only request has no key, or the key has an invalid length.
+pub(crate) fn idempotency_key<'a>(
     required: bool,
     key: Option<&'a str>,
-    marked: Option<&str>,
+    marker: Option<&str>,
 ) -> Result<Option<&'a str>, Refusal> {
-    let marked = marked.is_some_and(|m| m.eq_ignore_ascii_case("true"));
+    let once_only = marker.is_some_and(|m| m.eq_ignore_ascii_case("true"));
     match key.map(str::trim) {
-        Some(key) if key.is_empty() || key.len() > LONGEST_KEY => Err(Refusal::new(
+        Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => Err(Refusal::new(
             400,
             "bad_idempotency_key",
             "Idempotency-Key must have 1 to 256 bytes",
         )),
         Some(key) => Ok(Some(key)),
-        None if required || marked => Err(Refusal::new(
+        None if required || once_only => Err(Refusal::new(
             400,
             "missing_idempotency_key",
             "this request runs at most once: send an Idempotency-Key",
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,12 +1,12 @@
-//! A daemon as a whole: its threads from start to planned stop.
+//! Start and planned stop of a daemon and its threads.
 
 use crate::{
     admin,
-    board::Board,
-    engine::Lanes,
-    front::Front,
-    hub::{self, Hands, Input},
-    store::{self, Store},
+    frontend::Frontend,
+    hub::{self, Executors, Input},
+    platform::{self, PlatformThreads},
+    runner::RunnerThreads,
+    shared::Shared,
     telemetry,
 };
 use anyhow::Context;
@@ -32,137 +32,139 @@
 
 /// A running daemon.
 pub struct Daemon {
-    board: Arc<Board>,
+    shared: Arc<Shared>,
     hub: Sender<Input>,
-    core: JoinHandle<()>,
+    core_thread: JoinHandle<()>,
     servers: Vec<Stopper>,
     addresses: (SocketAddr, SocketAddr),
 }
 
-/// Slots of once-only ids: each costs the platform at most ten writes a second.
+/// Number of slots of once-only ids; each causes at most ten platform writes a second.
 const SLOTS: u16 = 16;
-/// Groups of runners.
+/// Number of groups of runners.
 const GROUPS: u16 = 8;
-/// Largest message on a link: a whole configuration with room to spare.
-const MOST_MESSAGE: usize = 4_000_000;
-/// Exchanges at once on the operators' port.
-const MOST_ADMIN: usize = 16;
+/// Maximum size of a link message; a complete configuration is smaller.
+const MAX_MESSAGE_BYTES: usize = 4_000_000;
+/// Maximum number of parallel exchanges on the operators' port.
+const MAX_ADMIN_EXCHANGES: usize = 16;
 
 impl Daemon {
     /// Starts a daemon.
     ///
     /// # Errors
-    /// If one of its addresses can't be bound or a thread can't be made.
+    /// If an address can't be bound or a thread can't be created.
     pub fn try_start(settings: Settings) -> anyhow::Result<Self> {
         telemetry::handle();
         let listen = Server::try_bind(settings.listen).context("settings key `listen`")?;
         let admin = Server::try_bind(settings.admin).context("settings key `admin`")?;
         let peers = TcpListener::bind(settings.peer).context("settings key `peer`")?;
-        let board = Arc::new(Board::new(settings));
+        let shared = Arc::new(Shared::new(settings));
         let (hub, inbox) = channel();
-        let links = start_links(&board, peers, &hub)?;
-        let platform = start_platform(&board, &hub);
-        let caller = upstream_caller(&board);
-        let hands = Hands {
-            board: board.clone(),
-            store: Store::start(&platform, &hub),
-            lanes: Lanes::new(board.clone(), caller.clone(), hub.clone()),
+        let links = start_links(&shared, peers, &hub)?;
+        let platform = start_platform(&shared, &hub);
+        let client = upstream_client(&shared);
+        let executors = Executors {
+            shared: shared.clone(),
+            platform: PlatformThreads::start(&platform, &hub),
+            runners: RunnerThreads::new(shared.clone(), client.clone(), hub.clone()),
             links,
         };
-        let core = Core::new(board.clock.now(), core_options(&board));
-        let run = move || hub::run(core, hands, &inbox);
-        let core = thread::Builder::new().name("core".into()).spawn(run)?;
+        let core = Core::new(shared.clock.now(), core_options(&shared));
+        let run = move || hub::run(core, executors, &inbox);
+        let core_thread = thread::Builder::new().name("core".into()).spawn(run)?;
         let addresses = (listen.address(), admin.address());
-        let servers =
-            vec![serve_callers(&board, &hub, caller, listen), serve_operators(&board, &hub, admin)];
+        let servers = vec![
+            serve_callers(&shared, &hub, client, listen),
+            serve_operators(&shared, &hub, admin),
+        ];
         log::info!(
             "event=started host={} domain={} listen={} admin={}",
-            board.me,
-            board.settings.domain,
+            shared.host_id,
+            shared.settings.domain,
             addresses.0,
             addresses.1
         );
-        Ok(Self { board, hub, core, servers, addresses })
+        Ok(Self { shared, hub, core_thread, servers, addresses })
     }
 
-    /// Where callers and operators connect.
+    /// Returns the listen addresses for callers and for operators.
     pub fn addresses(&self) -> (SocketAddr, SocketAddr) {
         self.addresses
     }
 
-    /// Begins a planned stop: no longer ready, duties handed over, requests in flight finished.
+    /// Begins a planned stop: the daemon reports that it is not ready, hands its duties over and
+    /// completes the requests in flight.
     pub fn stop(&self) {
-        self.board.stopping.store(true, Ordering::Relaxed);
+        self.shared.stopping.store(true, Ordering::Relaxed);
         if self.hub.send(Input::Core(Event::Stop)).is_err() {
             log::debug!("event=stop-after-end");
         }
     }
 
-    /// Waits for the planned stop to complete, as long as the settings allow.
-    /// Returns whether it completed.
+    /// Waits for a planned stop and returns whether it completed within the time in the settings.
     pub fn join(&self) -> bool {
-        let most = self.board.settings.timing.stop.duration();
-        let mut began: Option<Instant> = None;
-        while !self.core.is_finished() {
-            if self.board.stopping.load(Ordering::Relaxed) {
-                let since = began.get_or_insert_with(Instant::now);
-                if since.elapsed() > most {
-                    log::error!("event=stop-incomplete host={}", self.board.me);
-                    // The loop may have ended since.
+        let timeout = self.shared.settings.timing.stop.duration();
+        let mut stop_started: Option<Instant> = None;
+        while !self.core_thread.is_finished() {
+            if self.shared.stopping.load(Ordering::Relaxed) {
+                let started = stop_started.get_or_insert_with(Instant::now);
+                if started.elapsed() > timeout {
+                    log::error!("event=stop-incomplete host={}", self.shared.host_id);
+                    // Fails if the loop has ended meanwhile.
                     let _ = self.hub.send(Input::Quit);
                     return false;
                 }
             }
-            thread::sleep(JOIN_POLL);
+            thread::sleep(JOIN_POLL_INTERVAL);
         }
         self.servers.iter().for_each(Stopper::stop);
-        log::info!("event=stopped host={}", self.board.me);
+        log::info!("event=stopped host={}", self.shared.host_id);
         true
     }
 }
 
-const JOIN_POLL: Duration = Duration::from_millis(20);
+const JOIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 fn start_links(
-    board: &Arc<Board>,
+    shared: &Arc<Shared>,
     listener: TcpListener,
     hub: &Sender<Input>,
 ) -> anyhow::Result<Links> {
     let options = peer::Options {
-        host_id: board.me.clone(),
-        key: board.settings.link_key.clone(),
-        max_message_bytes: MOST_MESSAGE,
+        host_id: shared.host_id.clone(),
+        key: shared.settings.link_key.clone(),
+        max_message_bytes: MAX_MESSAGE_BYTES,
     };
     let hub = hub.clone();
     Links::try_start(listener, options, move |event| {
-        // The loop ends before the links do.
+        // Fails if the loop has ended; the links end later.
         let _ = hub.send(Input::Link(event));
     })
 }
 
-fn start_platform(board: &Arc<Board>, hub: &Sender<Input>) -> Arc<dyn Platform> {
-    let settings = &board.settings;
-    let within = settings.timing.platform.duration();
+fn start_platform(shared: &Arc<Shared>, hub: &Sender<Input>) -> Arc<dyn Platform> {
+    let settings = &shared.settings;
+    let timeout = settings.timing.platform.duration();
     let platform: Arc<dyn Platform> =
-        Arc::new(HttpPlatform::new(&settings.platform, settings.credential.clone(), within));
-    store::follow_hosts(board.clone(), platform.clone(), hub.clone());
-    store::follow_config(board.clone(), platform.clone(), hub.clone());
+        Arc::new(HttpPlatform::new(&settings.platform, settings.credential.clone(), timeout));
+    platform::follow_hosts(shared.clone(), platform.clone(), hub.clone());
+    platform::follow_config(shared.clone(), platform.clone(), hub.clone());
     platform
 }
 
-fn upstream_caller(board: &Board) -> Client {
-    let timing = &board.settings.timing;
+fn upstream_client(shared: &Shared) -> Client {
+    let timing = &shared.settings.timing;
     Client::new(call::Options {
         connect_timeout: timing.connect.duration(),
         idle_timeout: timing.silence.duration(),
     })
 }
 
-fn core_options(board: &Board) -> Options {
-    let settings = &board.settings;
+fn core_options(shared: &Shared) -> Options {
+    let settings = &shared.settings;
     let timing = &settings.timing;
     Options {
-        me: board.me.clone(),
+        me: shared.host_id.clone(),
         listed: ListedHost {
             name: settings.host.clone(),
             link_addr: settings.peer.to_string().into(),
@@ -180,19 +182,19 @@
 }
 
 fn serve_callers(
-    board: &Arc<Board>,
+    shared: &Arc<Shared>,
     hub: &Sender<Input>,
-    caller: Client,
+    client: Client,
     server: Server,
 ) -> Stopper {
-    let front = Front { board: board.clone(), hub: hub.clone(), caller };
+    let frontend = Frontend { shared: shared.clone(), hub: hub.clone(), client };
     let options =
-        http::Options { max_exchanges: board.settings.limits.streams, ..Default::default() };
-    server.serve("caller", options, move |exchange| front.serve(exchange))
+        http::Options { max_exchanges: shared.settings.limits.streams, ..Default::default() };
+    server.serve("caller", options, move |exchange| frontend.serve(exchange))
 }
 
-fn serve_operators(board: &Arc<Board>, hub: &Sender<Input>, server: Server) -> Stopper {
-    let (board, hub) = (board.clone(), hub.clone());
-    let options = http::Options { max_exchanges: MOST_ADMIN, ..Default::default() };
-    server.serve("admin", options, move |exchange| admin::answer(&board, &hub, exchange))
+fn serve_operators(shared: &Arc<Shared>, hub: &Sender<Input>, server: Server) -> Stopper {
+    let (shared, hub) = (shared.clone(), hub.clone());
+    let options = http::Options { max_exchanges: MAX_ADMIN_EXCHANGES, ..Default::default() };
+    server.serve("admin", options, move |exchange| admin::serve(&shared, &hub, exchange))
 }
--- a/crates/daemon/src/front.rs
+++ b/crates/daemon/src/frontend.rs
@@ -1,12 +1,12 @@
-//! The callers' side: from a request to its final answer.
+//! HTTP interface for callers: handles a request from its arrival to the final answer.
 
 use crate::{
     admin,
-    admission::{admit, deadline, identify, once_key},
-    board::Board,
+    admission::{admit, authenticate, deadline, idempotency_key},
     hub::{Decision, Input},
     proxy::Attempt,
     refusal::Refusal,
+    shared::Shared,
     telemetry,
 };
 use serde_json::{Value, json};
@@ -27,36 +27,36 @@
 use vanetally_route::{AttemptEnd, Request};
 use vanetally_types::{Name, Tick, Verdict, hash64};
 
-/// What an upstream is sent for a request.
-pub(crate) struct Job {
+/// A caller's request as it is sent to upstreams.
+pub(crate) struct UpstreamRequest {
     /// The request's number on this host.
     pub id: u64,
-    /// The request's name at upstreams.
+    /// The request's id at upstreams.
     pub request_id: String,
     pub method: String,
-    /// Path and query at the upstream.
+    /// Path and query.
     pub path: String,
     pub headers: Vec<(String, String)>,
     body: Body,
-    /// Whether the upstream is a plain service.
-    pub service: bool,
-    pub once: bool,
-    /// Largest answer kept for repeats.
-    pub kept: u64,
+    /// Whether the target is a service and not a model.
+    pub is_service: bool,
+    pub once_only: bool,
+    /// Maximum size of an answer that is stored for repeats.
+    pub max_kept_bytes: u64,
     pub fingerprint: u64,
-    /// Headers that ask the caller to connect anew, while this host is stopping.
-    pub closing: Vec<(String, String)>,
+    /// Response headers that make the caller reconnect; set while this host is stopping.
+    pub closing_headers: Vec<(String, String)>,
 }
 
 enum Body {
-    /// Sent as it came.
+    /// Sent unchanged.
     Plain(Vec<u8>),
-    /// A JSON object in which the entry's name replaces the model's.
+    /// A JSON object in which the entry's id replaces the model's name.
     Model(Value),
 }
 
-impl Job {
-    /// The body for an upstream that holds `entry`.
+impl UpstreamRequest {
+    /// Returns the body for an upstream that holds `entry`.
     pub fn body_for(&self, entry: &Name) -> Vec<u8> {
         match &self.body {
             Body::Plain(bytes) => bytes.clone(),
@@ -70,29 +70,29 @@
 }
 
 /// A request that passed all checks.
-struct Admitted {
-    job: Job,
+struct AdmittedRequest {
+    upstream_request: UpstreamRequest,
     arrival: Arrival,
     class: Name,
 }
 
 /// Serves callers.
-pub(crate) struct Front {
-    pub board: Arc<Board>,
+pub(crate) struct Frontend {
+    pub shared: Arc<Shared>,
     pub hub: Sender<Input>,
-    pub caller: Client,
+    pub client: Client,
 }
 
-/// The loop answers within this long after a deadline.
-const SLACK: Duration = Duration::from_secs(5);
-/// Prompt bytes that count for prefix affinity.
-const PREFIX: usize = 256;
+/// Additional time after a request's deadline in which the event loop decides.
+const DECISION_SLACK: Duration = Duration::from_secs(5);
+/// Number of prompt bytes that are hashed for prefix affinity.
+const PREFIX_BYTES: usize = 256;
 
-impl Front {
+impl Frontend {
     /// Serves one exchange.
     pub fn serve(&self, mut exchange: Exchange) {
         let started = Instant::now();
-        if let Some(reply) = admin::health(&self.board, exchange.path()) {
+        if let Some(reply) = admin::health(&self.shared, exchange.path()) {
             return exchange.answer(reply);
         }
         if exchange.path() == "/v1/models" {
@@ -100,19 +100,19 @@
             return exchange.answer(reply);
         }
         match self.admit(&mut exchange) {
-            Ok(admitted) => self.carry_out(admitted, exchange, started),
+            Ok(admitted) => self.execute(admitted, exchange, started),
             Err(refusal) => {
-                telemetry::ended(&self.board.settings.host, "", "", &refusal.code);
+                telemetry::count_request(&self.shared.settings.host, "", "", &refusal.code);
                 exchange.answer(refusal.reply());
             }
         }
     }
 
-    /// The models that the caller may reach.
+    /// Returns the models and adapters that the caller may reach.
     fn models(&self, exchange: &Exchange) -> Result<Reply, Refusal> {
-        let revision = self.board.revision();
+        let revision = self.shared.revision();
         let catalog = &revision.catalog;
-        let caller = identify(catalog, exchange.header("Authorization"))?;
+        let caller = authenticate(catalog, exchange.header("Authorization"))?;
         let models = catalog.models.iter().map(|m| (&m.name, &m.labels));
         let adapters = catalog.adapters.iter().map(|a| (&a.name, &a.labels));
         let rows: Vec<Value> = models
@@ -123,19 +123,20 @@
         Ok(Reply::json(200, &json!({"object": "list", "data": rows})))
     }
 
-    fn admit(&self, exchange: &mut Exchange) -> Result<Admitted, Refusal> {
-        let revision = self.board.revision();
+    /// Reads and checks a request.
+    fn admit(&self, exchange: &mut Exchange) -> Result<AdmittedRequest, Refusal> {
+        let revision = self.shared.revision();
         let catalog = &revision.catalog;
         if revision.number == 0 {
             let mut refusal =
                 Refusal::new(503, "no_configuration", "no configuration is known yet");
-            refusal.retry_after = Some(2_000);
+            refusal.retry_after_ms = Some(2_000);
             return Err(refusal);
         }
-        let caller = identify(catalog, exchange.header("Authorization"))?;
+        let caller = authenticate(catalog, exchange.header("Authorization"))?;
         let method = exchange.method();
         let url = exchange.url().to_owned();
-        let service = url.strip_prefix("/services/").map(|rest| rest.to_owned());
+        let service = url.strip_prefix("/services/").map(|path| path.to_owned());
         let completion = matches!(exchange.path(), "/v1/chat/completions" | "/v1/completions");
         if service.is_none() && !completion {
             let text = format!("there is nothing at `{}`", exchange.path());
@@ -144,12 +145,12 @@
         if completion && method != "POST" {
             return Err(Refusal::new(405, "method_not_allowed", "use POST"));
         }
-        let body = self.body(exchange)?;
+        let body = self.read_body(exchange)?;
         let fingerprint = hash64(&[method.as_bytes(), url.as_bytes(), &body].concat());
         let (target, path, body, prefix) = match &service {
-            Some(rest) => {
-                let end = rest.find(['/', '?']).unwrap_or(rest.len());
-                let (name, path) = rest.split_at(end);
+            Some(service_path) => {
+                let end = service_path.find(['/', '?']).unwrap_or(service_path.len());
+                let (name, path) = service_path.split_at(end);
                 let target = catalog.service_target(name);
                 let target = admit(catalog, caller, "service", name, target)?;
                 let path = if path.starts_with('/') { path.to_owned() } else { format!("/{path}") };
@@ -161,25 +162,26 @@
                 (target, url, Body::Model(value), prefix)
             }
         };
-        let now = self.board.clock.now();
-        let timing = &self.board.settings.timing;
+        let now = self.shared.clock.now();
+        let timing = &self.shared.settings.timing;
         let deadline =
             deadline(exchange.header("X-Deadline"), now, timing.deadline.0, timing.horizon.0)?;
-        let key = once_key(
+        let key = idempotency_key(
             catalog.is_once(&target.labels),
             exchange.header("Idempotency-Key"),
             exchange.header("X-Once-Only"),
         )?;
         let (class, rank) = catalog.class_of(&caller.labels, &target.labels);
-        let id = self.board.next_id();
-        let request_id = format!("{}-{}-{id}", self.board.me.name, self.board.me.incarnation);
+        let id = self.shared.next_id();
+        let request_id =
+            format!("{}-{}-{id}", self.shared.host_id.name, self.shared.host_id.incarnation);
         let headers = match service {
             Some(_) => service_headers(exchange, &caller.name, &request_id, deadline),
             None => engine_headers(&request_id, rank, deadline, key),
         };
         let entries =
             if service.is_some() { vec![service_entry(&target.name)] } else { target.entries };
-        let once = key.map(|key| Id::from_key(&caller.name, key));
+        let claim_id = key.map(|key| Id::from_key(&caller.name, key));
         let request = Request {
             id,
             caller: caller.name.clone(),
@@ -187,114 +189,121 @@
             entries,
             rank,
             deadline,
-            once_only: once.is_some(),
+            once_only: claim_id.is_some(),
             prefix,
         };
-        let job = Job {
+        let upstream_request = UpstreamRequest {
             id,
             request_id,
             method,
             path,
             headers,
             body,
-            service: service.is_some(),
-            once: once.is_some(),
-            kept: self.board.settings.limits.kept.0,
+            is_service: service.is_some(),
+            once_only: claim_id.is_some(),
+            max_kept_bytes: self.shared.settings.limits.kept.0,
             fingerprint,
-            closing: self.closing(),
+            closing_headers: self.closing_headers(),
         };
-        Ok(Admitted { job, arrival: Arrival { request, claim_id: once }, class })
+        Ok(AdmittedRequest { upstream_request, arrival: Arrival { request, claim_id }, class })
     }
 
-    fn body(&self, exchange: &mut Exchange) -> Result<Vec<u8>, Refusal> {
-        let most = self.board.settings.limits.body;
-        exchange.body(most.0).map_err(|e| match e {
+    fn read_body(&self, exchange: &mut Exchange) -> Result<Vec<u8>, Refusal> {
+        let max = self.shared.settings.limits.body;
+        exchange.body(max.0).map_err(|e| match e {
             BodyError::TooLarge => {
-                Refusal::new(413, "body_too_large", &format!("the body is larger than {most}"))
+                Refusal::new(413, "body_too_large", &format!("the body is larger than {max}"))
             }
             BodyError::Broken => Refusal::new(400, "body_broken", "the body did not arrive"),
         })
     }
 
-    fn closing(&self) -> Vec<(String, String)> {
-        match self.board.stopping.load(Ordering::Relaxed) {
+    fn closing_headers(&self) -> Vec<(String, String)> {
+        match self.shared.stopping.load(Ordering::Relaxed) {
             true => vec![("Connection".into(), "close".into())],
             false => Vec::new(),
         }
     }
 
-    fn carry_out(&self, admitted: Admitted, exchange: Exchange, started: Instant) {
-        let Admitted { job, arrival, class } = admitted;
+    fn execute(&self, admitted: AdmittedRequest, exchange: Exchange, started: Instant) {
+        let AdmittedRequest { upstream_request, arrival, class } = admitted;
         let target = arrival.request.target.clone();
         let deadline = arrival.request.deadline;
         let (sender, inbox) = channel();
-        let mut watch = Watch { hub: &self.hub, id: job.id, over: false };
+        let mut guard = EndGuard { hub: &self.hub, id: upstream_request.id, reported: false };
         if self.hub.send(Input::Arrive(arrival, sender)).is_err() {
-            watch.over = true;
-            return exchange.answer(stopping().reply());
+            guard.reported = true;
+            return exchange.answer(stopping_refusal().reply());
         }
-        let code = self.follow(&job, &inbox, exchange, deadline, started, &mut watch);
-        telemetry::ended(&self.board.settings.host, &target, &class, &code);
+        let code = self.follow_decisions(
+            &upstream_request,
+            &inbox,
+            exchange,
+            deadline,
+            started,
+            &mut guard,
+        );
+        telemetry::count_request(&self.shared.settings.host, &target, &class, &code);
         log::info!(
             "event=request host={} request={} target={target} class={class} outcome={code} ms={}",
-            self.board.settings.host,
-            job.request_id,
+            self.shared.settings.host,
+            upstream_request.request_id,
             started.elapsed().as_millis()
         );
     }
 
-    /// Follows decisions until the caller has a final answer; returns the outcome's code.
-    fn follow(
+    /// Executes decisions until the caller has a final answer; returns the outcome's code.
+    fn follow_decisions(
         &self,
-        job: &Job,
+        request: &UpstreamRequest,
         inbox: &Receiver<Decision>,
         exchange: Exchange,
         deadline: Tick,
         started: Instant,
-        watch: &mut Watch<'_>,
+        guard: &mut EndGuard<'_>,
     ) -> String {
         let mut exchange = exchange;
         loop {
-            let left = Duration::from_millis(deadline.since(self.board.clock.now()));
-            match inbox.recv_timeout(left + SLACK) {
+            let remaining = Duration::from_millis(deadline.since(self.shared.clock.now()));
+            match inbox.recv_timeout(remaining + DECISION_SLACK) {
                 Ok(Decision::Refuse(refused)) => {
-                    watch.over = true;
+                    guard.reported = true;
                     return refuse(exchange, &refused.into());
                 }
                 Ok(Decision::Replay(answer)) => {
-                    watch.over = true;
-                    return replay(job, exchange, &answer);
+                    guard.reported = true;
+                    return replay(request, exchange, &answer);
                 }
                 Ok(Decision::Call { upstream, url, entry }) => {
                     let attempt = Attempt {
-                        job,
-                        caller: &self.caller,
-                        host: &self.board.settings.host,
+                        request,
+                        client: &self.client,
+                        host: &self.shared.settings.host,
                         upstream,
                         url,
                         entry,
-                        within: left.max(Duration::from_millis(1)),
+                        timeout: remaining.max(Duration::from_millis(1)),
                         started,
                     };
                     let outcome = attempt.run(exchange);
-                    let sent = outcome.exchange.is_none();
+                    let response_started = outcome.exchange.is_none();
                     let event = Event::Ended {
-                        id: job.id,
+                        id: request.id,
                         end: outcome.end,
-                        response_started: sent,
+                        response_started,
                         answer: outcome.answer,
                     };
-                    watch.over = sent;
+                    guard.reported = response_started;
                     if self.hub.send(Input::Core(event)).is_err() {
-                        log::warn!("event=end-unreported request={}", job.id);
+                        log::warn!("event=end-unreported request={}", request.id);
                     }
                     match outcome.exchange {
                         Some(unanswered) => exchange = unanswered,
-                        None => return end_code(outcome.end).into(),
+                        None => return outcome_code(outcome.end).into(),
                     }
                 }
                 Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => {
-                    let mut refusal = stopping();
+                    let mut refusal = stopping_refusal();
                     refusal.verdict = Verdict::MayHaveRun;
                     return refuse(exchange, &refusal);
                 }
@@ -303,19 +312,19 @@
     }
 }
 
-/// Reports an exchange that ended without saying so.
-struct Watch<'a> {
+/// Reports the end of an exchange when dropped, unless it has been reported.
+struct EndGuard<'a> {
     hub: &'a Sender<Input>,
     id: u64,
-    over: bool,
+    reported: bool,
 }
 
-impl Drop for Watch<'_> {
+impl Drop for EndGuard<'_> {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.reported {
             let end = AttemptEnd::Failed(Verdict::MayHaveRun);
             let event = Event::Ended { id: self.id, end, response_started: true, answer: None };
-            // The loop may have ended before.
+            // Fails if the loop has ended.
             let _ = self.hub.send(Input::Core(event));
         }
     }
@@ -326,8 +335,12 @@
     refusal.code.clone()
 }
 
-fn replay(job: &Job, exchange: Exchange, answer: &vanetally_claim::Answer) -> String {
-    if answer.fingerprint != job.fingerprint {
+fn replay(
+    request: &UpstreamRequest,
+    exchange: Exchange,
+    answer: &vanetally_claim::Answer,
+) -> String {
+    if answer.fingerprint != request.fingerprint {
         let text = "this Idempotency-Key belongs to another request";
         return refuse(exchange, &Refusal::new(422, "idempotency_key_reused", text));
     }
@@ -338,7 +351,7 @@
     "replayed".into()
 }
 
-fn end_code(end: AttemptEnd) -> &'static str {
+fn outcome_code(end: AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Completed => "ok",
         AttemptEnd::CallerGone => "caller_gone",
@@ -347,30 +360,31 @@
     }
 }
 
-fn stopping() -> Refusal {
+fn stopping_refusal() -> Refusal {
     let mut refusal = Refusal::new(503, "stopping", "this host is stopping");
-    refusal.retry_after = Some(1_000);
+    refusal.retry_after_ms = Some(1_000);
     refusal
 }
 
-/// The body of a completion, the model that it names, and the hash of its prompt's beginning.
+/// Parses the body of a completion; returns it with the model's name and the hash of the prompt's
+/// prefix, which is 0 for a shorter prompt.
 fn parse_completion(body: &[u8]) -> Result<(Value, String, u64), Refusal> {
-    let bad = |code: &str, text: &str| Refusal::new(400, code, text);
+    let bad_request = |code: &str, text: &str| Refusal::new(400, code, text);
     let value: Value = serde_json::from_slice(body)
-        .map_err(|e| bad("bad_json", &format!("the body is no JSON: {e}")))?;
+        .map_err(|e| bad_request("bad_json", &format!("the body is no JSON: {e}")))?;
     if !value.is_object() {
-        return Err(bad("bad_json", "the body must be a JSON object"));
+        return Err(bad_request("bad_json", "the body must be a JSON object"));
     }
     let Some(model) = value.get("model").and_then(Value::as_str) else {
-        return Err(bad("missing_model", "the body must name a `model`"));
+        return Err(bad_request("missing_model", "the body must name a `model`"));
     };
     let prompt = value.get("messages").or_else(|| value.get("prompt"));
     let Some(prompt) = prompt else {
-        return Err(bad("missing_prompt", "the body must have `messages` or a `prompt`"));
+        return Err(bad_request("missing_prompt", "the body must have `messages` or a `prompt`"));
     };
     let text = prompt.to_string();
-    let start = &text.as_bytes()[..text.len().min(PREFIX)];
-    let prefix = if text.len() < PREFIX { 0 } else { hash64(start).max(1) };
+    let start = &text.as_bytes()[..text.len().min(PREFIX_BYTES)];
+    let prefix = if text.len() < PREFIX_BYTES { 0 } else { hash64(start).max(1) };
     let model = model.to_owned();
     Ok((value, model, prefix))
 }
@@ -391,15 +405,15 @@
     headers
 }
 
-/// Headers that a service gets: the caller's own without credentials and what concerns only the
-/// connection.
+/// Returns the headers for a service: the caller's headers without credentials and hop-by-hop
+/// headers, and those that the host sets.
 fn service_headers(
     exchange: &Exchange,
     caller: &Name,
     request_id: &str,
     deadline: Tick,
 ) -> Vec<(String, String)> {
-    const HELD: [&str; 13] = [
+    const DROPPED: [&str; 13] = [
         "authorization",
         "connection",
         "content-length",
@@ -417,7 +431,7 @@
     let mut headers: Vec<(String, String)> = exchange
         .headers()
         .into_iter()
-        .filter(|(name, _)| !HELD.contains(&name.to_ascii_lowercase().as_str()))
+        .filter(|(name, _)| !DROPPED.contains(&name.to_ascii_lowercase().as_str()))
         .collect();
     headers.push(("X-Caller".into(), caller.to_string()));
     headers.push(("X-Request-Id".into(), request_id.to_owned()));
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,20 +1,21 @@
-//! The daemon: the core's decisions with sockets, threads and a clock around them.
+//! The daemon: runs the core with sockets, threads and a clock.
 //!
-//! One `stakker` loop owns all decisions. Callers' exchanges, runners' orders, the platform's
-//! service and the links each have threads of their own and talk to the loop by messages.
+//! One `stakker` event loop owns the core, which makes all decisions. Callers' exchanges, calls to
+//! runners, calls to the platform's service and the links run on threads of their own and exchange
+//! messages with the loop.
 #![deny(missing_docs, unsafe_code)]
 
 mod admin;
 mod admission;
-mod board;
 mod daemon;
-mod engine;
-mod front;
+mod frontend;
 mod hub;
+mod platform;
 mod proxy;
 mod refusal;
-mod store;
-mod stream;
+mod runner;
+mod shared;
+mod sse;
 mod telemetry;
 
 pub use admission::token_hash;
--- a/crates/daemon/src/proxy.rs
+++ b/crates/daemon/src/proxy.rs
@@ -1,6 +1,6 @@
-//! One attempt at an upstream: the answer goes straight from its call to the caller.
+//! One attempt to serve a request: calls an upstream and forwards its answer to the caller.
 
-use crate::{front::Job, refusal::Refusal, stream::Events, telemetry};
+use crate::{frontend::UpstreamRequest, refusal::Refusal, sse::EventSplitter, telemetry};
 use std::{
     io::Read,
     sync::Arc,
@@ -14,53 +14,55 @@
 use vanetally_route::AttemptEnd;
 use vanetally_types::{Name, Verdict};
 
-/// How an attempt ended, and the exchange if the caller has no bytes yet.
+/// The result of an attempt.
 pub(crate) struct Outcome {
     pub end: AttemptEnd,
+    /// The exchange if no response to the caller has been started.
     pub exchange: Option<Exchange>,
+    /// The answer to store for repeats of a once-only request.
     pub answer: Option<Arc<Answer>>,
 }
 
-/// Largest answer that is passed on as a whole.
-const MOST_WHOLE: u64 = 32_000_000;
-/// Larger bodies of services are passed on piece by piece.
-const SERVICE_WHOLE: usize = 64 * 1024;
-/// Largest single event of a stream.
-const MOST_EVENT: usize = 1_000_000;
-/// How often a broken stream is resumed.
-const MOST_RESUMES: u32 = 2;
-const PIECE: usize = 8 * 1024;
+/// Maximum size of an engine's answer that is not an event stream.
+const MAX_WHOLE_BYTES: u64 = 32_000_000;
+/// Size from which the body of a service's answer is streamed.
+const SERVICE_STREAM_BYTES: usize = 64 * 1024;
+/// Maximum size of an event of a stream.
+const MAX_EVENT_BYTES: usize = 1_000_000;
+/// Maximum number of times that a broken stream is resumed.
+const MAX_RESUMES: u32 = 2;
+const PIECE_BYTES: usize = 8 * 1024;
 
-/// An attempt with what it needs.
+/// An attempt at one upstream.
 pub(crate) struct Attempt<'a> {
-    pub job: &'a Job,
-    pub caller: &'a Client,
+    pub request: &'a UpstreamRequest,
+    pub client: &'a Client,
     pub host: &'a Name,
     pub upstream: Name,
     pub url: Name,
     pub entry: Name,
-    pub within: Duration,
+    pub timeout: Duration,
     pub started: Instant,
 }
 
 impl Attempt<'_> {
-    /// Makes the attempt.
+    /// Calls the upstream and forwards its answer.
     pub fn run(&self, exchange: Exchange) -> Outcome {
-        telemetry::called(self.host, &self.upstream);
+        telemetry::count_call(self.host, &self.upstream);
         let call = Call {
-            method: self.job.method.clone(),
-            url: format!("{}{}", self.url.trim_end_matches('/'), self.job.path),
-            headers: self.job.headers.clone(),
-            body: self.job.body_for(&self.entry),
-            timeout: self.within,
+            method: self.request.method.clone(),
+            url: format!("{}{}", self.url.trim_end_matches('/'), self.request.path),
+            headers: self.request.headers.clone(),
+            body: self.request.body_for(&self.entry),
+            timeout: self.timeout,
         };
-        let answer = match self.caller.send(&call) {
+        let answer = match self.client.send(&call) {
             Ok(answer) => answer,
             Err(e) => {
                 log::info!(
                     "event=call-failed upstream={} request={} verdict={} error=\"{e}\"",
                     self.upstream,
-                    self.job.id,
+                    self.request.id,
                     e.verdict
                 );
                 let end = if e.unreachable {
@@ -74,100 +76,103 @@
         if self.is_refusal(&answer) {
             return Outcome { end: AttemptEnd::Refused, exchange: Some(exchange), answer: None };
         }
-        let events = header(&answer, "content-type").is_some_and(|k| k.contains("event-stream"));
-        match (self.job.service, events) {
-            (true, _) => self.pass_service(answer, exchange),
-            (false, true) => self.pass_events(answer, exchange),
-            (false, false) => self.pass_whole(answer, exchange),
+        let is_event_stream =
+            header(&answer, "content-type").is_some_and(|t| t.contains("event-stream"));
+        match (self.request.is_service, is_event_stream) {
+            (true, _) => self.forward_service(answer, exchange),
+            (false, true) => self.forward_events(answer, exchange),
+            (false, false) => self.forward_whole(answer, exchange),
         }
     }
 
-    /// Whether the upstream says that it did not run the request.
+    /// Whether the answer states that the request was not run.
     fn is_refusal(&self, answer: &call::Answer) -> bool {
-        let said = header(answer, "x-verdict") == Some("not-run");
-        said || (!self.job.service && matches!(answer.status, 404 | 429 | 503))
+        let stated = header(answer, "x-verdict") == Some("not-run");
+        stated || (!self.request.is_service && matches!(answer.status, 404 | 429 | 503))
     }
 
-    /// An engine's answer in one piece.
-    fn pass_whole(&self, answer: call::Answer, exchange: Exchange) -> Outcome {
-        let kind = header(&answer, "content-type").unwrap_or("application/json").to_owned();
+    /// Forwards an engine's answer that is not an event stream.
+    fn forward_whole(&self, answer: call::Answer, exchange: Exchange) -> Outcome {
+        let content_type = header(&answer, "content-type").unwrap_or("application/json").to_owned();
         let status = answer.status;
         let mut body = Vec::new();
-        let read = answer.body.take(MOST_WHOLE).read_to_end(&mut body);
+        let read = answer.body.take(MAX_WHOLE_BYTES).read_to_end(&mut body);
         if read.is_err() || status >= 500 {
             let end = AttemptEnd::Failed(Verdict::MayHaveRun);
             return Outcome { end, exchange: Some(exchange), answer: None };
         }
-        self.finish_whole(status, &kind, Vec::new(), body, exchange)
+        self.send_whole(status, &content_type, Vec::new(), body, exchange)
     }
 
-    fn finish_whole(
+    fn send_whole(
         &self,
         status: u16,
-        kind: &str,
+        content_type: &str,
         headers: Vec<(String, String)>,
         body: Vec<u8>,
         exchange: Exchange,
     ) -> Outcome {
-        telemetry::first_piece(self.host, self.started.elapsed().as_secs_f64());
-        let answer = self.keep(status, kind, &body);
+        telemetry::record_first_piece(self.host, self.started.elapsed().as_secs_f64());
+        let answer = self.kept_answer(status, content_type, &body);
         let mut reply =
-            Reply::new(status, kind, body).with_header("X-Verdict", Verdict::Ran.as_str());
+            Reply::new(status, content_type, body).with_header("X-Verdict", Verdict::Ran.as_str());
         reply.headers.extend(headers);
-        reply.headers.extend(self.job.closing.iter().cloned());
+        reply.headers.extend(self.request.closing_headers.iter().cloned());
         exchange.answer(reply);
         Outcome { end: AttemptEnd::Completed, exchange: None, answer }
     }
 
-    /// The answer as kept for repeats of a once-only request, unless it is too large.
-    fn keep(&self, status: u16, kind: &str, body: &[u8]) -> Option<Arc<Answer>> {
-        if !self.job.once || body.len() as u64 > self.job.kept {
+    /// Returns the answer to store for repeats of a once-only request; `None` if it is too large.
+    fn kept_answer(&self, status: u16, content_type: &str, body: &[u8]) -> Option<Arc<Answer>> {
+        if !self.request.once_only || body.len() as u64 > self.request.max_kept_bytes {
             return None;
         }
-        let fingerprint = self.job.fingerprint;
-        let (kind, body) = (kind.to_owned(), body.to_vec());
-        Some(Arc::new(Answer { status, content_type: kind, fingerprint, body }))
+        let fingerprint = self.request.fingerprint;
+        let (content_type, body) = (content_type.to_owned(), body.to_vec());
+        Some(Arc::new(Answer { status, content_type, fingerprint, body }))
     }
 
-    /// A service's answer: as a whole if it is small, else piece by piece.
-    fn pass_service(&self, mut answer: call::Answer, exchange: Exchange) -> Outcome {
-        let kind = header(&answer, "content-type").unwrap_or("application/octet-stream").to_owned();
+    /// Forwards a service's answer: as a whole if it is small, else streamed.
+    fn forward_service(&self, mut answer: call::Answer, exchange: Exchange) -> Outcome {
+        let content_type =
+            header(&answer, "content-type").unwrap_or("application/octet-stream").to_owned();
         let status = answer.status;
-        let headers = passed_headers(&answer.headers);
+        let headers = forwarded_headers(&answer.headers);
         let mut body = Vec::new();
-        let read = answer.body.by_ref().take(SERVICE_WHOLE as u64).read_to_end(&mut body);
+        let read = answer.body.by_ref().take(SERVICE_STREAM_BYTES as u64).read_to_end(&mut body);
         if read.is_err() {
             let end = AttemptEnd::Failed(Verdict::MayHaveRun);
             return Outcome { end, exchange: Some(exchange), answer: None };
         }
-        if body.len() < SERVICE_WHOLE {
-            return self.finish_whole(status, &kind, headers, body, exchange);
+        if body.len() < SERVICE_STREAM_BYTES {
+            return self.send_whole(status, &content_type, headers, body, exchange);
         }
-        let mut head = vec![("Content-Type".to_owned(), kind)];
+        let mut head = vec![("Content-Type".to_owned(), content_type)];
         head.extend(headers);
         let Ok(mut stream) = exchange.stream(status, &head) else {
-            return gone();
+            return caller_gone();
         };
-        telemetry::first_piece(self.host, self.started.elapsed().as_secs_f64());
-        let end = pump(&mut answer.body, &mut stream, &body);
+        telemetry::record_first_piece(self.host, self.started.elapsed().as_secs_f64());
+        let end = copy_body(&mut answer.body, &mut stream, &body);
         if end != AttemptEnd::Completed {
             stream.abort();
         } else if stream.finish().is_err() {
-            return gone();
+            return caller_gone();
         }
         Outcome { end, exchange: None, answer: None }
     }
 
-    /// An engine's stream of events.
-    fn pass_events(&self, answer: call::Answer, exchange: Exchange) -> Outcome {
-        let mut relay = Relay { attempt: self, events: Events::default(), copy: Vec::new() };
+    /// Forwards an engine's event stream.
+    fn forward_events(&self, answer: call::Answer, exchange: Exchange) -> Outcome {
+        let mut relay =
+            Relay { attempt: self, splitter: EventSplitter::default(), copy: Vec::new() };
         relay.run(answer, exchange)
     }
 }
 
-/// Passes `first` and the rest of a body on.
-fn pump(body: &mut dyn Read, stream: &mut Stream, first: &[u8]) -> AttemptEnd {
-    let mut piece = [0; PIECE];
+/// Sends `first` and the remaining body to the caller.
+fn copy_body(body: &mut dyn Read, stream: &mut Stream, first: &[u8]) -> AttemptEnd {
+    let mut piece = [0; PIECE_BYTES];
     if stream.send(first).is_err() {
         return AttemptEnd::CallerGone;
     }
@@ -181,7 +186,7 @@
     }
 }
 
-fn gone() -> Outcome {
+fn caller_gone() -> Outcome {
     Outcome { end: AttemptEnd::CallerGone, exchange: None, answer: None }
 }
 
@@ -189,9 +194,9 @@
     answer.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
 }
 
-/// Headers of a service's answer that the caller gets.
-fn passed_headers(headers: &[(String, String)]) -> Vec<(String, String)> {
-    const HELD: [&str; 8] = [
+/// Returns the headers of a service's answer that are forwarded to the caller.
+fn forwarded_headers(headers: &[(String, String)]) -> Vec<(String, String)> {
+    const DROPPED: [&str; 8] = [
         "connection",
         "content-length",
         "content-type",
@@ -203,37 +208,37 @@
     ];
     headers
         .iter()
-        .filter(|(name, _)| !HELD.contains(&name.to_ascii_lowercase().as_str()))
+        .filter(|(name, _)| !DROPPED.contains(&name.to_ascii_lowercase().as_str()))
         .cloned()
         .collect()
 }
 
-/// A stream of events under way.
+/// An event stream that is being forwarded.
 struct Relay<'a> {
     attempt: &'a Attempt<'a>,
-    events: Events,
-    /// What the caller got, kept for repeats.
+    splitter: EventSplitter,
+    /// The forwarded events, stored for repeats of a once-only request.
     copy: Vec<u8>,
 }
 
-/// Why reading a stream stopped.
-enum Stop {
-    /// The end mark came.
+/// Why reading from the upstream stopped.
+enum ReadEnd {
+    /// The end mark arrived.
     Done,
-    /// The upstream broke off.
+    /// The connection broke or an event is too large.
     Broken,
 }
 
 impl Relay<'_> {
     fn run(&mut self, mut answer: call::Answer, exchange: Exchange) -> Outcome {
-        // Nothing is promised to the caller before the first whole event: until then a failure
-        // can still be retried elsewhere.
+        // The response starts with the first complete event. Until then a failed attempt can be
+        // retried at another upstream.
         let mut first = Vec::new();
-        let mut piece = [0; PIECE];
+        let mut piece = [0; PIECE_BYTES];
         while first.is_empty() {
             match answer.body.read(&mut piece) {
-                Ok(len) if len > 0 && self.events.pending() < MOST_EVENT => {
-                    first = self.events.push(&piece[..len]);
+                Ok(len) if len > 0 && self.splitter.pending_bytes() < MAX_EVENT_BYTES => {
+                    first = self.splitter.push(&piece[..len]);
                 }
                 _ => {
                     let end = AttemptEnd::Failed(Verdict::MayHaveRun);
@@ -245,24 +250,30 @@
             ("Content-Type".to_owned(), "text/event-stream".to_owned()),
             ("Cache-Control".to_owned(), "no-cache".to_owned()),
         ];
-        head.extend(self.attempt.job.closing.iter().cloned());
+        head.extend(self.attempt.request.closing_headers.iter().cloned());
         let mut stream = exchange.stream(200, &head).ok();
-        telemetry::first_piece(self.attempt.host, self.attempt.started.elapsed().as_secs_f64());
-        self.pass(&mut stream, &first);
-        let end = self.pass_rest(answer, &mut stream);
-        let done = end == AttemptEnd::Completed;
-        let kept = done.then(|| self.attempt.keep(200, "text/event-stream", &self.copy)).flatten();
+        telemetry::record_first_piece(
+            self.attempt.host,
+            self.attempt.started.elapsed().as_secs_f64(),
+        );
+        self.forward(&mut stream, &first);
+        let end = self.forward_rest(answer, &mut stream);
+        let completed = end == AttemptEnd::Completed;
+        let kept = completed
+            .then(|| self.attempt.kept_answer(200, "text/event-stream", &self.copy))
+            .flatten();
         if let Some(stream) = stream {
-            // The last event tells whether the answer is whole; the caller may have gone since.
+            // Fails if the caller has disconnected. The last event states whether the answer is
+            // complete.
             let _ = stream.finish();
         }
         Outcome { end, exchange: None, answer: kept }
     }
 
-    /// Hands events to the caller, if it is still there, and to the copy.
-    fn pass(&mut self, stream: &mut Option<Stream>, events: &[u8]) {
-        let job = self.attempt.job;
-        if job.once && self.copy.len() as u64 <= job.kept {
+    /// Sends events to the caller, unless it has disconnected, and adds them to the copy.
+    fn forward(&mut self, stream: &mut Option<Stream>, events: &[u8]) {
+        let request = self.attempt.request;
+        if request.once_only && self.copy.len() as u64 <= request.max_kept_bytes {
             self.copy.extend_from_slice(events);
         }
         if stream.as_mut().is_some_and(|s| s.send(events).is_err()) {
@@ -270,76 +281,84 @@
         }
     }
 
-    fn pass_rest(&mut self, answer: call::Answer, stream: &mut Option<Stream>) -> AttemptEnd {
+    /// Forwards events until the stream ends, and resumes it if it breaks.
+    fn forward_rest(&mut self, answer: call::Answer, stream: &mut Option<Stream>) -> AttemptEnd {
         let mut body = answer.body;
         let mut resumes = 0;
         loop {
-            match self.pass_until(&mut *body, stream) {
-                Some(Stop::Done) => return AttemptEnd::Completed,
+            match self.forward_until(&mut *body, stream) {
+                Some(ReadEnd::Done) => return AttemptEnd::Completed,
                 None => return AttemptEnd::CallerGone,
-                Some(Stop::Broken) => {}
+                Some(ReadEnd::Broken) => {}
             }
-            self.events.discard();
+            self.splitter.discard();
             resumes += 1;
-            let resumed = (resumes <= MOST_RESUMES).then(|| self.resume()).flatten();
+            let resumed = (resumes <= MAX_RESUMES).then(|| self.resume()).flatten();
             match resumed {
                 Some(next) => body = next,
-                None => return self.break_off(stream),
+                None => return self.send_broken(stream),
             }
         }
     }
 
-    /// Passes events on until the stream stops; `None` when the caller has gone and the request
+    /// Forwards events until reading stops; `None` if the caller has disconnected and the request
     /// may be cancelled.
-    fn pass_until(&mut self, body: &mut dyn Read, stream: &mut Option<Stream>) -> Option<Stop> {
-        let mut piece = [0; PIECE];
-        while !self.events.done {
+    fn forward_until(
+        &mut self,
+        body: &mut dyn Read,
+        stream: &mut Option<Stream>,
+    ) -> Option<ReadEnd> {
+        let mut piece = [0; PIECE_BYTES];
+        while !self.splitter.done {
             let len = match body.read(&mut piece) {
-                Ok(len) if len > 0 && self.events.pending() < MOST_EVENT => len,
-                _ => return Some(Stop::Broken),
+                Ok(len) if len > 0 && self.splitter.pending_bytes() < MAX_EVENT_BYTES => len,
+                _ => return Some(ReadEnd::Broken),
             };
-            let events = self.events.push(&piece[..len]);
+            let events = self.splitter.push(&piece[..len]);
             if !events.is_empty() {
-                self.pass(stream, &events);
+                self.forward(stream, &events);
             }
-            // A once-only request runs to its end, so that a repeat gets the whole answer.
-            if stream.is_none() && !self.attempt.job.once {
+            // A once-only request runs to its end, so that a repeat gets the complete answer.
+            if stream.is_none() && !self.attempt.request.once_only {
                 return None;
             }
         }
-        Some(Stop::Done)
+        Some(ReadEnd::Done)
     }
 
-    /// Asks the same engine for the rest of the same run.
+    /// Requests the rest of the same run from the same engine.
     fn resume(&self) -> Option<Box<dyn Read + Send>> {
         let attempt = self.attempt;
         let base = attempt.url.trim_end_matches('/');
         let call = Call {
             method: "GET".into(),
-            url: format!("{base}/v1/resume/{}?after={}", attempt.job.request_id, self.events.count),
+            url: format!(
+                "{base}/v1/resume/{}?after={}",
+                attempt.request.request_id, self.splitter.count
+            ),
             headers: Vec::new(),
             body: Vec::new(),
-            timeout: attempt.within,
+            timeout: attempt.timeout,
         };
-        let answer = attempt.caller.send(&call).ok()?;
+        let answer = attempt.client.send(&call).ok()?;
         log::info!(
             "event=stream-resumed upstream={} request={} after={} status={}",
             attempt.upstream,
-            attempt.job.id,
-            self.events.count,
+            attempt.request.id,
+            self.splitter.count,
             answer.status
         );
         (answer.status == 200).then_some(answer.body)
     }
 
-    /// Tells the caller that the stream is cut short.
-    fn break_off(&self, stream: &mut Option<Stream>) -> AttemptEnd {
+    /// Sends the caller an error event, because the answer is incomplete.
+    fn send_broken(&self, stream: &mut Option<Stream>) -> AttemptEnd {
         let mut refusal =
             Refusal::new(502, "stream_broken", "the upstream broke off; the answer is cut short");
         refusal.verdict = Verdict::MayHaveRun;
         let event = format!("data: {}\n\n", refusal.object());
         if let Some(stream) = stream {
-            // The caller may have gone.
+            // Fails if the caller has disconnected.
             let _ = stream.send(event.as_bytes());
         }
         AttemptEnd::Failed(Verdict::MayHaveRun)
--- a/crates/daemon/src/refusal.rs
+++ b/crates/daemon/src/refusal.rs
@@ -1,57 +1,55 @@
-//! Refusals as callers see them: an error object, a verdict, and when to come back.
+//! Refusals as HTTP answers: an error object, a verdict and the time to retry.
 
 use serde_json::json;
 use vanetally_core::{RefusalReason, Refused};
 use vanetally_link::http::Reply;
 use vanetally_types::Verdict;
 
-/// A refusal on its way to the caller.
+/// A refusal of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Refusal {
     /// HTTP status.
     pub status: u16,
-    /// What programs look at.
+    /// Error code for programs.
     pub code: String,
-    /// What people read.
+    /// Error message for people.
     pub message: String,
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// When to come back, in milliseconds.
-    pub retry_after: Option<u64>,
+    /// Time after which to retry.
+    pub retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal of a request that certainly did not run and is not worth repeating as it is.
+    /// Creates a refusal of a request that was not run and that should not be repeated unchanged.
     pub fn new(status: u16, code: &str, message: &str) -> Self {
         Self {
             status,
             code: code.to_owned(),
             message: message.to_owned(),
             verdict: Verdict::NotRun,
-            retry_after: None,
+            retry_after_ms: None,
         }
     }
 
-    /// The error object.
+    /// Returns the error object of the body.
     pub fn object(&self) -> serde_json::Value {
-        let kind = match self.status {
+        let error_type = match self.status {
             400..500 => "invalid_request_error",
             _ => "server_error",
         };
         json!({"error": {
-            "message": self.message, "type": kind, "code": self.code, "param": null,
-            "verdict": self.verdict.as_str(), "retry_after_ms": self.retry_after,
+            "message": self.message, "type": error_type, "code": self.code, "param": null,
+            "verdict": self.verdict.as_str(), "retry_after_ms": self.retry_after_ms,
         }})
     }
 
-    /// The whole answer.
+    /// Returns the HTTP answer.
     pub fn reply(&self) -> Reply {
         let reply = Reply::json(self.status, &self.object())
             .with_header("X-Verdict", self.verdict.as_str());
-        match self.retry_after {
-            Some(millis) => {
-                reply.with_header("Retry-After", millis.div_ceil(1_000).max(1).to_string())
-            }
+        match self.retry_after_ms {
+            Some(ms) => reply.with_header("Retry-After", ms.div_ceil(1_000).max(1).to_string()),
             None => reply,
         }
     }
@@ -88,7 +86,7 @@
             code: code.into(),
             message: message.into(),
             verdict: refused.verdict,
-            retry_after: refused.retry_after_ms,
+            retry_after_ms: refused.retry_after_ms,
         }
     }
 }
--- a/crates/daemon/src/board.rs
+++ b/crates/daemon/src/shared.rs
@@ -1,4 +1,4 @@
-//! What exchanges read without asking the loop: the revision in force and readiness.
+//! State that all threads read without a message to the event loop: revision, readiness, clock.
 
 use std::{
     sync::{
@@ -11,46 +11,47 @@
 use vanetally_config::{Revision, Settings};
 use vanetally_types::{HostId, Tick};
 
-/// Shared by all threads of a daemon; written by the loop only.
-pub(crate) struct Board {
+/// State shared by all threads of a daemon.
+pub(crate) struct Shared {
     pub settings: Settings,
-    pub me: HostId,
+    pub host_id: HostId,
     pub clock: Clock,
     pub ready: AtomicBool,
     pub stopping: AtomicBool,
-    pub watching: AtomicBool,
+    /// Whether this host watches the configuration on the platform.
+    pub watches_config: AtomicBool,
     next_id: AtomicU64,
     revision: RwLock<Arc<Revision>>,
 }
 
-/// Unix milliseconds: read once at the start, then advanced by a clock that never jumps.
+/// Returns the system time. It is read only at the start; a monotonic clock advances it.
 fn unix_now() -> Tick {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Tick(unix.as_millis() as u64)
 }
 
-impl Board {
-    /// The board of a daemon that starts now: its incarnation is the time.
+impl Shared {
+    /// Creates the state of a daemon that starts now; the start time is the host's incarnation.
     pub fn new(settings: Settings) -> Self {
         let started = unix_now();
         Self {
-            me: HostId::new(settings.host.clone(), started.0),
+            host_id: HostId::new(settings.host.clone(), started.0),
             settings,
             clock: Clock::starting_at(started),
             ready: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
-            watching: AtomicBool::new(false),
+            watches_config: AtomicBool::new(false),
             next_id: AtomicU64::new(1),
             revision: RwLock::default(),
         }
     }
 
-    /// A number that no other request of this process has.
+    /// Returns a request number that is unique within this process.
     pub fn next_id(&self) -> u64 {
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// The revision in force.
+    /// Returns the revision in force.
     pub fn revision(&self) -> Arc<Revision> {
         match self.revision.read() {
             Ok(revision) => revision.clone(),
@@ -61,7 +62,7 @@
     /// Puts a revision in force.
     pub fn set_revision(&self, revision: Arc<Revision>) {
         match self.revision.write() {
-            Ok(mut slot) => *slot = revision,
+            Ok(mut current) => *current = revision,
             Err(poisoned) => *poisoned.into_inner() = revision,
         }
     }
