--- a/crates/check/src/lib.rs
+++ b/crates/check/src/lib.rs
@@ -1,20 +1,21 @@
-//! Model checks of the core protocol: small worlds around the real state machines.
+//! Model checks of the core protocol: small models around the real state machines.
 //!
-//! Each specification has a world (processes, messages under way, the platform, an upstream), its
-//! steps, and a promise. [`search`] visits every world that the bounds allow, breadth first; if
-//! one breaks the promise, the shortest way there is the trace.
+//! A model has a state (processes, messages in flight, the platform, an upstream), the steps that
+//! lead from one state to the next, and an invariant. [`search`] visits every state within the
+//! bounds, breadth first. If a state violates the invariant, the trace is the shortest path to it.
 #![deny(missing_docs, unsafe_code)]
 
-/// At-most-once ids: three hosts, a platform, attempts.
+/// At-most-once execution of ids: three hosts, a platform, attempts.
 pub mod claims;
-/// Configuration: two operators, a platform, hosts that follow.
+/// Publishing of the configuration: two operators, a platform, hosts that follow it.
 pub mod config;
-/// The lease of orders: two hosts, a store that loses answers, pauses, restarts.
+/// The order lease: two hosts, a store that loses answers, pauses, restarts.
 pub mod orders;
-/// Keys that are taken away: a host that reads the store, one that hears from it, clocks that differ, late messages.
+/// Revocation of keys: a host that reads the store, a host that follows it, clock skew, late
+/// messages.
 pub mod revocation;
-/// Memory of a runner: two stewards, orders that are lost or late.
+/// Memory of a runner: two leaders, lost and late orders.
 pub mod runner;
 mod search;
 
-pub use search::{Outcome, Steps, World, search, walk};
+pub use search::{Outcome, State, Steps, search, walk};
--- a/crates/check/src/orders.rs
+++ b/crates/check/src/orders.rs
@@ -1,258 +1,272 @@
-//! The lease of orders: two hosts and a store.
+//! Model of the order lease: two hosts and a store.
 //!
-//! Answers of the store are lost, calls are done later than their sender gave them up, hosts are
-//! paused and restarted, the store comes back from a copy. Promise: no order carries a lower token than one sent before
-//! it, two hosts do not take turns within the length of a lease, and what one trusts in is not another's as well.
+//! Answers of the store are lost, calls are processed after their sender gave up on them, hosts are
+//! paused and restarted, and the store is restored from a snapshot. Invariant: no order carries a
+//! lower token than an order sent before it, two hosts don't alternate as holders within
+//! `MIN_TURN_MS`, and at most one host at a time holds a valid lease.
 
-use crate::{Steps, World};
+use crate::{State, Steps};
 use std::collections::{BTreeMap, BTreeSet};
 use vanetally_placement::{OrderLease, OrderLeaseAction, OrderLeaseEvent, OrderLeaseOptions};
 use vanetally_ports::{Era, FencingToken, LeaseId, Revision};
 use vanetally_types::{Name, Tick};
 
-/// Bounds and switches of the specification.
+/// Bounds and switches of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// Whether a holder stops when its last renewal covers it no longer.
-    pub covered: bool,
-    /// Whether a host that may have been the holder before waits longer.
+    /// Whether a holder stops once its last renewal no longer covers it.
+    pub stops_uncovered: bool,
+    /// Whether a host waits longer after it may have been the holder.
     pub resettles: bool,
-    /// Whether tokens rise over eras.
-    pub tokens_rise: bool,
-    /// Whether hosts know of eras at all.
-    pub knows_eras: bool,
-    /// Whether a renewal of a lease counts only in its own era.
-    pub knows_leases: bool,
-    /// Returns of the store from a copy.
-    pub returns: u8,
-    /// Answers that are lost, and calls that are done late.
-    pub losses: u8,
-    /// Pauses of a host.
+    /// Whether tokens contain the era, so that they increase across eras.
+    pub era_in_token: bool,
+    /// Whether hosts know the era of the store.
+    pub tracks_eras: bool,
+    /// Whether the renewal of a lease counts only in the era of the lease.
+    pub checks_lease_era: bool,
+    /// Maximum number of times that the store is restored from a snapshot.
+    pub restores: u8,
+    /// Maximum number of calls that their sender gives up on; they are still processed later.
+    pub lost_answers: u8,
+    /// Maximum number of pauses of a host.
     pub pauses: u8,
-    /// Restarts of a host.
+    /// Maximum number of restarts of a host.
     pub restarts: u8,
-    /// Whether calls are done before time passes.
+    /// Whether calls are processed before time passes.
     pub is_prompt: bool,
-    /// How many steps time may take.
-    pub steps: u64,
+    /// Maximum number of steps of time.
+    pub time_steps: u64,
 }
 
-/// One step of time, in milliseconds.
+/// Length of a step of time.
 const STEP_MS: u64 = 250;
-/// Length of the store's leases.
+/// Time to live of the store's leases.
 const TTL_MS: u64 = 500;
-/// Within this time two hosts must not take turns.
-const TURNS_MS: u64 = 1_500;
-/// A holder whose guard is off trusts its lease for this long.
-const FOREVER_MS: u64 = 1_000_000;
-/// Changes before the start.
-const FIRST_NUMBER: u64 = 4;
+/// Minimum time between two orders of a host if another host sent an order in between.
+const MIN_TURN_MS: u64 = 1_500;
+/// Time to live of a lease as the holder sees it when [`Options::stops_uncovered`] is off.
+const UNLIMITED_MS: u64 = 1_000_000;
+/// Number of changes of the store before the start.
+const INITIAL_CHANGES: u64 = 4;
 const START: Tick = Tick(1_000_000);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Host {
-    tenure: OrderLease,
+    order_lease: OrderLease,
     is_paused: bool,
-    /// The key that it saw last and in which era, once it saw.
-    seen: Option<(Era, Option<Key>)>,
-    /// Lives so far: answers to an earlier one are heard by nobody.
-    life: u8,
+    /// Last key that the host read, and the era in which it read it; none before the first read.
+    last_seen: Option<(Era, Option<Key>)>,
+    /// Number of earlier incarnations. Answers to calls of an earlier one are dropped.
+    incarnation: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Call {
     Grant,
-    Take(LeaseId),
+    WriteKey(LeaseId),
     Renew(LeaseId),
     End(LeaseId),
 }
 
-/// A call on its way to the store.
+/// A call in flight to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Flight {
+struct PendingCall {
     host: usize,
-    life: u8,
-    sent: Tick,
+    incarnation: u8,
+    sent_at: Tick,
     call: Call,
-    /// Its sender waits for no answer any more.
+    /// Whether the sender no longer waits for the answer.
     is_given_up: bool,
 }
 
+/// An order that a host sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Sent {
+struct SentOrder {
     host: usize,
     token: FencingToken,
-    at: Tick,
+    sent_at: Tick,
 }
 
-/// The key of the holder.
+/// The key in the store that names the holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Key {
     host: usize,
-    /// Number of its lease.
+    /// Number of the lease under which it was written.
     lease: u64,
     /// Number of the change that wrote it.
     number: u64,
 }
 
-/// What lies in the store.
+/// Contents of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Kept {
+struct StoreState {
+    /// Expiry times of the leases, by number.
     leases: BTreeMap<u64, Tick>,
     key: Option<Key>,
     /// Number of the last change.
     number: u64,
 }
 
-impl Kept {
-    fn end(&mut self, lease: u64) {
+impl StoreState {
+    fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         if self.key.is_some_and(|key| key.lease == lease) {
-            self.remove();
+            self.remove_key();
         }
     }
 
-    fn remove(&mut self) {
+    fn remove_key(&mut self) {
         self.key = None;
         self.number += 1;
     }
 }
 
-/// The world.
+/// State of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Orders {
     options: Options,
     now: Tick,
     hosts: Vec<Host>,
-    flights: BTreeSet<Flight>,
+    pending_calls: BTreeSet<PendingCall>,
     era: Era,
-    store: Kept,
-    /// From which it may come back; at first one from before.
-    copy: Kept,
-    copies: u8,
-    /// Numbers of leases are not given out again.
+    store: StoreState,
+    /// State to which the store may be restored; at first that from before all changes.
+    snapshot: StoreState,
+    snapshots: u8,
+    /// Number of the next lease; numbers are not reused, also not after a restore.
     next_lease: u64,
-    returns: u8,
-    sent: Vec<Sent>,
-    losses: u8,
+    restores: u8,
+    sent_orders: Vec<SentOrder>,
+    lost_answers: u8,
     pauses: u8,
     restarts: u8,
 }
 
 impl Orders {
-    /// Nobody holds the key.
+    /// No host holds the key.
     pub fn new(options: Options) -> Self {
-        let host =
-            |_| Host { tenure: tenure(options, Tick(0)), is_paused: false, seen: None, life: 0 };
+        let host = |_| Host {
+            order_lease: order_lease(options, Tick(0)),
+            is_paused: false,
+            last_seen: None,
+            incarnation: 0,
+        };
         Self {
             options,
             now: START,
             hosts: (0..2).map(host).collect(),
-            flights: BTreeSet::new(),
+            pending_calls: BTreeSet::new(),
             era: Era::default(),
-            store: Kept { number: FIRST_NUMBER, ..Kept::default() },
-            copy: Kept::default(),
-            copies: 0,
+            store: StoreState { number: INITIAL_CHANGES, ..StoreState::default() },
+            snapshot: StoreState::default(),
+            snapshots: 0,
             next_lease: 1,
-            returns: 0,
-            sent: Vec::new(),
-            losses: 0,
+            restores: 0,
+            sent_orders: Vec::new(),
+            lost_answers: 0,
             pauses: 0,
             restarts: 0,
         }
     }
 
-    fn tell(&mut self, host: usize, event: OrderLeaseEvent) {
+    fn handle_event(&mut self, host: usize, event: OrderLeaseEvent) {
         let now = self.now;
-        let actions = self.hosts[host].tenure.handle(now, event);
+        let actions = self.hosts[host].order_lease.handle(now, event);
         for action in actions {
             let call = match action {
                 OrderLeaseAction::Grant { .. } => Call::Grant,
-                OrderLeaseAction::WriteKey { lease } => Call::Take(lease),
+                OrderLeaseAction::WriteKey { lease } => Call::WriteKey(lease),
                 OrderLeaseAction::Renew { lease } => Call::Renew(lease),
                 OrderLeaseAction::End { lease } => Call::End(lease),
             };
-            let life = self.hosts[host].life;
-            self.flights.insert(Flight { host, life, sent: now, call, is_given_up: false });
+            let incarnation = self.hosts[host].incarnation;
+            self.pending_calls.insert(PendingCall {
+                host,
+                incarnation,
+                sent_at: now,
+                call,
+                is_given_up: false,
+            });
         }
     }
 
     fn pass_time(&mut self) {
         self.now = self.now + STEP_MS;
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .store
             .leases
             .iter()
-            .filter(|(_, until)| **until <= self.now)
+            .filter(|(_, expires_at)| **expires_at <= self.now)
             .map(|(id, _)| *id)
             .collect();
-        over.into_iter().for_each(|lease| self.store.end(lease));
+        expired.into_iter().for_each(|lease| self.store.end_lease(lease));
         for host in 0..self.hosts.len() {
             if !self.hosts[host].is_paused {
-                self.tell(host, OrderLeaseEvent::Tick);
+                self.handle_event(host, OrderLeaseEvent::Tick);
             }
         }
     }
 
-    /// The store carries the call out; what it answers.
-    fn carry_out(&mut self, flight: Flight) -> Option<OrderLeaseEvent> {
-        let until = self.now + TTL_MS;
-        match flight.call {
+    /// Lets the store process the call. Returns its answer.
+    fn process(&mut self, pending: PendingCall) -> Option<OrderLeaseEvent> {
+        let expires_at = self.now + TTL_MS;
+        match pending.call {
             Call::Grant => {
-                let lease = LeaseId::new(self.told_era(), self.next_lease);
+                let lease = LeaseId::new(self.known_era(), self.next_lease);
                 self.next_lease += 1;
-                self.store.leases.insert(lease.id, until);
-                let ttl_ms = if self.options.covered { TTL_MS } else { FOREVER_MS };
-                Some(OrderLeaseEvent::Granted { sent: flight.sent, lease, ttl_ms })
+                self.store.leases.insert(lease.id, expires_at);
+                let ttl_ms = if self.options.stops_uncovered { TTL_MS } else { UNLIMITED_MS };
+                Some(OrderLeaseEvent::Granted { sent: pending.sent_at, lease, ttl_ms })
             }
-            Call::Take(lease) => Some(self.take(flight.host, lease)),
+            Call::WriteKey(lease) => Some(self.write_key(pending.host, lease)),
             Call::Renew(lease) => {
-                let end = self.store.leases.get_mut(&lease.id);
-                let is_there = end.map(|end| *end = until).is_some();
-                Some(match is_there {
-                    _ if self.options.knows_leases && lease.era != self.told_era() => {
+                let expiry = self.store.leases.get_mut(&lease.id);
+                let is_alive = expiry.map(|expiry| *expiry = expires_at).is_some();
+                Some(match is_alive {
+                    _ if self.options.checks_lease_era && lease.era != self.known_era() => {
                         OrderLeaseEvent::RenewFailed
                     }
-                    true => OrderLeaseEvent::Renewed { sent: flight.sent },
+                    true => OrderLeaseEvent::Renewed { sent: pending.sent_at },
                     false => OrderLeaseEvent::LeaseExpired,
                 })
             }
             Call::End(lease) => {
-                self.store.end(lease.id);
+                self.store.end_lease(lease.id);
                 None
             }
         }
     }
 
-    /// A key that was written under a lease of an era that is over is removed.
-    fn take(&mut self, host: usize, lease: LeaseId) -> OrderLeaseEvent {
+    /// Writes the key under the lease. A key written under a lease of an earlier era is removed
+    /// again.
+    fn write_key(&mut self, host: usize, lease: LeaseId) -> OrderLeaseEvent {
         if self.store.key.is_some() || !self.store.leases.contains_key(&lease.id) {
             return OrderLeaseEvent::KeyNotWritten;
         }
         self.store.number += 1;
-        if lease.era != self.told_era() {
-            self.store.remove();
+        if lease.era != self.known_era() {
+            self.store.remove_key();
             return OrderLeaseEvent::KeyNotWritten;
         }
         let number = self.store.number;
         self.store.key = Some(Key { host, lease: lease.id, number });
-        let era = if self.options.tokens_rise { self.told_era() } else { Era(0) };
+        let era = if self.options.era_in_token { self.known_era() } else { Era(0) };
         OrderLeaseEvent::KeyWritten(Revision::new(era, number))
     }
 
-    /// The era that hosts are told.
-    fn told_era(&self) -> Era {
-        if self.options.knows_eras { self.era } else { Era::default() }
+    /// Returns the era as hosts know it.
+    fn known_era(&self) -> Era {
+        if self.options.tracks_eras { self.era } else { Era::default() }
     }
 
-    /// The store comes back from its copy, with the leases there or without.
-    fn come_back(&self, keeps_leases: bool) -> Self {
+    /// Restores the store from its snapshot, with the leases in it or without.
+    fn restore(&self, keeps_leases: bool) -> Self {
         let mut next = self.clone();
-        next.store.clone_from(&next.copy);
+        next.store.clone_from(&next.snapshot);
         next.era = Era(self.era.0 + 1);
-        next.returns += 1;
-        let until = self.now + TTL_MS;
-        next.store.leases.values_mut().for_each(|end| *end = until);
+        next.restores += 1;
+        let expires_at = self.now + TTL_MS;
+        next.store.leases.values_mut().for_each(|expiry| *expiry = expires_at);
         if !keeps_leases {
             next.store.leases.clear();
             next.store.key = None;
@@ -260,120 +274,127 @@
         next
     }
 
-    /// A paused host hears no answer.
-    fn may_be_done(&self, flight: &Flight) -> bool {
-        !self.hosts[flight.host].is_paused || flight.is_given_up
+    /// Whether the call may be processed now. A paused host receives no answer.
+    fn may_process(&self, pending: &PendingCall) -> bool {
+        !self.hosts[pending.host].is_paused || pending.is_given_up
     }
 
-    fn answered(&self, flight: Flight) -> Self {
+    fn after_processing(&self, pending: PendingCall) -> Self {
         let mut next = self.clone();
-        next.flights.remove(&flight);
-        let event = next.carry_out(flight);
-        let is_heard = !flight.is_given_up && next.hosts[flight.host].life == flight.life;
-        if let Some(event) = event.filter(|_| is_heard) {
-            next.tell(flight.host, event);
+        next.pending_calls.remove(&pending);
+        let event = next.process(pending);
+        let is_received =
+            !pending.is_given_up && next.hosts[pending.host].incarnation == pending.incarnation;
+        if let Some(event) = event.filter(|_| is_received) {
+            next.handle_event(pending.host, event);
         }
         next
     }
 
-    /// The sender hears nothing; the call is still to be done.
-    fn given_up(&self, flight: Flight) -> Option<Self> {
-        let event = match flight.call {
+    /// Lets the sender give up on the call, which is still to be processed.
+    fn after_give_up(&self, pending: PendingCall) -> Option<Self> {
+        let event = match pending.call {
             Call::Grant => OrderLeaseEvent::GrantFailed,
-            Call::Take(_) => OrderLeaseEvent::KeyNotWritten,
+            Call::WriteKey(_) => OrderLeaseEvent::KeyNotWritten,
             Call::Renew(_) => OrderLeaseEvent::RenewFailed,
             Call::End(_) => return None,
         };
         let mut next = self.clone();
-        next.losses += 1;
-        next.flights.remove(&flight);
-        next.flights.insert(Flight { is_given_up: true, ..flight });
-        next.tell(flight.host, event);
+        next.lost_answers += 1;
+        next.pending_calls.remove(&pending);
+        next.pending_calls.insert(PendingCall { is_given_up: true, ..pending });
+        next.handle_event(pending.host, event);
         Some(next)
     }
 }
 
-fn tenure(options: Options, now: Tick) -> OrderLease {
-    let resettle_ms = if options.resettles { TURNS_MS } else { 0 };
+fn order_lease(options: Options, now: Tick) -> OrderLease {
+    let resettle_ms = if options.resettles { MIN_TURN_MS } else { 0 };
     OrderLease::new(now, OrderLeaseOptions { ttl_ms: TTL_MS, settle_ms: 0, resettle_ms })
 }
 
-fn name(host: usize) -> Name {
+fn host_name(host: usize) -> Name {
     format!("host-{host}").into()
 }
 
-impl World for Orders {
-    fn next(&self, steps: &mut Steps<Self>) {
-        let end = START + self.options.steps * STEP_MS;
-        let waits = self.options.is_prompt && self.flights.iter().any(|f| self.may_be_done(f));
-        if self.now < end && !waits {
+impl State for Orders {
+    fn successors(&self, steps: &mut Steps<Self>) {
+        let end = START + self.options.time_steps * STEP_MS;
+        let is_blocked =
+            self.options.is_prompt && self.pending_calls.iter().any(|call| self.may_process(call));
+        if self.now < end && !is_blocked {
             let mut next = self.clone();
             next.pass_time();
             steps.add(|| "time passes".into(), next);
         }
-        for flight in &self.flights {
-            if !self.may_be_done(flight) {
+        for pending in &self.pending_calls {
+            if !self.may_process(pending) {
                 continue;
             }
-            steps.add(|| format!("store does {flight:?}"), self.answered(*flight));
-            if !flight.is_given_up && self.losses < self.options.losses {
-                let lost = self.given_up(*flight);
-                lost.into_iter()
-                    .for_each(|next| steps.add(|| format!("given up {flight:?}"), next));
+            steps.add(
+                || format!("the store processes {pending:?}"),
+                self.after_processing(*pending),
+            );
+            if !pending.is_given_up && self.lost_answers < self.options.lost_answers {
+                let given_up = self.after_give_up(*pending);
+                given_up.into_iter().for_each(|next| {
+                    steps.add(|| format!("the sender gives up on {pending:?}"), next)
+                });
             }
         }
         for host in 0..self.hosts.len() {
             self.host_steps(host, steps);
         }
-        if self.returns < self.options.returns {
-            if self.copies < self.options.returns {
-                let copy = self.store.clone();
-                let next = Self { copy, copies: self.copies + 1, ..self.clone() };
-                steps.add(|| "a copy is made".into(), next);
+        if self.restores < self.options.restores {
+            if self.snapshots < self.options.restores {
+                let snapshot = self.store.clone();
+                let next = Self { snapshot, snapshots: self.snapshots + 1, ..self.clone() };
+                steps.add(|| "a snapshot is taken".into(), next);
             }
             for keeps_leases in [true, false] {
-                let next = self.come_back(keeps_leases);
-                steps.add(|| format!("comes back, leases={keeps_leases}"), next);
+                let next = self.restore(keeps_leases);
+                steps.add(|| format!("the store is restored, leases={keeps_leases}"), next);
             }
         }
     }
 
-    fn tidy(&mut self) {
+    fn normalize(&mut self) {
         let now = self.now;
-        let last = self.sent.last().copied();
-        self.sent.retain(|sent| now.since(sent.at) < TURNS_MS || Some(*sent) == last);
+        let last = self.sent_orders.last().copied();
+        self.sent_orders
+            .retain(|sent| now.since(sent.sent_at) < MIN_TURN_MS || Some(*sent) == last);
     }
 
-    fn broken(&self) -> Option<String> {
-        let (last, earlier) = self.sent.split_last()?;
+    fn violation(&self) -> Option<String> {
+        let (last, earlier) = self.sent_orders.split_last()?;
         if earlier.iter().any(|sent| sent.token > last.token) {
-            return Some(format!("a lower token after a higher one: {:?}", self.sent));
+            return Some(format!("a lower token after a higher one: {:?}", self.sent_orders));
         }
-        let holders = self.hosts.iter().filter(|host| host.tenure.token(self.now).is_some());
+        let holders = self.hosts.iter().filter(|host| host.order_lease.token(self.now).is_some());
         if holders.count() > 1 {
-            return Some(format!("two holders at once: {:?}", self.sent));
+            return Some(format!("two holders at once: {:?}", self.sent_orders));
         }
-        let own = earlier.iter().position(|sent| sent.host == last.host)?;
-        let is_turn = earlier[own..].iter().any(|sent| sent.host != last.host);
-        is_turn.then(|| format!("two holders take turns: {:?}", self.sent))
+        let own_first = earlier.iter().position(|sent| sent.host == last.host)?;
+        let is_alternating = earlier[own_first..].iter().any(|sent| sent.host != last.host);
+        is_alternating.then(|| format!("two holders alternate: {:?}", self.sent_orders))
     }
 }
 
 impl Orders {
-    /// The host reads the key.
-    fn see(&mut self, host: usize) {
-        let (era, key) = (self.told_era(), self.store.key);
-        let before = self.hosts[host].seen.replace((era, key));
-        let is_return = before.is_some_and(|(before, _)| before < era);
-        if is_return {
-            let own = key.filter(|key| key.host == host);
-            let own = own.map(|key| Revision::new(era, key.number));
-            self.tell(host, OrderLeaseEvent::StoreRestored { era, own_key: own });
+    /// Lets the host read the key.
+    fn read_key(&mut self, host: usize) {
+        let (era, key) = (self.known_era(), self.store.key);
+        let previous = self.hosts[host].last_seen.replace((era, key));
+        let is_restored = previous.is_some_and(|(previous, _)| previous < era);
+        if is_restored {
+            let own_key = key.filter(|key| key.host == host);
+            let own_key = own_key.map(|key| Revision::new(era, key.number));
+            self.handle_event(host, OrderLeaseEvent::StoreRestored { era, own_key });
         } else {
             let now = self.now;
-            self.hosts[host].tenure.set_era(now, era);
+            self.hosts[host].order_lease.set_era(now, era);
         }
-        self.tell(host, OrderLeaseEvent::HolderSeen(key.map(|key| name(key.host))));
+        self.handle_event(host, OrderLeaseEvent::HolderSeen(key.map(|key| host_name(key.host))));
     }
 
     fn host_steps(&self, host: usize, steps: &mut Steps<Self>) {
@@ -381,37 +402,37 @@
         if state.is_paused {
             let mut next = self.clone();
             next.hosts[host].is_paused = false;
-            steps.add(|| format!("{} wakes", name(host)), next);
+            steps.add(|| format!("{} resumes", host_name(host)), next);
             return;
         }
-        if state.seen != Some((self.told_era(), self.store.key)) {
-            let mut seen = self.clone();
-            seen.see(host);
-            steps.add(|| format!("{} sees the holder", name(host)), seen);
+        if state.last_seen != Some((self.known_era(), self.store.key)) {
+            let mut next = self.clone();
+            next.read_key(host);
+            steps.add(|| format!("{} reads the holder", host_name(host)), next);
         }
-        if let Some(token) = state.tenure.token(self.now) {
+        if let Some(token) = state.order_lease.token(self.now) {
             let mut next = self.clone();
-            next.sent.push(Sent { host, token, at: self.now });
-            next.sent.dedup();
-            steps.add(|| format!("{} orders", name(host)), next);
+            next.sent_orders.push(SentOrder { host, token, sent_at: self.now });
+            next.sent_orders.dedup();
+            steps.add(|| format!("{} sends an order", host_name(host)), next);
         }
         if self.pauses < self.options.pauses {
             let mut next = self.clone();
             next.pauses += 1;
             next.hosts[host].is_paused = true;
-            steps.add(|| format!("{} is paused", name(host)), next);
+            steps.add(|| format!("{} is paused", host_name(host)), next);
         }
-        // The restart of a host that holds nothing changes nothing.
-        if self.restarts < self.options.restarts && state.tenure.is_holding(self.now) {
+        // Restarting a host that does not hold the lease has no effect.
+        if self.restarts < self.options.restarts && state.order_lease.is_holding(self.now) {
             let mut next = self.clone();
             next.restarts += 1;
             next.hosts[host] = Host {
-                tenure: tenure(self.options, self.now),
+                order_lease: order_lease(self.options, self.now),
                 is_paused: false,
-                seen: None,
-                life: state.life + 1,
+                last_seen: None,
+                incarnation: state.incarnation + 1,
             };
-            steps.add(|| format!("{} is restarted", name(host)), next);
+            steps.add(|| format!("{} is restarted", host_name(host)), next);
         }
     }
 }
--- a/crates/check/src/revocation.rs
+++ b/crates/check/src/revocation.rs
@@ -1,9 +1,10 @@
-//! A key is taken away: one host reads the store, another one hears from it and sends requests with the key.
+//! Model of the revocation of a key. One host, the reader, reads the store; another one, the
+//! follower, gets the configuration from the reader and sends requests with the key.
 //!
-//! Clocks differ, every message may be late by any time, and either host may pause between any two steps. Time passes in
-//! ticks.
+//! The clocks of the hosts differ, every message may be delayed by any time, and either host may
+//! pause between any two steps. Time passes in ticks.
 
-use crate::{Steps, World};
+use crate::{State, Steps};
 use std::collections::BTreeSet;
 use vanetally_fanout::{Freshness, SourceStatus};
 use vanetally_types::Tick;
@@ -11,85 +12,90 @@
 /// Guards of the hosts; each can be switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// The reader counts from the sending of its question to the store, not from the answer's arrival.
-    pub from_sending: bool,
-    /// The follower counts a word from when it was written, by the writer's clock, not from its arrival.
-    pub from_writing: bool,
-    /// A word about a newer configuration confirms nothing.
+    /// The reader counts the age of what it read from when it sent the read, not from when the
+    /// answer arrived.
+    pub age_from_request: bool,
+    /// The follower counts the age of a status from when it was written, by the writer's clock, not
+    /// from when it arrived.
+    pub age_from_writing: bool,
+    /// A status about a newer configuration than the follower's own confirms nothing.
     pub same_version: bool,
-    /// A request is judged right before it is sent, not only when it arrives.
-    pub last_look: bool,
+    /// Whether the key may be used is checked right before a request is sent, not only when the
+    /// request arrives.
+    pub check_before_send: bool,
 }
 
-/// Bounds and switches of the specification.
+/// Bounds and switches of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
     /// Guards of the hosts.
     pub guards: Guards,
-    /// Ticks that pass at most.
-    pub ticks: u64,
-    /// Questions to the store.
-    pub reads: u8,
-    /// Questions for the reader's clock.
-    pub asks: u8,
-    /// Words of the reader.
-    pub words: u8,
+    /// Maximum number of ticks that pass.
+    pub max_ticks: u64,
+    /// Maximum number of reads of the store.
+    pub store_reads: u8,
+    /// Maximum number of requests for the reader's clock.
+    pub clock_requests: u8,
+    /// Maximum number of statuses sent by the reader.
+    pub statuses: u8,
 }
 
-/// Something on its way; it arrives at any later time, or never.
+/// A message in flight; it arrives at any later time, or never.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Flight {
-    /// The store's answer to a question that the reader sent at `asked`.
-    Answer { asked: Tick, version: u64 },
-    /// The follower's question for the reader's clock.
-    Question { asked: Tick },
-    /// The reader's clock.
-    Clock { asked: Tick, word: SourceStatus },
-    /// The reader told how it stands.
-    Word { word: SourceStatus },
-    /// The reader sent its configuration.
-    Patch { version: u64 },
+enum InFlight {
+    /// The store's answer to a read that the reader sent at `requested_at`.
+    ReadAnswer { requested_at: Tick, version: u64 },
+    /// The follower's request for the reader's clock.
+    ClockRequest { requested_at: Tick },
+    /// The reader's answer with its clock.
+    ClockAnswer { requested_at: Tick, status: SourceStatus },
+    /// Status of the reader.
+    Status { status: SourceStatus },
+    /// Configuration of the reader.
+    Configuration { version: u64 },
 }
 
-/// One host.
+/// State of one host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Host {
     freshness: Freshness,
     version: u64,
 }
 
-/// A request with the key at the follower.
+/// State of the one request with the key at the follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Request {
     None,
-    /// It was judged when it arrived.
+    /// Accepted when it arrived.
     Waiting,
-    /// It left at this moment.
+    /// Sent at this time.
     Sent(Tick),
 }
 
-/// The world.
+/// State of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Revocation {
     options: Options,
+    /// Time by the reader's clock.
     now: Tick,
-    /// When the configuration without the key was accepted.
-    revoked: Option<Tick>,
+    /// When the configuration without the key was accepted, by the reader's clock.
+    revoked_at: Option<Tick>,
     reader: Host,
     follower: Host,
     request: Request,
-    flights: BTreeSet<Flight>,
+    in_flight: BTreeSet<InFlight>,
 }
 
-/// Within so many ticks after its end no host may use the key.
-const ALLOWED: u64 = 2;
-/// A host uses the key while its configuration was certainly the newest so many ticks ago.
-const USED: u64 = 2;
-/// What the follower's clock shows beyond the reader's.
-const AHEAD: u64 = 5;
-/// The first moment, by the reader's clock.
+/// Number of ticks after its revocation during which the key may still be used.
+const MAX_USE_TICKS: u64 = 2;
+/// A host uses the key only if its configuration was certainly the newest at most this many ticks
+/// ago.
+const MAX_AGE_TICKS: u64 = 2;
+/// How far the follower's clock is ahead of the reader's.
+const CLOCK_SKEW_TICKS: u64 = 5;
+/// Start time, by the reader's clock.
 const START: Tick = Tick(100);
-/// The configuration with the key, and the one without.
+/// Versions of the configuration with the key and of the one without it.
 const WITH_KEY: u64 = 1;
 const WITHOUT_KEY: u64 = 2;
 
@@ -100,24 +106,24 @@
         Self {
             options,
             now: START,
-            revoked: None,
+            revoked_at: None,
             reader: host.clone(),
             follower: host,
             request: Request::None,
-            flights: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
         }
     }
 
-    fn stored(&self) -> u64 {
-        if self.revoked.is_some() { WITHOUT_KEY } else { WITH_KEY }
+    fn stored_version(&self) -> u64 {
+        if self.revoked_at.is_some() { WITHOUT_KEY } else { WITH_KEY }
     }
 
-    /// What the follower's clock shows.
+    /// Returns the time by the follower's clock.
     fn follower_now(&self) -> Tick {
-        self.now + AHEAD
+        self.now + CLOCK_SKEW_TICKS
     }
 
-    fn word(&self) -> SourceStatus {
+    fn status(&self) -> SourceStatus {
         SourceStatus {
             host: "reader".into(),
             incarnation: 1,
@@ -130,116 +136,123 @@
     /// Whether the follower may use the key now.
     fn may_use(&self) -> bool {
         let confirmed = self.follower.freshness.confirmed_at();
-        let is_fresh = confirmed.is_some_and(|at| self.follower_now().since(at) <= USED);
+        let is_fresh = confirmed.is_some_and(|at| self.follower_now().since(at) <= MAX_AGE_TICKS);
         self.follower.version == WITH_KEY && is_fresh
     }
 
-    fn step(&self, out: &mut Steps<Self>, label: &str, change: impl FnOnce(&mut Self)) {
-        let mut world = self.clone();
-        change(&mut world);
-        out.add(|| format!("{label} at {}", self.now.0 - START.0), world);
+    fn add_step(&self, steps: &mut Steps<Self>, label: &str, change: impl FnOnce(&mut Self)) {
+        let mut next = self.clone();
+        change(&mut next);
+        steps.add(|| format!("{label} at {}", self.now.0 - START.0), next);
     }
 
-    fn arrive(&mut self, flight: &Flight) {
-        self.flights.remove(flight);
+    fn deliver(&mut self, in_flight: &InFlight) {
+        self.in_flight.remove(in_flight);
         let guards = self.options.guards;
-        match flight.clone() {
-            Flight::Answer { asked, version } => {
+        match in_flight.clone() {
+            InFlight::ReadAnswer { requested_at, version } => {
                 self.reader.version = self.reader.version.max(version);
-                let counted = if guards.from_sending { asked } else { self.now };
-                // An answer that is older than what is in force tells nothing new.
+                let confirmed_at = if guards.age_from_request { requested_at } else { self.now };
+                // An answer older than the configuration in force confirms nothing.
                 if version == self.reader.version {
-                    self.reader.freshness.record_read(counted);
+                    self.reader.freshness.record_read(confirmed_at);
                 }
             }
-            Flight::Question { asked } => {
-                let word = self.word();
-                self.flights.insert(Flight::Clock { asked, word });
+            InFlight::ClockRequest { requested_at } => {
+                let status = self.status();
+                self.in_flight.insert(InFlight::ClockAnswer { requested_at, status });
             }
-            Flight::Clock { asked, word } => {
-                let version = self.compared_version();
-                self.follower.freshness.record_clock(asked, &word, version);
+            InFlight::ClockAnswer { requested_at, status } => {
+                let version = self.version_to_compare();
+                self.follower.freshness.record_clock(requested_at, &status, version);
             }
-            Flight::Word { word } if guards.from_writing => {
-                let version = self.compared_version();
-                self.follower.freshness.record_status(&word, version);
+            InFlight::Status { status } if guards.age_from_writing => {
+                let version = self.version_to_compare();
+                self.follower.freshness.record_status(&status, version);
             }
-            Flight::Word { word } => {
-                let is_same = self.compared_version() >= word.version;
-                if let Some(age_ms) = word.age_ms.filter(|_| is_same) {
-                    let arrived = self.follower_now();
-                    self.follower.freshness.record_read(arrived - age_ms);
+            InFlight::Status { status } => {
+                let is_same = self.version_to_compare() >= status.version;
+                if let Some(age_ms) = status.age_ms.filter(|_| is_same) {
+                    let arrived_at = self.follower_now();
+                    self.follower.freshness.record_read(arrived_at - age_ms);
                 }
             }
-            Flight::Patch { version } => {
+            InFlight::Configuration { version } => {
                 self.follower.version = self.follower.version.max(version);
             }
         }
     }
 
-    fn compared_version(&self) -> u64 {
+    fn version_to_compare(&self) -> u64 {
         if self.options.guards.same_version { self.follower.version } else { u64::MAX }
     }
 
-    fn messages(&self, out: &mut Steps<Self>) {
-        if self.options.reads > 0 {
-            self.step(out, "the reader asks the store", |world| {
-                world.options.reads -= 1;
-                let (asked, version) = (world.now, world.stored());
-                world.flights.insert(Flight::Answer { asked, version });
+    fn message_steps(&self, steps: &mut Steps<Self>) {
+        if self.options.store_reads > 0 {
+            self.add_step(steps, "the reader reads the store", |next| {
+                next.options.store_reads -= 1;
+                let (requested_at, version) = (next.now, next.stored_version());
+                next.in_flight.insert(InFlight::ReadAnswer { requested_at, version });
             });
         }
-        if self.options.asks > 0 {
-            self.step(out, "the follower asks for the clock", |world| {
-                world.options.asks -= 1;
-                let asked = world.follower_now();
-                world.flights.insert(Flight::Question { asked });
+        if self.options.clock_requests > 0 {
+            self.add_step(steps, "the follower requests the clock", |next| {
+                next.options.clock_requests -= 1;
+                let requested_at = next.follower_now();
+                next.in_flight.insert(InFlight::ClockRequest { requested_at });
             });
         }
-        if self.options.words > 0 {
-            self.step(out, "the reader tells how it stands", |world| {
-                world.options.words -= 1;
-                let word = world.word();
-                world.flights.insert(Flight::Word { word });
+        if self.options.statuses > 0 {
+            self.add_step(steps, "the reader sends its status", |next| {
+                next.options.statuses -= 1;
+                let status = next.status();
+                next.in_flight.insert(InFlight::Status { status });
             });
         }
         if self.reader.version > self.follower.version {
             let version = self.reader.version;
-            self.step(out, "the reader sends its configuration", |world| {
-                world.flights.insert(Flight::Patch { version });
+            self.add_step(steps, "the reader sends its configuration", |next| {
+                next.in_flight.insert(InFlight::Configuration { version });
             });
         }
     }
 }
 
-impl World for Revocation {
-    fn next(&self, out: &mut Steps<Self>) {
+impl State for Revocation {
+    fn successors(&self, steps: &mut Steps<Self>) {
         if matches!(self.request, Request::Sent(_)) {
             return;
         }
-        if self.now.since(START) < self.options.ticks {
-            self.step(out, "time passes", |world| world.now = world.now + 1);
+        if self.now.since(START) < self.options.max_ticks {
+            self.add_step(steps, "time passes", |next| next.now = next.now + 1);
         }
-        if self.revoked.is_none() {
-            self.step(out, "the key is taken away", |world| world.revoked = Some(world.now));
+        if self.revoked_at.is_none() {
+            self.add_step(steps, "the key is revoked", |next| next.revoked_at = Some(next.now));
         }
-        self.messages(out);
-        for flight in &self.flights {
-            self.step(out, &format!("arrives: {flight:?}"), |world| world.arrive(flight));
+        self.message_steps(steps);
+        for in_flight in &self.in_flight {
+            self.add_step(steps, &format!("arrives: {in_flight:?}"), |next| {
+                next.deliver(in_flight)
+            });
         }
         if self.request == Request::None && self.may_use() {
-            self.step(out, "a request arrives", |world| world.request = Request::Waiting);
+            self.add_step(steps, "a request arrives", |next| next.request = Request::Waiting);
         }
-        if self.request == Request::Waiting && (self.may_use() || !self.options.guards.last_look) {
-            self.step(out, "it is sent", |world| world.request = Request::Sent(world.now));
+        if self.request == Request::Waiting
+            && (self.may_use() || !self.options.guards.check_before_send)
+        {
+            self.add_step(steps, "the request is sent", |next| {
+                next.request = Request::Sent(next.now)
+            });
         }
     }
 
-    fn broken(&self) -> Option<String> {
-        let (Request::Sent(sent), Some(revoked)) = (self.request, self.revoked) else {
+    fn violation(&self) -> Option<String> {
+        let (Request::Sent(sent_at), Some(revoked_at)) = (self.request, self.revoked_at) else {
             return None;
         };
-        let late = sent.since(revoked);
-        (late > ALLOWED).then(|| format!("sent {late} ticks after the key was taken away"))
+        let late_ticks = sent_at.since(revoked_at);
+        (late_ticks > MAX_USE_TICKS)
+            .then(|| format!("sent {late_ticks} ticks after the key was revoked"))
     }
 }
--- a/crates/check/src/search.rs
+++ b/crates/check/src/search.rs
@@ -1,43 +1,43 @@
-//! Breadth-first search over worlds, by `pathfinding`.
+//! Breadth-first search over the states of a model, by `pathfinding`.
 
 use pathfinding::prelude::bfs;
 use std::{cell::Cell, fmt, hash::Hash};
 
-/// The worlds that one step leads to; steps are named only for a trace.
-pub struct Steps<W> {
-    named: bool,
-    list: Vec<(String, W)>,
+/// States that one step leads to. Steps are named only when a trace is built.
+pub struct Steps<S> {
+    with_names: bool,
+    successors: Vec<(String, S)>,
 }
 
-impl<W: World> Steps<W> {
-    /// Adds a world and the step that leads to it.
-    pub fn add(&mut self, name: impl FnOnce() -> String, mut world: W) {
-        world.tidy();
-        let name = if self.named { name() } else { String::new() };
-        self.list.push((name, world));
+impl<S: State> Steps<S> {
+    /// Adds a state and the step that leads to it.
+    pub fn add(&mut self, name: impl FnOnce() -> String, mut state: S) {
+        state.normalize();
+        let name = if self.with_names { name() } else { String::new() };
+        self.successors.push((name, state));
     }
 }
 
-/// A state of everything.
-pub trait World: Clone + Eq + Hash {
-    /// Adds the worlds that one step leads to.
-    fn next(&self, steps: &mut Steps<Self>);
+/// State of a model.
+pub trait State: Clone + Eq + Hash {
+    /// Adds the states that one step leads to.
+    fn successors(&self, steps: &mut Steps<Self>);
 
-    /// Forgets what can make no difference any more, so that alike worlds are equal.
-    fn tidy(&mut self) {}
+    /// Drops what can no longer make a difference, so that equivalent states are equal.
+    fn normalize(&mut self) {}
 
-    /// What is wrong with this world, if a promise is broken in it.
-    fn broken(&self) -> Option<String>;
+    /// Returns a description of the violation if this state violates the invariant.
+    fn violation(&self) -> Option<String>;
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Worlds visited.
+    /// Number of states visited.
     pub states: usize,
-    /// Whether all worlds within the bounds were visited, or a broken one was found.
+    /// Whether all states within the bounds were visited, or a violation was found.
     pub complete: bool,
-    /// The shortest way to a broken promise, if there is one: its steps and what is broken.
+    /// Shortest path to a violation, if there is one: its steps, then the violation.
     pub trace: Option<Vec<String>>,
 }
 
@@ -45,62 +45,63 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (states, complete) = (self.states, self.complete);
         write!(f, "states={states} complete={complete} broken={}", self.trace.is_some())?;
-        for (at, step) in self.trace.iter().flatten().enumerate() {
-            write!(f, "\n  {at}. {step}")?;
+        for (index, step) in self.trace.iter().flatten().enumerate() {
+            write!(f, "\n  {index}. {step}")?;
         }
         Ok(())
     }
 }
 
-/// Most worlds visited in one search, so that memory stays bounded.
-const MOST: usize = 700_000;
+/// Maximum number of states visited in one search, to bound its memory.
+const MAX_STATES: usize = 700_000;
 
-/// Visits all worlds that `start` leads to, until one is broken or there are too many.
-pub fn search<W: World>(start: W) -> Outcome {
-    let states = Cell::new(0);
-    let successors = |world: &W| {
-        states.set(states.get() + 1);
-        match states.get() > MOST {
+/// Visits all states reachable from `start`, until one violates the invariant or there are more
+/// than [`MAX_STATES`].
+pub fn search<S: State>(start: S) -> Outcome {
+    let visited = Cell::new(0);
+    let next_states = |state: &S| {
+        visited.set(visited.get() + 1);
+        match visited.get() > MAX_STATES {
             true => Vec::new(),
-            false => expand(world, false).into_iter().map(|(_, next)| next).collect(),
+            false => expand(state, false).into_iter().map(|(_, next)| next).collect(),
         }
     };
-    let path = bfs(&start, successors, |world| world.broken().is_some());
-    let trace = path.map(|worlds| name_steps(&worlds));
-    let complete = trace.is_some() || states.get() <= MOST;
-    Outcome { states: states.get().min(MOST), complete, trace }
+    let path = bfs(&start, next_states, |state| state.violation().is_some());
+    let trace = path.map(|path| name_steps(&path));
+    let complete = trace.is_some() || visited.get() <= MAX_STATES;
+    Outcome { states: visited.get().min(MAX_STATES), complete, trace }
 }
 
-/// Takes one step after another, each chosen by the next of `picks`, far beyond the bounds that a
-/// whole search can bear. Returns the steps and what is broken, if anything is.
-pub fn walk<W: World>(start: W, picks: &[usize]) -> Option<Vec<String>> {
-    let mut worlds = vec![start];
-    for pick in picks {
-        let next = expand(worlds.last()?, false);
+/// Takes one step per element of `choices`, each of which selects a successor. Walks can go far
+/// beyond the bounds of a full search. Returns the steps and the violation, if there is one.
+pub fn walk<S: State>(start: S, choices: &[usize]) -> Option<Vec<String>> {
+    let mut states = vec![start];
+    for choice in choices {
+        let next = expand(states.last()?, false);
         let count = next.len().max(1);
-        let Some((_, world)) = next.into_iter().nth(pick % count) else { break };
-        let broken = world.broken().is_some();
-        worlds.push(world);
-        if broken {
-            return Some(name_steps(&worlds));
+        let Some((_, state)) = next.into_iter().nth(choice % count) else { break };
+        let is_violated = state.violation().is_some();
+        states.push(state);
+        if is_violated {
+            return Some(name_steps(&states));
         }
     }
     None
 }
 
-fn expand<W: World>(world: &W, named: bool) -> Vec<(String, W)> {
-    let mut steps = Steps { named, list: Vec::new() };
-    world.next(&mut steps);
-    steps.list
+fn expand<S: State>(state: &S, with_names: bool) -> Vec<(String, S)> {
+    let mut steps = Steps { with_names, successors: Vec::new() };
+    state.successors(&mut steps);
+    steps.successors
 }
 
-/// The steps between worlds that follow each other, and what is broken in the last.
-fn name_steps<W: World>(worlds: &[W]) -> Vec<String> {
+/// Names of the steps between consecutive states, then the violation in the last state.
+fn name_steps<S: State>(states: &[S]) -> Vec<String> {
     let mut names = Vec::new();
-    for pair in worlds.windows(2) {
+    for pair in states.windows(2) {
         let step = expand(&pair[0], true).into_iter().find(|(_, next)| *next == pair[1]);
         names.extend(step.map(|(name, _)| name));
     }
-    names.extend(worlds.last().and_then(|w| w.broken()));
+    names.extend(states.last().and_then(|state| state.violation()));
     names
 }
--- a/crates/check/tests/config.rs
+++ b/crates/check/tests/config.rs
@@ -1,4 +1,5 @@
-//! Configuration never goes back, operators learn the truth, and each guard matters.
+//! Hosts never return to an older revision, operators learn the true result of their writes, and
+//! the search finds a violation when any one guard is off.
 
 use rstest::rstest;
 use vanetally_check::{
@@ -10,20 +11,20 @@
 
 const GUARDS: Guards = Guards { newer: true, valid: true };
 
-/// Two operators race and answers are lost.
+/// Two operators write concurrently and answers are lost.
 const RACE: Options = Options {
     guards: GUARDS,
-    compares: true,
-    looks: true,
-    unsound: false,
-    losses: 2,
-    watches: 2,
+    checks_base: true,
+    reads_back: true,
+    has_invalid_change: false,
+    lost_answers: 2,
+    reads: 2,
     gossip: 1,
     restores: 0,
 };
 
-/// The platform is restored to an older state besides.
-const RESTORED: Options = Options { losses: 1, restores: 1, watches: 3, ..RACE };
+/// The platform is also restored to its first state.
+const RESTORED: Options = Options { lost_answers: 1, restores: 1, reads: 3, ..RACE };
 
 fn run(name: &str, options: Options) -> Outcome {
     let outcome = search(Config::new(options));
@@ -34,19 +35,19 @@
 #[rstest]
 #[case::race(RACE)]
 #[case::restored(RESTORED)]
-#[case::unsound(Options { unsound: true, ..RACE })]
-fn never_reverts(#[case] options: Options) {
+#[case::invalid_change(Options { has_invalid_change: true, ..RACE })]
+fn revision_never_reverts(#[case] options: Options) {
     let outcome = run("sound", options);
     assert!(outcome.complete && outcome.trace.is_none(), "{outcome}");
 }
 
 #[rstest]
 #[case::newer(Options { guards: Guards { newer: false, ..GUARDS }, ..RACE })]
-#[case::newer_restored(Options { guards: Guards { newer: false, ..GUARDS }, losses: 0, ..RESTORED })]
-#[case::sound(Options { guards: Guards { valid: false, ..GUARDS }, unsound: true, ..RACE })]
-#[case::compares(Options { compares: false, ..RACE })]
-#[case::looks(Options { looks: false, ..RACE })]
-fn guard_matters(#[case] options: Options) {
+#[case::newer_restored(Options { guards: Guards { newer: false, ..GUARDS }, lost_answers: 0, ..RESTORED })]
+#[case::valid(Options { guards: Guards { valid: false, ..GUARDS }, has_invalid_change: true, ..RACE })]
+#[case::checks_base(Options { checks_base: false, ..RACE })]
+#[case::reads_back(Options { reads_back: false, ..RACE })]
+fn missing_guard_is_found(#[case] options: Options) {
     let outcome = run("guard-off", options);
     assert!(outcome.trace.is_some(), "{outcome}");
 }
--- a/crates/check/tests/orders.rs
+++ b/crates/check/tests/orders.rs
@@ -1,4 +1,5 @@
-//! One host gives orders at a time, and each guard matters.
+//! At most one host at a time sends orders, and the search finds a violation when any one guard is
+//! off.
 
 use rstest::rstest;
 use vanetally_check::{
@@ -9,31 +10,32 @@
 
 /// A host is paused, and an answer is lost.
 const PAUSED: Options = Options {
-    covered: true,
+    stops_uncovered: true,
     resettles: true,
-    tokens_rise: true,
-    knows_eras: true,
-    knows_leases: true,
-    returns: 0,
-    losses: 1,
+    era_in_token: true,
+    tracks_eras: true,
+    checks_lease_era: true,
+    restores: 0,
+    lost_answers: 1,
     pauses: 1,
     restarts: 0,
     is_prompt: true,
-    steps: 6,
+    time_steps: 6,
 };
 
 /// Hosts are restarted.
-const RESTARTED: Options = Options { losses: 0, pauses: 0, restarts: 2, steps: 8, ..PAUSED };
+const RESTARTED: Options =
+    Options { lost_answers: 0, pauses: 0, restarts: 2, time_steps: 8, ..PAUSED };
 
-/// Calls take their time.
-const SLOW: Options = Options { losses: 0, is_prompt: false, steps: 4, ..PAUSED };
+/// Calls are processed after time has passed.
+const SLOW: Options = Options { lost_answers: 0, is_prompt: false, time_steps: 4, ..PAUSED };
 
-/// The store comes back from a copy while a host is paused.
-const RETURNED: Options = Options { losses: 0, returns: 1, steps: 4, ..PAUSED };
+/// The store is restored from a snapshot while a host is paused.
+const RESTORED: Options = Options { lost_answers: 0, restores: 1, time_steps: 4, ..PAUSED };
 
-/// It does so twice, and calls take their time.
-const RETURNED_TWICE: Options =
-    Options { losses: 0, pauses: 0, returns: 2, steps: 3, is_prompt: false, ..PAUSED };
+/// The store is restored twice, and calls are processed after time has passed.
+const RESTORED_TWICE: Options =
+    Options { lost_answers: 0, pauses: 0, restores: 2, time_steps: 3, is_prompt: false, ..PAUSED };
 
 fn run(name: &str, options: Options) -> Outcome {
     let outcome = search(Orders::new(options));
@@ -45,37 +47,38 @@
 #[case::paused(PAUSED)]
 #[case::restarted(RESTARTED)]
 #[case::slow(SLOW)]
-#[case::returned(RETURNED)]
-#[case::returned_twice(RETURNED_TWICE)]
-fn one_holder(#[case] options: Options) {
+#[case::restored(RESTORED)]
+#[case::restored_twice(RESTORED_TWICE)]
+fn at_most_one_holder(#[case] options: Options) {
     let outcome = run("sound", options);
     assert!(outcome.trace.is_none(), "{outcome}");
 }
 
 #[rstest]
-#[case::covered(Options { covered: false, ..PAUSED })]
-#[case::covered_slow(Options { covered: false, steps: 6, ..SLOW })]
+#[case::stops_uncovered(Options { stops_uncovered: false, ..PAUSED })]
+#[case::stops_uncovered_slow(Options { stops_uncovered: false, time_steps: 6, ..SLOW })]
 #[case::resettles(Options { resettles: false, ..RESTARTED })]
-#[case::tokens_rise(Options { tokens_rise: false, pauses: 0, ..RETURNED })]
-#[case::knows_eras(Options { knows_eras: false, ..RETURNED })]
-#[case::knows_leases(Options { knows_leases: false, ..RETURNED })]
-fn guard_matters(#[case] options: Options) {
+#[case::era_in_token(Options { era_in_token: false, pauses: 0, ..RESTORED })]
+#[case::tracks_eras(Options { tracks_eras: false, ..RESTORED })]
+#[case::checks_lease_era(Options { checks_lease_era: false, ..RESTORED })]
+fn missing_guard_is_found(#[case] options: Options) {
     let outcome = run("guard-off", options);
     assert!(outcome.trace.is_some(), "{outcome}");
 }
 
-/// Long random runs with many troubles, from a fixed seed.
+/// Long random walks with many faults, from a fixed seed.
 #[test]
-fn long_walks() {
-    let options = Options { losses: 6, pauses: 4, restarts: 2, returns: 3, steps: 60, ..SLOW };
+fn long_random_walks() {
+    let options =
+        Options { lost_answers: 6, pauses: 4, restarts: 2, restores: 3, time_steps: 60, ..SLOW };
     let mut seed = 7_u64;
     for _ in 0..200 {
-        let picks: Vec<usize> = (0..400)
+        let choices: Vec<usize> = (0..400)
             .map(|_| {
                 seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
                 (seed >> 33) as usize
             })
             .collect();
-        assert_eq!(walk(Orders::new(options), &picks), None);
+        assert_eq!(walk(Orders::new(options), &choices), None);
     }
 }
--- a/crates/check/tests/revocation.rs
+++ b/crates/check/tests/revocation.rs
@@ -1,4 +1,5 @@
-//! A key that was taken away is not used later than allowed, and each guard matters.
+//! A revoked key is not used later than allowed, and the search finds a violation when any one guard
+//! is off.
 
 use rstest::rstest;
 use vanetally_check::{
@@ -7,11 +8,17 @@
     search,
 };
 
-const GUARDS: Guards =
-    Guards { from_sending: true, from_writing: true, same_version: true, last_look: true };
+const GUARDS: Guards = Guards {
+    age_from_request: true,
+    age_from_writing: true,
+    same_version: true,
+    check_before_send: true,
+};
 
-const SLOW: Options = Options { guards: GUARDS, ticks: 4, reads: 1, asks: 1, words: 2 };
-const TWO_READS: Options = Options { ticks: 4, reads: 2, asks: 1, words: 1, ..SLOW };
+const TWO_STATUSES: Options =
+    Options { guards: GUARDS, max_ticks: 4, store_reads: 1, clock_requests: 1, statuses: 2 };
+const TWO_READS: Options =
+    Options { max_ticks: 4, store_reads: 2, clock_requests: 1, statuses: 1, ..TWO_STATUSES };
 
 fn run(name: &str, options: Options) -> Outcome {
     let outcome = search(Revocation::new(options));
@@ -20,19 +27,19 @@
 }
 
 #[rstest]
-#[case::slow(SLOW)]
+#[case::two_statuses(TWO_STATUSES)]
 #[case::two_reads(TWO_READS)]
-fn never_late(#[case] options: Options) {
+fn revoked_key_is_not_used(#[case] options: Options) {
     let outcome = run("sound", options);
     assert!(outcome.complete && outcome.trace.is_none(), "{outcome}");
 }
 
 #[rstest]
-#[case::from_sending(Guards { from_sending: false, ..GUARDS })]
-#[case::from_writing(Guards { from_writing: false, ..GUARDS })]
+#[case::age_from_request(Guards { age_from_request: false, ..GUARDS })]
+#[case::age_from_writing(Guards { age_from_writing: false, ..GUARDS })]
 #[case::same_version(Guards { same_version: false, ..GUARDS })]
-#[case::last_look(Guards { last_look: false, ..GUARDS })]
-fn guard_matters(#[case] guards: Guards) {
+#[case::check_before_send(Guards { check_before_send: false, ..GUARDS })]
+fn missing_guard_is_found(#[case] guards: Guards) {
     let outcome = run("guard-off", Options { guards, ..TWO_READS });
     assert!(outcome.trace.is_some(), "{outcome}");
 }
--- a/crates/check/tests/walks.rs
+++ b/crates/check/tests/walks.rs
@@ -1,4 +1,4 @@
-//! Long random runs far beyond the bounds of the searches.
+//! Long random walks, far beyond the bounds of the searches.
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use vanetally_check::{
@@ -11,21 +11,21 @@
 use vanetally_config::tracker::Guards as ConfigGuards;
 use vanetally_ledger::Guards as LedgerGuards;
 
-/// Steps of a run.
+/// Number of steps of a walk.
 const STEPS: usize = 300;
 
-fn runner(fenced: bool) -> runner::Options {
+fn runner(is_fenced: bool) -> runner::Options {
     runner::Options {
-        fenced,
-        checks: fenced,
+        assumes_fence: is_fenced,
+        enforces_fence: is_fenced,
         guards: LedgerGuards::ON,
-        both: true,
-        takes: 12,
-        wants: 40,
+        exceeds_capacity: true,
+        takeovers: 12,
+        plan_changes: 40,
         polls: 60,
         restarts: 6,
         crashes: 4,
-        losses: 20,
+        lost_answers: 20,
     }
 }
 
@@ -33,12 +33,12 @@
     claims::Options {
         guards: ClaimGuards::ON,
         hosts: 3,
-        keys: 3,
-        asks: 60,
-        takes: 20,
+        ids: 3,
+        requests: 60,
+        takeovers: 20,
         outages: 20,
-        losses: 20,
-        doubles: 20,
+        lost_answers: 20,
+        duplicates: 20,
         crashes: 4,
         reads: 20,
         not_run: 10,
@@ -49,63 +49,64 @@
 fn config() -> config::Options {
     config::Options {
         guards: ConfigGuards::default(),
-        compares: true,
-        looks: true,
-        unsound: false,
-        losses: 6,
-        watches: 60,
+        checks_base: true,
+        reads_back: true,
+        has_invalid_change: false,
+        lost_answers: 6,
+        reads: 60,
         gossip: 60,
         restores: 0,
     }
 }
 
-/// The same runs every time, so that the verdict is the same.
-fn config_of(cases: u32) -> ProptestConfig {
+/// Fixes the seed, so that each run of the tests makes the same walks and has the same result.
+fn proptest_config_of(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(1);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
-fn picks() -> impl Strategy<Value = Vec<usize>> {
+fn choices() -> impl Strategy<Value = Vec<usize>> {
     prop::collection::vec(0..10_000_usize, STEPS)
 }
 
 proptest! {
-    #![proptest_config(config_of(300))]
+    #![proptest_config(proptest_config_of(300))]
 
     #[test]
-    fn checking_runner(picks in picks()) {
-        prop_assert_eq!(walk(Runner::new(runner(true)), &picks), None);
+    fn fenced_runner(choices in choices()) {
+        prop_assert_eq!(walk(Runner::new(runner(true)), &choices), None);
     }
 
     #[test]
-    fn trusting_runner(picks in picks()) {
-        prop_assert_eq!(walk(Runner::new(runner(false)), &picks), None);
+    fn unfenced_runner(choices in choices()) {
+        prop_assert_eq!(walk(Runner::new(runner(false)), &choices), None);
     }
 
     #[test]
-    fn many_ids(picks in picks()) {
-        prop_assert_eq!(walk(Claims::new(claims()), &picks), None);
+    fn many_ids(choices in choices()) {
+        prop_assert_eq!(walk(Claims::new(claims()), &choices), None);
     }
 
     #[test]
-    fn many_changes(picks in picks()) {
-        prop_assert_eq!(walk(Config::new(config()), &picks), None);
+    fn many_configuration_changes(choices in choices()) {
+        prop_assert_eq!(walk(Config::new(config()), &choices), None);
     }
 }
 
 #[test]
-fn guard_matters() {
-    // The runs reach deep enough to notice a missing guard.
+fn missing_guard_is_found() {
+    // The walks go deep enough to reach a violation when a guard is off.
     let guards = ClaimGuards { unresolved: false, ..ClaimGuards::ON };
     let options = claims::Options { guards, ..claims() };
-    let mut pick = 1_usize;
-    let mut draw = || {
-        pick = pick.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        pick >> 33
+    let mut state = 1_usize;
+    let mut next_choice = || {
+        state =
+            state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        state >> 33
     };
     let found = (0..3_000).any(|_| {
-        let picks: Vec<usize> = (0..STEPS).map(|_| draw()).collect();
-        walk(Claims::new(options), &picks).is_some()
+        let choices: Vec<usize> = (0..STEPS).map(|_| next_choice()).collect();
+        walk(Claims::new(options), &choices).is_some()
     });
     assert!(found);
 }
