--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -102,7 +102,7 @@
         self.slot_event(number, SlotEvent::Read(stored));
         if self.takeover_reads.remove(&number) && self.should_take_over(number, absent) {
             let backup = self.successor(number);
-            self.slot_event(number, SlotEvent::TakeOver { backup: backup });
+            self.slot_event(number, SlotEvent::TakeOver { backup });
         }
     }
 
@@ -198,7 +198,7 @@
                 let ranked = self.ranked_hosts(number);
                 let others = ranked.iter().filter(|n| **n != to.name);
                 let backup = others.filter_map(|n| self.members.current_process(n)).next();
-                self.slot_event(number, SlotEvent::Release { to, backup: backup });
+                self.slot_event(number, SlotEvent::Release { to, backup });
             }
             return;
         }
