--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -229,8 +229,8 @@
 
     pub(crate) fn reachable_peers(&self) -> Vec<Name> {
         let is_reachable = |p: &&vanetally_member::Peer| {
-            let last = p.last_seen.unwrap_or(p.known_since);
-            self.now.since(last) < self.options.suspect_ms
+            let last_seen = p.last_seen.unwrap_or(p.known_since);
+            self.now.since(last_seen) < self.options.suspect_ms
         };
         self.members.peers().filter(is_reachable).map(|p| p.listed.name.clone()).collect()
     }
@@ -290,11 +290,11 @@
 
     /// Whether no requests, slots or leaderships are left to finish or to hand over.
     fn is_drained(&self) -> bool {
-        let idle = self.requests() == (0, 0) && !self.has_recent_unacked();
+        let is_idle = self.requests() == (0, 0) && !self.has_recent_unacked();
         let no_peers = self.reachable_peers().is_empty();
         let holds = |s: &Slot| s.role() != vanetally_claim::Role::Other || s.is_handing_over();
         let leads = |g: &GroupLeadership| g.role() != vanetally_member::Role::Other;
-        idle && (no_peers || !(self.slots.iter().any(holds) || self.groups.iter().any(leads)))
+        is_idle && (no_peers || !(self.slots.iter().any(holds) || self.groups.iter().any(leads)))
     }
 }
 
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -98,9 +98,9 @@
     pub(crate) fn slot_read(&mut self, number: u16, value: Option<Option<StoredValue>>) {
         let Some(value) = value else { return };
         let stored = value.and_then(parse);
-        let absent = stored.is_none();
+        let record_absent = stored.is_none();
         self.slot_event(number, SlotEvent::Read(stored));
-        if self.takeover_reads.remove(&number) && self.should_take_over(number, absent) {
+        if self.takeover_reads.remove(&number) && self.should_take_over(number, record_absent) {
             let backup = self.successor(number);
             self.slot_event(number, SlotEvent::TakeOver { backup });
         }
@@ -135,18 +135,18 @@
 
     /// Whether this host should take over the slot now: the holder is unreachable, and this host is
     /// the backup or, if there is no eligible backup, ranks first.
-    fn should_take_over(&self, number: u16, absent: bool) -> bool {
+    fn should_take_over(&self, number: u16, record_absent: bool) -> bool {
         let slot = &self.slots[usize::from(number)];
         if slot.role() != Role::Other || self.stopping {
             return false;
         }
         let latest = self.slot_holders.get(&number);
-        if !absent && latest.is_some_and(|h| self.members.is_reachable(self.now, &h.1)) {
+        if !record_absent && latest.is_some_and(|h| self.members.is_reachable(self.now, &h.1)) {
             return false;
         }
         let record = slot.record();
         let backup = record.and_then(|r| r.backup.as_ref());
-        match backup.filter(|d| self.members.is_process_eligible(self.now, d)) {
+        match backup.filter(|b| self.members.is_process_eligible(self.now, b)) {
             Some(backup) => *backup == self.options.me,
             None => self.ranked_hosts(number).first() == Some(&self.options.me.name),
         }
@@ -204,7 +204,7 @@
         }
         let backup = slot.record().and_then(|r| r.backup.clone());
         let is_eligible =
-            backup.as_ref().is_some_and(|d| self.members.is_process_eligible(self.now, d));
+            backup.as_ref().is_some_and(|b| self.members.is_process_eligible(self.now, b));
         if !is_eligible && successor.is_some() {
             self.slot_event(number, SlotEvent::SetBackup(successor));
         }
@@ -227,8 +227,8 @@
 
     /// Marks the attempts of unreachable entry hosts as unknown.
     fn check_entry_hosts(&mut self, number: u16) {
-        let entries: Vec<HostId> = self.slots[usize::from(number)].running_entries();
-        for host in entries {
+        let entry_hosts: Vec<HostId> = self.slots[usize::from(number)].running_entries();
+        for host in entry_hosts {
             if !self.members.is_reachable(self.now, &host) {
                 self.slot_event(number, SlotEvent::Unreachable(host));
             }
