--- a/crates/core/src/planning.rs
+++ b/crates/core/src/planning.rs
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Sends desired entries if they have changed, and otherwise at intervals, because frames may be
-    /// lost.
+    /// Sends desired entries if they have changed, and otherwise at intervals, because frames may
+    /// be lost.
     fn send_desired_to(&mut self, host: Name, desired: BTreeMap<Name, DesiredEntries>) {
         let json = serde_json::to_vec(&desired).unwrap_or_default();
         let hash = hash64(&json);
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -266,8 +266,8 @@
         self.resend_outcomes();
     }
 
-    /// Sends a claim again. A known holder may keep an attempt waiting for another one, so the tries
-    /// start anew.
+    /// Sends a claim again. A known holder may keep an attempt waiting for another one, so the
+    /// tries start anew.
     fn retry_claim(&mut self, number: u64) {
         let Some(attempt) = self.attempts.get_mut(&number) else { return };
         let slot = slot_of(attempt.id, self.options.slots);
--- a/crates/ledger/src/machine.rs
+++ b/crates/ledger/src/machine.rs
@@ -22,8 +22,8 @@
 struct QuiescedIntent {
     /// Since when the order can't be sent any more.
     since: Tick,
-    /// The runner's incarnation in the first report polled after `since`. A later incarnation proves
-    /// that the order can't arrive any more.
+    /// The runner's incarnation in the first report polled after `since`. A later incarnation
+    /// proves that the order can't arrive any more.
     incarnation: Option<u64>,
 }
 
@@ -50,7 +50,7 @@
     pub(crate) open_intents: BTreeMap<u64, Intent>,
     quiesced: BTreeMap<u64, QuiescedIntent>,
     pub(crate) pending_write: Option<Record>,
-    /// Whether the stored record still contains a settled intent.
+    /// Whether the stored record must be rewritten: an intent was settled, or a write failed.
     pub(crate) record_stale: bool,
     /// Whether the runner's epoch must be raised before the next order.
     pub(crate) fence_due: bool,
--- a/crates/ledger/src/record_writes.rs
+++ b/crates/ledger/src/record_writes.rs
@@ -18,7 +18,8 @@
         actions.push(Action::Write(record));
     }
 
-    /// Handles a confirmed write: opens the leadership, or sends the order whose intent was written.
+    /// Handles a confirmed write: opens the leadership, or sends the order whose intent it
+    /// contains.
     pub(crate) fn written(&mut self, now: Tick, seq: u64, actions: &mut Vec<Action>) {
         if self.pending_write.as_ref().is_none_or(|r| r.seq != seq) {
             return;
