--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -43,7 +43,7 @@
 const SLOTS: u16 = 16;
 /// Number of groups of runners.
 const GROUPS: u16 = 8;
-/// Maximum size of a link message; a complete configuration is smaller.
+/// Maximum size of a link message; a complete configuration is well below it.
 const MAX_MESSAGE_BYTES: usize = 4_000_000;
 /// Maximum number of parallel exchanges on the operators' port.
 const MAX_ADMIN_EXCHANGES: usize = 16;
--- a/crates/daemon/src/frontend.rs
+++ b/crates/daemon/src/frontend.rs
@@ -83,7 +83,7 @@
     pub client: Client,
 }
 
-/// Additional time after a request's deadline in which the event loop decides.
+/// Maximum time after a request's deadline until the event loop has decided.
 const DECISION_SLACK: Duration = Duration::from_secs(5);
 /// Number of prompt bytes that are hashed for prefix affinity.
 const PREFIX_BYTES: usize = 256;
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -28,7 +28,7 @@
 
 /// Number of threads for calls on keys.
 const THREADS: usize = 4;
-/// Time after a failed call in which further calls fail immediately.
+/// Time in which calls fail immediately, after one found the platform unavailable.
 const BREAKER_COOLDOWN: Duration = Duration::from_millis(500);
 /// Interval between reads of the list of hosts, and between attempts to read the first
 /// configuration.
--- a/crates/daemon/src/proxy.rs
+++ b/crates/daemon/src/proxy.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Whether the answer states that the request was not run.
+    /// Whether the answer states, or its status implies, that the request was not run.
     fn is_refusal(&self, answer: &call::Answer) -> bool {
         let stated = header(answer, "x-verdict") == Some("not-run");
         stated || (!self.request.is_service && matches!(answer.status, 404 | 429 | 503))
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -11,7 +11,8 @@
 use vanetally_config::{Revision, Settings};
 use vanetally_types::{HostId, Tick};
 
-/// State shared by all threads of a daemon.
+/// State shared by all threads of a daemon. Only the event loop writes the revision, `ready` and
+/// `watches_config`.
 pub(crate) struct Shared {
     pub settings: Settings,
     pub host_id: HostId,
