--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! Fault injection: `POST /fault` sets the fields of [`Faults`] that its body names.
+//! Fault injection: `POST /fault` sets the fields of `Faults` that its body names.
 
 use serde::{Deserialize, Serialize};
 use std::{
