--- a/src/tool/demo.rs
+++ b/src/tool/demo.rs
@@ -103,7 +103,7 @@
     Ok(())
 }
 
-fn free_port() -> anyhow::Result<SocketAddr> {
+fn free_address() -> anyhow::Result<SocketAddr> {
     Ok(TcpListener::bind("127.0.0.1:0")?.local_addr()?)
 }
 
@@ -113,7 +113,7 @@
         let value = json!({
             "host": format!("entry-{}", index + 1), "domain": DOMAINS[index],
             "listen": format!("127.0.0.1:{port}"), "admin": format!("127.0.0.1:{}", port + 1),
-            "peer": free_port()?.to_string(), "platform": format!("http://{platform}"),
+            "peer": free_address()?.to_string(), "platform": format!("http://{platform}"),
             "credential": CREDENTIAL, "link_key": "demo-link-key-0123456789",
         });
         settings.push(serde_json::from_value::<Settings>(value)?);
