--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,5 +1,5 @@
-//! Load and experiments.
+//! Measurements of the daemon under load.
 #![deny(missing_docs, unsafe_code)]
 
-/// Added time and memory of a daemon between a caller and an engine.
+/// Latency and memory that a daemon adds between a caller and an engine.
 pub mod overhead;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! The load and experiment tool.
+//! Command-line program that measures a daemon under load.
 
 use anyhow::{Context, bail};
 use lexopt::{Arg, ValueExt};
@@ -24,13 +24,13 @@
 fn main() -> anyhow::Result<()> {
     let mut command = None;
     let mut settings = None;
-    let (mut rounds, mut streams, mut burst) = (6, 200, false);
+    let (mut rounds, mut streams, mut is_burst) = (6, 200, false);
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
         match arg {
-            Arg::Value(word) if command.is_none() => command = Some(word.string()?),
-            Arg::Value(word) if settings.is_none() => settings = Some(PathBuf::from(word)),
-            Arg::Long("burst") => burst = true,
+            Arg::Value(value) if command.is_none() => command = Some(value.string()?),
+            Arg::Value(value) if settings.is_none() => settings = Some(PathBuf::from(value)),
+            Arg::Long("burst") => is_burst = true,
             Arg::Long("streams") => streams = parser.value()?.parse()?,
             Arg::Long("rounds") => rounds = parser.value()?.parse()?,
             Arg::Long("help") => {
@@ -41,8 +41,8 @@
         }
     }
     match command.as_deref() {
-        Some("overhead") => overhead::run(rounds, streams, burst),
-        Some("child") => overhead::child(&settings.context("settings")?),
+        Some("overhead") => overhead::run(rounds, streams, is_burst),
+        Some("child") => overhead::run_daemon(&settings.context("settings")?),
         Some(other) => bail!("`{other}` is no command; see --help"),
         None => bail!("no command; see --help"),
     }
