--- a/crates/bench/benches/decisions.rs
+++ b/crates/bench/benches/decisions.rs
@@ -1,4 +1,5 @@
-//! Costs of decisions against size: routing, claims, plans, digests, upkeep.
+//! Cost of decisions by size: routing, status reports, claims, planning, upkeep, pacing; and the
+//! sizes of messages between hosts.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use std::{collections::BTreeMap, hint::black_box, sync::Arc, time::Duration};
@@ -8,24 +9,24 @@
 use vanetally_pacing::{Pacer, Pacers, Prefix, Prompt, SendSlot};
 use vanetally_plan::{Entry, Input, PlacementBuilder, Runner};
 use vanetally_route::{
-    AttemptEnd, Event as Route, Phase, Request, Router, Upstream, UpstreamStatus,
+    AttemptEnd, Event as RouteEvent, Phase, Request, Router, Upstream, UpstreamStatus,
 };
 use vanetally_types::{HostId, Name, Tick};
 
 const NOW: Tick = Tick(1_000_000);
-/// Runners, with a fifth as many models, up to the size in two years.
-const RUNNERS: [usize; 4] = [12, 300, 1_200, 4_800];
-/// Replicas of a model.
-const REPLICAS: usize = 5;
+/// Numbers of runners, up to the size expected in two years. There are a fifth as many models.
+const RUNNER_COUNTS: [usize; 4] = [12, 300, 1_200, 4_800];
+/// Number of entries that a runner holds.
+const ENTRIES_PER_RUNNER: usize = 5;
 
 fn name(kind: &str, n: usize) -> Name {
     format!("{kind}-{n}").into()
 }
 
-fn seen(runner: usize, models: usize) -> UpstreamStatus {
-    let entry = |k: usize| (name("model", (runner + k * 7) % models), Phase::Ready);
+fn upstream_status(runner: usize, model_count: usize) -> UpstreamStatus {
+    let entry = |k: usize| (name("model", (runner + k * 7) % model_count), Phase::Ready);
     UpstreamStatus {
-        entries: (0..REPLICAS).map(entry).collect(),
+        entries: (0..ENTRIES_PER_RUNNER).map(entry).collect(),
         reachable: true,
         ..UpstreamStatus::default()
     }
@@ -41,15 +42,15 @@
         slots: 16,
         leaving: false,
     };
-    router.handle(NOW, Route::Upstreams((0..runners).map(upstream).collect()));
+    router.handle(NOW, RouteEvent::Upstreams((0..runners).map(upstream).collect()));
     for n in 0..runners {
-        let seen = seen(n, models(runners));
-        router.handle(NOW, Route::Status { upstream: name("runner", n), status: seen });
+        let status = upstream_status(n, model_count(runners));
+        router.handle(NOW, RouteEvent::Status { upstream: name("runner", n), status });
     }
     router
 }
 
-fn models(runners: usize) -> usize {
+fn model_count(runners: usize) -> usize {
     (runners / 5).max(4)
 }
 
@@ -66,20 +67,20 @@
     }
 }
 
-/// A request from arrival to its end.
-fn route(c: &mut Criterion) {
+/// Routing of a request, from its arrival to its end.
+fn bench_route(c: &mut Criterion) {
     let mut group = c.benchmark_group("route");
-    for runners in RUNNERS {
+    for runners in RUNNER_COUNTS {
         let mut router = router(runners);
         let mut id = 0;
         group.bench_function(BenchmarkId::from_parameter(runners), |b| {
             b.iter(|| {
                 id += 1;
-                let request = request(id, id as usize % models(runners));
-                black_box(router.handle(NOW, Route::Arrive(request)));
+                let request = request(id, id as usize % model_count(runners));
+                black_box(router.handle(NOW, RouteEvent::Arrive(request)));
                 router.handle(
                     NOW,
-                    Route::Ended { id, end: AttemptEnd::Completed, response_started: true },
+                    RouteEvent::Ended { id, end: AttemptEnd::Completed, response_started: true },
                 )
             });
         });
@@ -87,27 +88,28 @@
     group.finish();
 }
 
-/// A report on a runner, taken by a host that routes to it.
-fn digest(c: &mut Criterion) {
+/// Handling of a runner's status by a host that routes to the runner.
+fn bench_status(c: &mut Criterion) {
     let mut group = c.benchmark_group("digest");
-    for runners in RUNNERS {
+    for runners in RUNNER_COUNTS {
         let mut router = router(runners);
-        let seen = seen(1, models(runners));
+        let status = upstream_status(1, model_count(runners));
         group.bench_function(BenchmarkId::from_parameter(runners), |b| {
             b.iter(|| {
-                let (upstream, seen) = (name("runner", 1), seen.clone());
-                router.handle(NOW, Route::Status { upstream, status: seen })
+                let (upstream, status) = (name("runner", 1), status.clone());
+                router.handle(NOW, RouteEvent::Status { upstream, status })
             });
         });
     }
     group.finish();
 }
 
-/// An id asked for and granted, with so many ids remembered, and the record written for it.
-fn claim(c: &mut Criterion) {
+/// Claiming of an id that is granted, and serialization of the record, by the number of ids in the
+/// slot.
+fn bench_claim(c: &mut Criterion) {
     let mut group = c.benchmark_group("claim");
     for ids in [100_u64, 1_000, 4_000, 12_000] {
-        let me = HostId::new("entry-1", 1);
+        let host = HostId::new("entry-1", 1);
         let options = vanetally_claim::Options {
             retention_ms: u64::MAX / 2,
             write_interval_ms: 0,
@@ -115,24 +117,24 @@
             max_ids: usize::MAX,
             guards: Guards::ON,
         };
-        let mut slot = Slot::new(me.clone(), options);
+        let mut slot = Slot::new(host.clone(), options);
         slot.handle(NOW, SlotEvent::TakeOver { backup: None });
         slot.handle(NOW, SlotEvent::Written { version: 1 });
-        let mut next = 0_u64;
-        let mut ask = |slot: &mut Slot| {
-            next += 1;
-            let ticket = Ticket { entry: me.clone(), number: next };
-            let ask = ClaimRequest { id: Id(u128::from(next % ids)), deadline: NOW.0, ticket };
-            slot.handle(NOW, SlotEvent::Request(ask))
+        let mut number = 0_u64;
+        let mut claim_next = |slot: &mut Slot| {
+            number += 1;
+            let ticket = Ticket { entry: host.clone(), number };
+            let claim = ClaimRequest { id: Id(u128::from(number % ids)), deadline: NOW.0, ticket };
+            slot.handle(NOW, SlotEvent::Request(claim))
         };
         for _ in 0..ids {
-            ask(&mut slot);
+            claim_next(&mut slot);
         }
         slot.handle(NOW, SlotEvent::Written { version: 2 });
         slot.handle(NOW, SlotEvent::Written { version: 3 });
         let bytes = serde_json::to_vec(slot.record().expect("a record")).map_or(0, |b| b.len());
         println!("claim ids={ids} record_bytes={bytes}");
-        group.bench_function(BenchmarkId::new("ask", ids), |b| b.iter(|| ask(&mut slot)));
+        group.bench_function(BenchmarkId::new("ask", ids), |b| b.iter(|| claim_next(&mut slot)));
         group.bench_function(BenchmarkId::new("record", ids), |b| {
             b.iter(|| serde_json::to_vec(slot.record().expect("a record")).map_or(0, |b| b.len()));
         });
@@ -140,8 +142,8 @@
     group.finish();
 }
 
-fn input(runners: usize) -> Input {
-    let models = models(runners);
+fn plan_input(runners: usize) -> Input {
+    let model_count = model_count(runners);
     let entry = |n: usize| Entry {
         id: name("model", n),
         base: None,
@@ -156,18 +158,21 @@
         capacity: 80 << 30,
         slots: 16.0,
         usable: true,
-        entries: seen(n, models).entries.into_keys().collect(),
+        entries: upstream_status(n, model_count).entries.into_keys().collect(),
         reserved: 0,
     };
-    Input { entries: (0..models).map(entry).collect(), runners: (0..runners).map(runner).collect() }
+    Input {
+        entries: (0..model_count).map(entry).collect(),
+        runners: (0..runners).map(runner).collect(),
+    }
 }
 
-/// A plan with up to four moves.
-fn plan(c: &mut Criterion) {
+/// Planning with up to four loads.
+fn bench_plan(c: &mut Criterion) {
     let mut group = c.benchmark_group("plan");
     group.sample_size(10);
-    for runners in RUNNERS {
-        let input = input(runners);
+    for runners in RUNNER_COUNTS {
+        let input = plan_input(runners);
         let options = vanetally_plan::Options {
             move_price: 5.0,
             horizon_s: 60.0,
@@ -181,8 +186,8 @@
     group.finish();
 }
 
-/// A round of upkeep on a host that knows so many others.
-fn upkeep(c: &mut Criterion) {
+/// One tick of a host, by the number of hosts that it knows.
+fn bench_upkeep(c: &mut Criterion) {
     let mut group = c.benchmark_group("upkeep");
     for hosts in [3_usize, 9, 90, 370] {
         let listed = |n: usize| ListedHost {
@@ -215,7 +220,7 @@
     group.finish();
 }
 
-/// A prompt of 3 parts whose moment a pacer is asked for.
+/// Returns a prompt of three parts, for which a pacer reserves a send time.
 fn prompt(runner: usize) -> Prompt {
     Prompt {
         upstream: name("runner", runner).into(),
@@ -227,8 +232,9 @@
     }
 }
 
-/// Finding the pacer of an engine among so many hosts, and the moment among so many engines.
-fn pace(c: &mut Criterion) {
+/// Choice of the pacer of an engine, by the number of hosts, and reservation of a send time, by the
+/// number of engines.
+fn bench_pace(c: &mut Criterion) {
     let mut group = c.benchmark_group("pace");
     for (hosts, runners) in [(9, 12), (71, 112), (370, 4_800)] {
         let mut pacers = Pacers::new(name("entry", 0));
@@ -245,24 +251,24 @@
         });
     }
     group.finish();
-    let size = |value: &Prompt| {
+    let encoded_size = |value: &Prompt| {
         let mut bytes = Vec::new();
         ciborium::into_writer(value, &mut bytes).map_or(0, |()| bytes.len())
     };
-    println!("bytes frame=prompt value={}", size(&prompt(4_000)));
+    println!("bytes frame=prompt value={}", encoded_size(&prompt(4_000)));
     let mut bytes = Vec::new();
-    let moment = SendSlot { delay_ms: 40, unread: 1_110, ahead_ms: 60, is_trial: false };
-    let written = ciborium::into_writer(&moment, &mut bytes).map_or(0, |()| bytes.len());
-    println!("bytes frame=moment value={written}");
+    let send_slot = SendSlot { delay_ms: 40, unread: 1_110, ahead_ms: 60, is_trial: false };
+    let send_slot_bytes = ciborium::into_writer(&send_slot, &mut bytes).map_or(0, |()| bytes.len());
+    println!("bytes frame=moment value={send_slot_bytes}");
 }
 
-/// Bytes of messages on links, printed rather than timed.
-fn bytes(_: &mut Criterion) {
-    let size = |frame: &Frame| {
+/// Prints the encoded sizes of messages between hosts; times nothing.
+fn print_message_sizes(_: &mut Criterion) {
+    let encoded_size = |frame: &Frame| {
         let mut bytes = Vec::new();
         ciborium::into_writer(frame, &mut bytes).map_or(0, |()| bytes.len())
     };
-    let me = HostId::new("entry-100", 1_796_205_122_946);
+    let host = HostId::new("entry-100", 1_796_205_122_946);
     let listed = ListedHost {
         name: "entry-100".into(),
         link_addr: "10.1.2.3:8002".into(),
@@ -270,34 +276,34 @@
         leaving: false,
     };
     let ping = Frame::Ping { listed, config: 40_000, tables: u64::MAX };
-    println!("bytes frame=ping value={}", size(&ping));
+    println!("bytes frame=ping value={}", encoded_size(&ping));
     for heads in [8_u16, 24, 96, 394] {
-        let table: BTreeMap<u16, _> = (0..heads).map(|n| (n, (7_u64, me.clone()))).collect();
+        let table: BTreeMap<u16, _> = (0..heads).map(|n| (n, (7_u64, host.clone()))).collect();
         let frame = Frame::Tables { slots: table, groups: BTreeMap::new() };
-        println!("bytes frame=tables heads={heads} value={}", size(&frame));
+        println!("bytes frame=tables heads={heads} value={}", encoded_size(&frame));
     }
     for entries in [1_usize, 5, 10, 20] {
-        let pairs = (0..entries).map(|n| (name("model", n), Phase::Ready));
-        let seen = UpstreamStatus {
-            entries: pairs.collect(),
+        let phases = (0..entries).map(|n| (name("model", n), Phase::Ready));
+        let status = UpstreamStatus {
+            entries: phases.collect(),
             reachable: true,
             ..UpstreamStatus::default()
         };
-        let frame = Frame::RunnerStatus { runner: name("runner", 4_000), status: seen };
-        println!("bytes frame=seen entries={entries} value={}", size(&frame));
+        let frame = Frame::RunnerStatus { runner: name("runner", 4_000), status };
+        println!("bytes frame=seen entries={entries} value={}", encoded_size(&frame));
     }
     for targets in [1_usize, 9, 90, 960] {
-        let pairs = (0..targets).map(|n| (name("model", n), (3_u32, 4_500_u32)));
+        let demand = (0..targets).map(|n| (name("model", n), (3_u32, 4_500_u32)));
         println!(
             "bytes frame=demand targets={targets} value={}",
-            size(&Frame::Demand(pairs.collect()))
+            encoded_size(&Frame::Demand(demand.collect()))
         );
     }
-    let ticket = Ticket { entry: me, number: 1_000_000 };
-    let ask = Frame::Claim(ClaimRequest { id: Id(u128::MAX), deadline: NOW.0, ticket });
-    println!("bytes frame=ask value={}", size(&ask));
+    let ticket = Ticket { entry: host, number: 1_000_000 };
+    let claim = Frame::Claim(ClaimRequest { id: Id(u128::MAX), deadline: NOW.0, ticket });
+    println!("bytes frame=ask value={}", encoded_size(&claim));
     let revision = Arc::new(vanetally_config::Revision::default());
-    println!("bytes frame=empty-config value={}", size(&Frame::Config(revision)));
+    println!("bytes frame=empty-config value={}", encoded_size(&Frame::Config(revision)));
 }
 
 criterion_group! {
@@ -306,6 +312,8 @@
         .warm_up_time(Duration::from_millis(200))
         .measurement_time(Duration::from_millis(800))
         .sample_size(20);
-    targets = bytes, route, digest, claim, plan, upkeep, pace
+    targets =
+        print_message_sizes, bench_route, bench_status, bench_claim, bench_plan, bench_upkeep,
+        bench_pace
 }
 criterion_main!(decisions);
--- a/crates/bench/benches/fleet.rs
+++ b/crates/bench/benches/fleet.rs
@@ -1,4 +1,4 @@
-//! Costs of the decisions on the users' platform against the number of runners.
+//! Cost of the decisions of gateway and placement by the number of runners.
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use std::{collections::BTreeMap, hint::black_box, rc::Rc, time::Duration};
@@ -17,13 +17,13 @@
 use vanetally_types::{Incarnation, Name, Tick};
 
 const NOW: Tick = Tick(1_000_000);
-/// Runners today, at the sizes between, and in two years.
-const RUNNERS: [usize; 3] = [240, 1_200, 4_800];
-/// Models that a runner holds.
-const HELD: usize = 2;
+/// Numbers of runners: the present size, a size between, and the size expected in two years.
+const RUNNER_COUNTS: [usize; 3] = [240, 1_200, 4_800];
+/// Number of models that a runner holds.
+const MODELS_PER_RUNNER: usize = 2;
 const SLOTS: u32 = 12;
 
-fn models(runners: usize) -> usize {
+fn model_count(runners: usize) -> usize {
     (runners / 5).max(96)
 }
 
@@ -35,13 +35,13 @@
     format!("m-{number}").into()
 }
 
-fn held(number: usize, models: usize) -> Vec<HeldModel> {
-    let one =
-        |k: usize| HeldModel { name: model((number + k * 31) % models), adapters: Vec::new() };
-    (0..HELD).map(one).collect()
+fn held_models(number: usize, model_count: usize) -> Vec<HeldModel> {
+    let held_model =
+        |k: usize| HeldModel { name: model((number + k * 31) % model_count), adapters: Vec::new() };
+    (0..MODELS_PER_RUNNER).map(held_model).collect()
 }
 
-fn state(number: usize, models: usize) -> UpstreamState {
+fn upstream_state(number: usize, model_count: usize) -> UpstreamState {
     UpstreamState {
         service: "llm".into(),
         address: ([10, 1, (number / 250) as u8, (number % 250) as u8], 80).into(),
@@ -50,12 +50,12 @@
         draining: false,
         remaining_ms: None,
         orders_taken: 0,
-        models: held(number, models),
+        models: held_models(number, model_count),
         at_hand: Vec::new(),
     }
 }
 
-fn configuration(models: usize) -> Rc<Configuration> {
+fn configuration(model_count: usize) -> Rc<Configuration> {
     let spec = ModelSpec {
         weights_mb: 60_000.0,
         load_s: 8.0,
@@ -70,7 +70,7 @@
         weights_mb: 200_000.0,
         max_adapters: 8,
         loads_per_s: 34.0,
-        models: (0..models).map(|number| (model(number), spec.clone())).collect(),
+        models: (0..model_count).map(|number| (model(number), spec.clone())).collect(),
     };
     let route = Route {
         name: "offer".into(),
@@ -105,15 +105,15 @@
         revoke_ms: None,
     };
     let mut dispatch = Dispatch::new(NOW, options);
-    dispatch.handle(NOW, Event::Configured(configuration(models(runners))));
+    dispatch.handle(NOW, Event::Configured(configuration(model_count(runners))));
     for number in 0..runners {
-        let (id, state) = (runner(number), state(number, models(runners)));
+        let (id, state) = (runner(number), upstream_state(number, model_count(runners)));
         dispatch.handle(NOW, Event::UpstreamSeen { id, state });
     }
     dispatch
 }
 
-fn request(number: u64, models: usize) -> CallerRequest {
+fn request(number: u64, model_count: usize) -> CallerRequest {
     CallerRequest {
         id: format!("{number:016x}").into(),
         host: "site.example".into(),
@@ -121,7 +121,7 @@
         wait_ms: Some(15_000),
         credential: vanetally_ports::Credential::Missing,
         has_token_count: true,
-        model: Some(ModelRef { model: model(number as usize % models), adapter: None }),
+        model: Some(ModelRef { model: model(number as usize % model_count), adapter: None }),
         prompt_tokens: 1_460,
         output_tokens: 174,
         parts: Vec::new(),
@@ -129,16 +129,16 @@
     }
 }
 
-/// A request arrives and an engine is chosen for it; its caller leaves.
-fn choose(c: &mut Criterion) {
+/// Choice of an engine for a request that arrives; then its caller leaves.
+fn bench_choose(c: &mut Criterion) {
     let mut group = c.benchmark_group("choose a runner");
-    for runners in RUNNERS {
+    for runners in RUNNER_COUNTS {
         let mut dispatch = dispatch(runners);
         let mut number = 0;
         group.bench_function(BenchmarkId::from_parameter(runners), |b| {
             b.iter(|| {
                 number += 1;
-                let (id, request) = (RequestId(number), request(number, models(runners)));
+                let (id, request) = (RequestId(number), request(number, model_count(runners)));
                 let actions = dispatch.handle(NOW, Event::Arrived { id, request, content_hash: 0 });
                 assert!(matches!(actions[..], [Action::Reserve { .. }]), "{actions:?}");
                 dispatch.handle(NOW, Event::CallerLeft { id })
@@ -148,19 +148,20 @@
     group.finish();
 }
 
-/// Organisations in two years, by the word of this page only: today they are 16.
-const ORGANISATIONS: usize = 10_000;
-/// Contents that are kept back meanwhile.
-const KEPT_BACK: u64 = 4_000;
+/// Number of organisations assumed in two years; the present system has 16.
+const ORGANISATION_COUNT: usize = 10_000;
+/// Number of quarantined request contents.
+const QUARANTINED_CONTENTS: u64 = 4_000;
 
 fn key(number: usize) -> CallerKey {
     CallerKey::new(&format!("key-{number}"))
 }
 
-/// The same with a key that is looked up twice, and a content that is none of those kept back.
-fn choose_with_keys(c: &mut Criterion) {
+/// The same with a caller key, which is looked up twice, and quarantined contents, none of which is
+/// that of the request.
+fn bench_choose_with_keys(c: &mut Criterion) {
     let mut group = c.benchmark_group("choose a runner, keys of 10,000 organisations");
-    for runners in RUNNERS {
+    for runners in RUNNER_COUNTS {
         let mut dispatch = dispatch(runners);
         let organisation = |number| Organisation {
             name: format!("o-{number}").into(),
@@ -168,12 +169,15 @@
             priority: Some(1),
             quota: None,
         };
-        let organisations = (0..ORGANISATIONS).map(organisation).collect();
-        let plain = configuration(models(runners));
-        let keyed =
-            Configuration { version: 2, organisations: Some(organisations), ..(*plain).clone() };
-        dispatch.handle(NOW, Event::Configured(Rc::new(keyed)));
-        for content in 1..=KEPT_BACK {
+        let organisations = (0..ORGANISATION_COUNT).map(organisation).collect();
+        let without_keys = configuration(model_count(runners));
+        let with_keys = Configuration {
+            version: 2,
+            organisations: Some(organisations),
+            ..(*without_keys).clone()
+        };
+        dispatch.handle(NOW, Event::Configured(Rc::new(with_keys)));
+        for content in 1..=QUARANTINED_CONTENTS {
             let quarantine = Quarantine { content, for_ms: 60_000, ended: 2, age_ms: None };
             dispatch.handle(NOW, Event::Quarantined(quarantine));
         }
@@ -182,8 +186,8 @@
             b.iter(|| {
                 number += 1;
                 let id = RequestId(number);
-                let credential = Credential::Key(key(number as usize % ORGANISATIONS));
-                let request = CallerRequest { credential, ..request(number, models(runners)) };
+                let credential = Credential::Key(key(number as usize % ORGANISATION_COUNT));
+                let request = CallerRequest { credential, ..request(number, model_count(runners)) };
                 let actions = dispatch.handle(NOW, Event::Arrived { id, request, content_hash: 0 });
                 assert!(matches!(actions[..], [Action::Reserve { .. }]), "{actions:?}");
                 dispatch.handle(NOW, Event::CallerLeft { id })
@@ -193,7 +197,7 @@
     group.finish();
 }
 
-fn sum(runners: usize, running: u32) -> Digest {
+fn load_digest(runners: usize, running: u32) -> Digest {
     let row = |number| LoadRow {
         upstream: runner(number),
         running,
@@ -206,20 +210,20 @@
     Digest { loads: (0..runners).map(row).collect(), demand: Vec::new() }
 }
 
-/// The sum of all hosts' loads is taken in.
-fn take_sum(c: &mut Criterion) {
+/// Handling of a digest with the sum of the loads of all hosts.
+fn bench_load_sum(c: &mut Criterion) {
     let mut group = c.benchmark_group("take a sum");
-    for runners in RUNNERS {
+    for runners in RUNNER_COUNTS {
         let mut dispatch = dispatch(runners);
         let mut totals = Totals::default();
         let mut running = 0;
         group.bench_function(BenchmarkId::from_parameter(runners), |b| {
-            let next = || {
+            let next_digest = || {
                 running = running % SLOTS + 1;
-                sum(runners, running)
+                load_digest(runners, running)
             };
             b.iter_batched(
-                next,
+                next_digest,
                 |digest| {
                     totals.record_sum(NOW, "front-2".into(), digest.loads.clone());
                     let event = Event::PeerDigest { host: "front-2".into(), digest };
@@ -232,51 +236,53 @@
     group.finish();
 }
 
-/// Demand for each model, some of them ten times as much asked for as others.
-fn demand(models: usize) -> Vec<DemandSample> {
+/// Returns the demand for each model; that for every tenth model is ten times as high.
+fn demand_samples(model_count: usize) -> Vec<DemandSample> {
     let sample = |number: usize| DemandSample {
         service: "llm".into(),
         subject: ModelRef { model: model(number), adapter: None },
         arrived: 10,
         work_ms: if number.is_multiple_of(10) { 3_000 } else { 300 },
     };
-    (0..models).map(sample).collect()
+    (0..model_count).map(sample).collect()
 }
 
-/// One round of the plan, with all reports there and more models crowded than can be helped at once.
-fn plan(c: &mut Criterion) {
+/// One planning round, with the reports of all runners present and more saturated models than one
+/// round can relieve.
+fn bench_planning_round(c: &mut Criterion) {
     let mut group = c.benchmark_group("a round of the plan");
-    for runners in RUNNERS {
+    for runners in RUNNER_COUNTS {
         let mut now = NOW;
-        let mut holder =
+        let mut planner =
             Placement::new(placement::Options { holder: "front-1".into(), load_window_ms: 5_000 });
-        holder.handle(now, placement::Event::Configured(configuration(models(runners))));
+        planner.handle(now, placement::Event::Configured(configuration(model_count(runners))));
         for number in 0..runners {
-            let (id, state) = (runner(number), state(number, models(runners)));
-            holder.handle(now, placement::Event::UpstreamSeen { id, state });
+            let (id, state) = (runner(number), upstream_state(number, model_count(runners)));
+            planner.handle(now, placement::Event::UpstreamSeen { id, state });
         }
-        holder.handle(now, placement::Event::Token(Some(FencingToken(9))));
+        planner.handle(now, placement::Event::Token(Some(FencingToken(9))));
         for number in 0..runners {
-            let report = Report { models: held(number, models(runners)), ..Report::default() };
-            let (runner, asked) = (runner(number), now);
+            let report =
+                Report { models: held_models(number, model_count(runners)), ..Report::default() };
+            let (runner, requested_at) = (runner(number), now);
             let reported =
-                placement::Event::Reported { runner, requested_at: asked, report: Some(report) };
-            holder.handle(now, reported);
+                placement::Event::Reported { runner, requested_at, report: Some(report) };
+            planner.handle(now, reported);
         }
         group.bench_function(BenchmarkId::from_parameter(runners), |b| {
             b.iter(|| {
                 now = now + 40;
-                let samples = demand(models(runners));
-                holder.handle(now, placement::Event::Demand(samples));
-                black_box(holder.handle(now, placement::Event::Tick))
+                let samples = demand_samples(model_count(runners));
+                planner.handle(now, placement::Event::Demand(samples));
+                black_box(planner.handle(now, placement::Event::Tick))
             });
         });
     }
     group.finish();
 }
 
-/// A moment at an engine that a breaker keeps requests off, and the end that opened it.
-fn breaker(c: &mut Criterion) {
+/// A failed request that opens the circuit breaker of an engine, and a reservation at that engine.
+fn bench_circuit_breaker(c: &mut Criterion) {
     let mut pacer = Pacer::default();
     let mut number = 0;
     c.bench_function("a bad end and a question to the pacer", |b| {
@@ -297,7 +303,7 @@
     });
 }
 
-fn config() -> Criterion {
+fn criterion_config() -> Criterion {
     Criterion::default()
         .sample_size(20)
         .warm_up_time(Duration::from_millis(500))
@@ -306,7 +312,9 @@
 
 criterion_group! {
     name = fleet;
-    config = config();
-    targets = choose, choose_with_keys, take_sum, plan, breaker
+    config = criterion_config();
+    targets =
+        bench_choose, bench_choose_with_keys, bench_load_sum, bench_planning_round,
+        bench_circuit_breaker
 }
 criterion_main!(fleet);
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -23,13 +23,15 @@
 
 fn main() -> anyhow::Result<()> {
     let mut command = None;
-    let mut settings = None;
+    let mut settings_path = None;
     let (mut rounds, mut streams, mut is_burst) = (6, 200, false);
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
         match arg {
             Arg::Value(value) if command.is_none() => command = Some(value.string()?),
-            Arg::Value(value) if settings.is_none() => settings = Some(PathBuf::from(value)),
+            Arg::Value(value) if settings_path.is_none() => {
+                settings_path = Some(PathBuf::from(value))
+            }
             Arg::Long("burst") => is_burst = true,
             Arg::Long("streams") => streams = parser.value()?.parse()?,
             Arg::Long("rounds") => rounds = parser.value()?.parse()?,
@@ -42,7 +44,7 @@
     }
     match command.as_deref() {
         Some("overhead") => overhead::run(rounds, streams, is_burst),
-        Some("child") => overhead::run_daemon(&settings.context("settings")?),
+        Some("child") => overhead::run_daemon(&settings_path.context("settings")?),
         Some(other) => bail!("`{other}` is no command; see --help"),
         None => bail!("no command; see --help"),
     }
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -83,7 +83,7 @@
     /// Returns a value of `/proc/PID/status` in KiB.
     fn memory_kib(&self, key: &str) -> anyhow::Result<u64> {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.0.id()))?;
-        let line = text.lines().find(|l| l.starts_with(key)).context("no such line")?;
+        let line = text.lines().find(|line| line.starts_with(key)).context("no such line")?;
         let number = line.split_whitespace().nth(1).context("no number")?;
         Ok(number.parse()?)
     }
@@ -91,8 +91,8 @@
     /// Returns the processor time used so far, in seconds.
     fn cpu_seconds(&self) -> anyhow::Result<f64> {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.0.id()))?;
-        let rest = text.rsplit_once(')').context("no name")?.1;
-        let fields: Vec<&str> = rest.split_whitespace().collect();
+        let after_name = text.rsplit_once(')').context("no name")?.1;
+        let fields: Vec<&str> = after_name.split_whitespace().collect();
         let ticks: f64 = fields[11].parse::<f64>()? + fields[12].parse::<f64>()?;
         Ok(ticks / CLOCK_TICKS_PER_SEC)
     }
@@ -336,14 +336,14 @@
 fn measure_memory(daemon: &DaemonProcess, listen: SocketAddr) -> anyhow::Result<(u64, u64)> {
     let latencies = Mutex::new(Latencies::new()?);
     let peak_kib = thread::scope(|scope| -> anyhow::Result<u64> {
-        let running =
+        let streams =
             scope.spawn(|| open_streams(listen, "slow", BURST_SPREAD, MEMORY_STREAMS, &latencies));
         let mut peak_kib = 0;
-        while !running.is_finished() {
+        while !streams.is_finished() {
             peak_kib = peak_kib.max(daemon.memory_kib("VmRSS")?);
             thread::sleep(Duration::from_millis(20));
         }
-        running.join().unwrap_or_else(|_| Err(anyhow::anyhow!("the streams failed")))?;
+        streams.join().unwrap_or_else(|_| Err(anyhow::anyhow!("the streams failed")))?;
         Ok(peak_kib)
     })?;
     Ok((peak_kib, daemon.memory_kib("VmHWM")?))
@@ -353,7 +353,7 @@
 fn measure_throughput(daemon: &DaemonProcess, listen: SocketAddr) -> anyhow::Result<(f64, f64)> {
     let client = client();
     let (started, cpu_before) = (Instant::now(), daemon.cpu_seconds()?);
-    let total: u64 = thread::scope(|scope| {
+    let requests: u64 = thread::scope(|scope| {
         let send_requests = || {
             let mut count = 0;
             while started.elapsed() < Duration::from_secs(THROUGHPUT_SECS) {
@@ -370,8 +370,8 @@
             count
         };
         let clients: Vec<_> = (0..CLIENTS).map(|_| scope.spawn(send_requests)).collect();
-        clients.into_iter().map(|c| c.join().unwrap_or(0)).sum()
+        clients.into_iter().map(|client| client.join().unwrap_or(0)).sum()
     });
     let elapsed_secs = started.elapsed().as_secs_f64();
-    Ok((total as f64 / elapsed_secs, (daemon.cpu_seconds()? - cpu_before) / elapsed_secs))
+    Ok((requests as f64 / elapsed_secs, (daemon.cpu_seconds()? - cpu_before) / elapsed_secs))
 }
