--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -164,8 +164,8 @@
     }
     let kib_per_stream = (loaded_kib.saturating_sub(idle_kib)) as f64 / MEMORY_STREAMS as f64;
     println!(
-        " rate={requests_per_sec:.0} rate_per_core={:.0} idle_mb={:.1} idle_core_percent={:.2} \
-         streams_{MEMORY_STREAMS}_mb={:.1} kib_per_stream={kib_per_stream:.1} peak_mb={:.1}",
+        " rate={requests_per_sec:.0} rate_per_core={:.0} idle_mb={:.1} \
+         idle_core_percent={:.2} streams_{MEMORY_STREAMS}_mb={:.1} kib_per_stream={kib_per_stream:.1} peak_mb={:.1}",
         requests_per_sec / cores.max(0.001),
         idle_kib as f64 / 1024.0,
         idle_cores * 100.0,
@@ -178,7 +178,8 @@
 fn publish(platform: SocketAddr, slow: SocketAddr, fast: SocketAddr) -> anyhow::Result<()> {
     let runner = |name: &str, address: SocketAddr| {
         json!({"name": name, "url": format!("http://{address}"), "domain": "a",
-            "capacity": "80GiB", "slots": 2 * MEMORY_STREAMS, "fenced": true, "labels": {"runner": name}})
+            "capacity": "80GiB", "slots": 2 * MEMORY_STREAMS, "fenced": true,
+            "labels": {"runner": name}})
     };
     let model = |name: &str| {
         json!({"name": name, "versions": [{"name": "v1", "size": "1GiB"}],
--- a/crates/check/src/claims.rs
+++ b/crates/check/src/claims.rs
@@ -48,7 +48,7 @@
     Message { to: HostId, from: HostId, message: Message },
     Write { host: usize, from: HostId, base: u64, record: Record, awaited: bool },
     ReadAnswer { host: usize, from: HostId, stored: Option<VersionedRecord>, takes_over: bool },
-    Finished { host: usize, key: u8, ticket: Ticket, outcome: Outcome },
+    Finished { host: usize, id: u8, ticket: Ticket, outcome: Outcome },
 }
 
 /// State of the model.
@@ -62,7 +62,7 @@
     /// Version of the last write.
     version: u64,
     is_available: bool,
-    /// Granted attempts that may run or have run, by id and attempt; the value is the granting host.
+    /// Granted attempts that may run or have run, by id and attempt, with the granting host.
     granted: BTreeMap<(u8, u64), usize>,
     /// Granted attempts that certainly did not run.
     not_run: BTreeSet<u64>,
@@ -176,8 +176,8 @@
                     self.handle_event(host, Event::TakeOver { backup });
                 }
             }
-            InFlight::Finished { host, key, ticket, outcome } => {
-                let id = Id(u128::from(key));
+            InFlight::Finished { host, id, ticket, outcome } => {
+                let id = Id(u128::from(id));
                 self.handle_event(host, Event::Finished { id, ticket, outcome });
             }
         }
@@ -233,23 +233,24 @@
         }
     }
 
-    fn request(&mut self, host: usize, key: u8) {
+    fn request(&mut self, host: usize, id: u8) {
         self.options.requests -= 1;
         self.next_ticket += 1;
         let ticket = Ticket { entry: HostId::new("entry", 1), number: self.next_ticket };
         self.handle_event(
             host,
-            Event::Request(ClaimRequest { id: Id(u128::from(key)), deadline: DEADLINE_MS, ticket }),
+            Event::Request(ClaimRequest { id: Id(u128::from(id)), deadline: DEADLINE_MS, ticket }),
         );
     }
 
-    /// A granted attempt turns out not to have run; its entry host reports this to the granting host.
-    fn report_not_run(&mut self, key: u8, number: u64, host: usize) {
+    /// A granted attempt turns out not to have run; its entry host reports this to the granting
+    /// host.
+    fn report_not_run(&mut self, id: u8, number: u64, host: usize) {
         self.options.not_run -= 1;
-        self.granted.remove(&(key, number));
+        self.granted.remove(&(id, number));
         self.not_run.insert(number);
         let ticket = Ticket { entry: HostId::new("entry", 1), number };
-        self.send(InFlight::Finished { host, key, ticket, outcome: Outcome::NotRun });
+        self.send(InFlight::Finished { host, id, ticket, outcome: Outcome::NotRun });
     }
 
     fn crash(&mut self, host: usize) {
@@ -272,9 +273,9 @@
         };
         let is_holder = matches!(self.slots[host].role(), Role::Holder);
         if self.options.requests > 0 && is_holder {
-            for key in 0..self.options.ids {
-                add(&|| format!("{name} gets a request for id {key}"), &|next| {
-                    next.request(host, key)
+            for id in 0..self.options.ids {
+                add(&|| format!("{name} gets a request for id {id}"), &|next| {
+                    next.request(host, id)
                 });
             }
         }
@@ -357,9 +358,9 @@
             steps.add(|| format!("the platform is {change}"), next);
         }
         if self.options.not_run > 0 {
-            for ((key, number), host) in &self.granted {
+            for ((id, number), host) in &self.granted {
                 let mut next = self.clone();
-                next.report_not_run(*key, *number, *host);
+                next.report_not_run(*id, *number, *host);
                 steps.add(|| format!("attempt {number} did not run"), next);
             }
         }
--- a/crates/check/src/orders.rs
+++ b/crates/check/src/orders.rs
@@ -14,8 +14,8 @@
 /// Bounds and switches of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// Whether a holder stops once its last renewal no longer covers it.
-    pub stops_uncovered: bool,
+    /// Whether a holder stops when its lease, counted from the last renewal, has expired.
+    pub stops_at_expiry: bool,
     /// Whether a host waits longer after it may have been the holder.
     pub resettles: bool,
     /// Whether tokens contain the era, so that they increase across eras.
@@ -44,7 +44,7 @@
 const TTL_MS: u64 = 500;
 /// Minimum time between two orders of a host if another host sent an order in between.
 const MIN_TURN_MS: u64 = 1_500;
-/// Time to live of a lease as the holder sees it when [`Options::stops_uncovered`] is off.
+/// Time to live of a lease as the holder sees it when [`Options::stops_at_expiry`] is off.
 const UNLIMITED_MS: u64 = 1_000_000;
 /// Number of changes of the store before the start.
 const INITIAL_CHANGES: u64 = 4;
@@ -132,6 +132,7 @@
     store: StoreState,
     /// State to which the store may be restored; at first that from before all changes.
     snapshot: StoreState,
+    /// Number of snapshots taken.
     snapshots: u8,
     /// Number of the next lease; numbers are not reused, also not after a restore.
     next_lease: u64,
@@ -215,7 +216,7 @@
                 let lease = LeaseId::new(self.known_era(), self.next_lease);
                 self.next_lease += 1;
                 self.store.leases.insert(lease.id, expires_at);
-                let ttl_ms = if self.options.stops_uncovered { TTL_MS } else { UNLIMITED_MS };
+                let ttl_ms = if self.options.stops_at_expiry { TTL_MS } else { UNLIMITED_MS };
                 Some(OrderLeaseEvent::Granted { sent: pending.sent_at, lease, ttl_ms })
             }
             Call::WriteKey(lease) => Some(self.write_key(pending.host, lease)),
--- a/crates/check/src/search.rs
+++ b/crates/check/src/search.rs
@@ -56,7 +56,7 @@
 const MAX_STATES: usize = 700_000;
 
 /// Visits all states reachable from `start`, until one violates the invariant or there are more
-/// than [`MAX_STATES`].
+/// than `MAX_STATES`.
 pub fn search<S: State>(start: S) -> Outcome {
     let visited = Cell::new(0);
     let next_states = |state: &S| {
--- a/crates/check/tests/claims.rs
+++ b/crates/check/tests/claims.rs
@@ -1,4 +1,4 @@
-//! An id runs at most once, and the search finds a violation when any one guard is off.
+//! An id runs at most once, and the search finds a violation when a guard is off.
 
 use rstest::rstest;
 use vanetally_check::{
@@ -27,8 +27,8 @@
 /// The platform becomes unavailable and available again once.
 const OUTAGE: Options = Options { outages: 2, lost_answers: 0, ..SMALL };
 
-/// The holder grants from memory in two phases, for two ids.
-const GRANTS_TWICE: Options = Options { ids: 2, requests: 3, lost_answers: 0, ..SMALL };
+/// The holder grants from memory twice, for two ids.
+const TWO_MEMORY_GRANTS: Options = Options { ids: 2, requests: 3, lost_answers: 0, ..SMALL };
 
 fn run(name: &str, options: Options) -> Outcome {
     let outcome = search(Claims::new(options));
@@ -44,7 +44,7 @@
 #[case::third_host(Options { hosts: 3, ..OUTAGE })]
 #[case::not_run(Options { not_run: 1, duplicates: 1, requests: 3, ticks: 0, ..SMALL })]
 #[case::stale_reads(Options { reads: 1, ticks: 0, ..OUTAGE })]
-#[case::grants_twice(GRANTS_TWICE)]
+#[case::two_memory_grants(TWO_MEMORY_GRANTS)]
 fn id_runs_at_most_once(#[case] options: Options) {
     let outcome = run("sound", options);
     assert!(outcome.complete && outcome.trace.is_none(), "{outcome}");
@@ -56,7 +56,7 @@
 #[case::takeover_bar(Options { guards: Guards { takeover_bar: false, ..Guards::ON }, reads: 1, lost_answers: 0, ..SMALL })]
 #[case::unresolved(Options { guards: Guards { unresolved: false, ..Guards::ON }, hosts: 3, ..OUTAGE })]
 #[case::ticket(Options { guards: Guards { ticket: false, ..Guards::ON }, not_run: 1, duplicates: 1, requests: 3, ticks: 0, ..SMALL })]
-#[case::term(Options { guards: Guards { term: false, ..Guards::ON }, ..GRANTS_TWICE })]
+#[case::term(Options { guards: Guards { term: false, ..Guards::ON }, ..TWO_MEMORY_GRANTS })]
 fn missing_guard_is_found(#[case] options: Options) {
     let outcome = run("guard-off", options);
     assert!(outcome.trace.is_some(), "{outcome}");
--- a/crates/check/tests/config.rs
+++ b/crates/check/tests/config.rs
@@ -1,5 +1,5 @@
 //! Hosts never return to an older revision, operators learn the true result of their writes, and
-//! the search finds a violation when any one guard is off.
+//! the search finds a violation when a guard is off.
 
 use rstest::rstest;
 use vanetally_check::{
--- a/crates/check/tests/orders.rs
+++ b/crates/check/tests/orders.rs
@@ -1,5 +1,4 @@
-//! At most one host at a time sends orders, and the search finds a violation when any one guard is
-//! off.
+//! At most one host at a time sends orders, and the search finds a violation when a guard is off.
 
 use rstest::rstest;
 use vanetally_check::{
@@ -10,7 +9,7 @@
 
 /// A host is paused, and an answer is lost.
 const PAUSED: Options = Options {
-    stops_uncovered: true,
+    stops_at_expiry: true,
     resettles: true,
     era_in_token: true,
     tracks_eras: true,
@@ -55,8 +54,8 @@
 }
 
 #[rstest]
-#[case::stops_uncovered(Options { stops_uncovered: false, ..PAUSED })]
-#[case::stops_uncovered_slow(Options { stops_uncovered: false, time_steps: 6, ..SLOW })]
+#[case::stops_at_expiry(Options { stops_at_expiry: false, ..PAUSED })]
+#[case::stops_at_expiry_slow(Options { stops_at_expiry: false, time_steps: 6, ..SLOW })]
 #[case::resettles(Options { resettles: false, ..RESTARTED })]
 #[case::era_in_token(Options { era_in_token: false, pauses: 0, ..RESTORED })]
 #[case::tracks_eras(Options { tracks_eras: false, ..RESTORED })]
--- a/crates/check/tests/revocation.rs
+++ b/crates/check/tests/revocation.rs
@@ -1,5 +1,5 @@
-//! A revoked key is not used later than allowed, and the search finds a violation when any one guard
-//! is off.
+//! A revoked key is not used later than allowed, and the search finds a violation when a guard is
+//! off.
 
 use rstest::rstest;
 use vanetally_check::{
--- a/crates/check/tests/runner.rs
+++ b/crates/check/tests/runner.rs
@@ -1,5 +1,5 @@
-//! The memory of a runner is never overcommitted, and the search finds a violation when any one
-//! guard is off.
+//! The memory of a runner is never overcommitted, and the search finds a violation when a guard is
+//! off.
 
 use rstest::rstest;
 use vanetally_check::{
@@ -26,8 +26,8 @@
 /// A second leader takes over from one that may only be paused.
 const REPLACED: Options = Options { takeovers: 2, restarts: 0, polls: 0, ..ALONE };
 
-/// The same for a runner that doesn't reject stale fences and orders. Its leaders need polls to know
-/// its state, so there are more of them.
+/// The same for a runner that doesn't reject stale fences and orders. Leaders learn its state by
+/// polls only, so there are more polls.
 fn unfenced(options: Options) -> Options {
     Options { assumes_fence: false, enforces_fence: false, polls: options.polls + 2, ..options }
 }
