--- a/tests/gateway/load.rs
+++ b/tests/gateway/load.rs
@@ -1,4 +1,4 @@
-//! Callers that go on asking while a scene is played, and note what they got.
+//! Callers that send requests while a scenario runs, and record the answers.
 
 use std::{
     net::SocketAddr,
@@ -11,21 +11,21 @@
 };
 use vanetally_platform_standin::{Client, ClientAnswer};
 
-/// A stream that may run once, at an engine that holds `m1`.
+/// A stream of `m1` that may run at most once.
 pub fn offer(number: u64) -> Client {
     let client = Client::new("POST", "/offer/1", &format!("r{number}")).with("X-Model", "m1");
     client.body(format!("draft {number}").as_bytes()).deadline(5_000)
 }
 
-/// A call of a plain service that may be repeated.
+/// A repeatable call to the plain service.
 pub fn check(number: u64) -> Client {
     Client::new("GET", "/check/1", &format!("r{number}")).deadline(5_000)
 }
 
-/// What a caller got, and when.
+/// A request with its answer and times.
 #[derive(Debug)]
-pub struct Seen {
-    /// The request's number in its scene.
+pub struct Exchange {
+    /// Number of the request in its scenario.
     pub number: u64,
     pub front: SocketAddr,
     pub began: Instant,
@@ -33,15 +33,16 @@
     pub answer: ClientAnswer,
 }
 
-/// Calls all fronts in turn from several threads, each with a pause, until `scene` returns.
+/// Calls all fronts in turn from `callers` threads, each pausing after a call, until `scenario`
+/// returns.
 pub fn under_load(
     fronts: &[SocketAddr],
     request: impl Fn(u64) -> Client + Sync,
     callers: usize,
     pause: Duration,
-    scene: impl FnOnce(),
-) -> Vec<Seen> {
-    let seen = Mutex::new(Vec::new());
+    scenario: impl FnOnce(),
+) -> Vec<Exchange> {
+    let exchanges = Mutex::new(Vec::new());
     let is_over = AtomicBool::new(false);
     let next = AtomicU64::new(0);
     let call = || {
@@ -50,15 +51,15 @@
             let began = Instant::now();
             let front = fronts[number as usize % fronts.len()];
             let answer = request(number).send(front);
-            let one = Seen { number, front, began, took: began.elapsed(), answer };
-            seen.lock().expect("no thread panicked").push(one);
+            let exchange = Exchange { number, front, began, took: began.elapsed(), answer };
+            exchanges.lock().expect("no thread panicked").push(exchange);
             thread::sleep(pause);
         }
     };
     thread::scope(|scope| {
         (0..callers).for_each(|_| drop(scope.spawn(call)));
-        scene();
+        scenario();
         is_over.store(true, Ordering::Relaxed);
     });
-    seen.into_inner().expect("no thread panicked")
+    exchanges.into_inner().expect("no thread panicked")
 }
--- a/tests/gateway/mod.rs
+++ b/tests/gateway/mod.rs
@@ -1,10 +1,11 @@
-//! A deployment of stand-ins on loopback, and the real program as separate processes.
+//! A test deployment on loopback: platform stand-ins in the test process, hosts as processes of the
+//! real program.
 
-// Not every test uses all of it.
+// Each test binary uses only some of these helpers.
 #![allow(dead_code)]
 
 pub mod load;
-pub mod returns;
+pub mod restores;
 
 use serde_json::{Value, json};
 use std::{
@@ -18,41 +19,43 @@
 use tempfile::TempDir;
 use vanetally_platform_standin::{Client, Runner, RunnerOptions, Store};
 
-/// The longest that a test waits for a condition.
-const PATIENCE: Duration = Duration::from_secs(30);
-const LOOK: Duration = Duration::from_millis(10);
+/// Maximum wait for a condition.
+const MAX_WAIT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Waits until `condition` holds.
 pub fn wait_for(what: &str, condition: impl Fn() -> bool) {
-    let begun = Instant::now();
+    let began = Instant::now();
     while !condition() {
-        assert!(begun.elapsed() < PATIENCE, "waited in vain: {what}");
-        thread::sleep(LOOK);
+        assert!(began.elapsed() < MAX_WAIT, "timed out waiting until {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
 /// Store, runners and settings of one test.
 pub struct Deployment {
     pub store: Store,
+    /// Runners of the service `llm`, which serves models.
     pub engines: Vec<Runner>,
+    /// Runners of the plain service `desk`.
     pub desks: Vec<Runner>,
     directory: TempDir,
 }
 
-/// Addresses of one test process.
-const ADDRESSES: u32 = 254;
+/// Number of addresses of one test process.
+const ADDRESS_COUNT: u32 = 254;
 
-/// An address of the loopback range that no other process of the tests uses.
+/// Returns a loopback address that no other test process uses.
 pub fn fresh_ip() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let process = std::process::id();
     let next = NEXT.fetch_add(1, Ordering::Relaxed);
-    // One is used again after so many others that nobody listens there any more.
-    format!("127.{}.{}.{}", 1 + process / 250 % 250, 1 + process % 250, 1 + next % ADDRESSES)
+    // An address is reused only after all others, when its former listener has gone.
+    format!("127.{}.{}.{}", 1 + process / 250 % 250, 1 + process % 250, 1 + next % ADDRESS_COUNT)
 }
 
 impl Deployment {
-    /// One more engine that holds `m1`.
+    /// Adds an engine that holds `m1`.
     pub fn add_engine(&mut self) {
         let id = format!("i-engine-{}", self.engines.len());
         let options = RunnerOptions { id, service: "llm".into(), models: vec!["m1".into()] };
@@ -62,7 +65,7 @@
         self.engines.push(engine);
     }
 
-    /// A store with a configuration, one engine that holds `m1`, one plain service.
+    /// Starts a store with a configuration, an engine that holds `m1` and a plain service.
     pub fn start() -> Self {
         let ip = fresh_ip();
         let runner = |id: &str, service: &str, models: &[&str]| {
@@ -83,34 +86,35 @@
         deployment
     }
 
-    /// The logs of all hosts, by name.
+    /// Returns the logs of all hosts as pairs of file name and text.
     pub fn logs(&self) -> Vec<(String, String)> {
         let files = std::fs::read_dir(self.directory.path()).into_iter().flatten().flatten();
         let logs = files.filter(|file| file.path().extension().is_some_and(|kind| kind == "log"));
         let text = |path| std::fs::read_to_string(path).unwrap_or_default();
-        let named = |file: std::fs::DirEntry| {
+        let entry = |file: std::fs::DirEntry| {
             (file.file_name().to_string_lossy().into_owned(), text(file.path()))
         };
-        logs.map(named).collect()
+        logs.map(entry).collect()
     }
 
-    /// The log of one host.
+    /// Returns the log of a host.
     pub fn log(&self, host: &str) -> String {
         let name = format!("{host}.log");
         self.logs().into_iter().find(|(file, _)| *file == name).map_or(String::new(), |log| log.1)
     }
 
-    /// The operator writes a configuration with `more` routes to the plain service.
+    /// Writes a configuration with the additional routes `more` to the plain service.
     pub fn configure(&self, version: u64, more: &[&str]) {
         self.store.put("op/config", &configuration(version, more));
     }
 
-    /// The operator writes a configuration with organisations, and a route `open` that needs no key.
+    /// Writes a configuration with organisations and a route `open` that needs no key.
     pub fn configure_organisations(&self, version: u64, organisations: &[Value]) {
         self.configure_keyed(version, &["open"], organisations);
     }
 
-    /// The operator writes a configuration with organisations and `more` routes, of which `open` needs no key.
+    /// Writes a configuration with organisations and the additional routes `more`; a route `open`
+    /// needs no key.
     pub fn configure_keyed(&self, version: u64, more: &[&str], organisations: &[Value]) {
         let mut configuration = configuration(version, more);
         for route in configuration["routes"].as_array_mut().into_iter().flatten() {
@@ -120,41 +124,42 @@
         self.store.put("op/config", &configuration);
     }
 
-    /// The operator writes a configuration with `count` routes more.
+    /// Writes a configuration with `count` additional routes.
     pub fn configure_large(&self, version: u64, count: usize) {
         let names: Vec<String> = (0..count).map(|number| format!("more{number}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         self.configure(version, &names);
     }
 
-    /// Starts a host.
+    /// Starts a host at a new address.
     pub fn spawn(&self, name: &str) -> Host {
         self.spawn_at(name, &fresh_ip(), self.store.address())
     }
 
-    /// Starts a host at `ip` that finds the store at `store`.
+    /// Starts a host at `ip` that reaches the store at `store`.
     pub fn spawn_at(&self, name: &str, ip: &str, store: SocketAddr) -> Host {
         self.spawn_with(name, ip, &settings(name, ip, store))
     }
 
-    /// The same, of another build of the program.
+    /// Starts a host at `ip` of another build of the program.
     pub fn spawn_build(&self, program: &Path, name: &str, ip: &str, store: SocketAddr) -> Host {
         self.spawn_program(program, name, ip, &settings(name, ip, store), &[])
     }
 
-    /// Starts a host that may not use a key five seconds after it was taken away, and waits until it is ready.
+    /// Starts a host with strict revocation, which accepts a revoked key for at most five seconds, and
+    /// waits until it is ready.
     pub fn strict_host(&self, name: &str) -> Host {
-        self.strict_host_in(name, &[])
+        self.strict_host_with_env(name, &[])
     }
 
-    /// The same, with variables in its environment.
-    pub fn strict_host_in(&self, name: &str, variables: &[(&str, &Path)]) -> Host {
+    /// Starts a host with strict revocation and the given environment environment.
+    pub fn strict_host_with_env(&self, name: &str, environment: &[(&str, &Path)]) -> Host {
         let ip = fresh_ip();
         let mut settings = settings(name, &ip, self.store.address());
         settings["bounds"]["strict_revocation"] = true.into();
         settings["bounds"]["revoke_ms"] = 5_000.into();
         let program = Path::new(env!("CARGO_BIN_EXE_vanetallyd"));
-        let host = self.spawn_program(program, name, &ip, &settings, variables);
+        let host = self.spawn_program(program, name, &ip, &settings, environment);
         wait_for("the host is ready", || host.readiness() == 200);
         host
     }
@@ -169,22 +174,27 @@
         name: &str,
         ip: &str,
         settings: &Value,
-        variables: &[(&str, &Path)],
+        environment: &[(&str, &Path)],
     ) -> Host {
         let path = self.directory.path().join(format!("{name}.json"));
         std::fs::write(&path, settings.to_string()).expect("the settings can be written");
         let child = Command::new(program)
             .arg("gateway")
             .env("VANETALLY_CONFIG", &path)
-            .envs(variables.iter().copied())
+            .envs(environment.iter().copied())
             .stdout(log_file(&self.directory, name))
             .spawn()
             .expect("the program starts");
         let address = |port: u16| format!("{ip}:{port}").parse().expect("an address");
-        Host { child, front: address(FRONT), ready: address(READY), metrics: address(METRICS) }
+        Host {
+            child,
+            front: address(FRONT_PORT),
+            ready: address(READY_PORT),
+            metrics: address(METRICS_PORT),
+        }
     }
 
-    /// Starts so many hosts and waits until they are ready.
+    /// Starts `count` hosts and waits until they are ready.
     pub fn hosts(&self, count: usize) -> Vec<Host> {
         let hosts = (0..count).map(|number| self.spawn(&format!("front-{number}")));
         let hosts: Vec<Host> = hosts.collect();
@@ -200,7 +210,7 @@
     }
 }
 
-/// A configuration with `more` routes to the plain service.
+/// Returns a configuration with the additional routes `more` to the plain service.
 fn configuration(version: u64, more: &[&str]) -> Value {
     let route = |name: &str, kind: &str, service: &str, resumable: bool| {
         json!({
@@ -231,16 +241,16 @@
     json!({ "version": version, "routes": routes, "services": services, "limits": {} })
 }
 
-const FRONT: u16 = 8_149;
-const READY: u16 = 8_141;
-const METRICS: u16 = 9_464;
+const FRONT_PORT: u16 = 8_149;
+const READY_PORT: u16 = 8_141;
+const METRICS_PORT: u16 = 9_464;
 
 fn settings(name: &str, ip: &str, store: SocketAddr) -> Value {
     json!({
         "node_name": name, "zone": "z1", "region": "r1", "ip": ip,
         "internal_port_range": [7380, 7395], "a_new_field": { "of": ["any", "shape"] },
         "listen_addrs": {
-            "front": format!("{ip}:{FRONT}"), "ready": format!("{ip}:{READY}"), "control": null,
+            "front": format!("{ip}:{FRONT_PORT}"), "ready": format!("{ip}:{READY_PORT}"), "control": null,
         },
         "bounds": { "grace_s": 8, "retry_slack": 50, "lease_ms": 500 },
         "platform": { "address": store.to_string(), "ttl_min_ms": 500 },
@@ -253,7 +263,7 @@
     file.map_or_else(|_| Stdio::null(), Stdio::from)
 }
 
-/// Runs the program on settings that are no good; its exit code and what it says.
+/// Runs the settings check of the program; returns its exit code and its error output.
 pub fn check_settings(text: &str) -> (Option<i32>, String) {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("settings.json");
@@ -266,12 +276,12 @@
     (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
-/// Where callers reach `hosts`.
+/// Returns the addresses at which callers reach `hosts`.
 pub fn fronts(hosts: &[Host]) -> Vec<SocketAddr> {
     hosts.iter().map(|host| host.front).collect()
 }
 
-/// A running host.
+/// A host process.
 pub struct Host {
     child: Child,
     pub front: SocketAddr,
@@ -280,55 +290,55 @@
 }
 
 impl Host {
-    /// The status of the balancer's question; 0 if nobody answers.
+    /// Returns the status of the readiness check, or 0 without an answer.
     pub fn readiness(&self) -> u16 {
         Client::new("GET", "/-/readiness", "").send(self.ready).status
     }
 
-    /// Whether the balancer may send callers to it.
+    /// Whether the load balancer may send callers to the host.
     pub fn is_ready(&self) -> bool {
         self.readiness() == 200
     }
 
-    /// Whether it gives the orders.
+    /// Whether the host holds the order lease.
     pub fn is_order_holder(&self) -> bool {
         self.metric("vanetally_order_holder") == Some(1.0)
     }
 
-    /// The value of a metric.
+    /// Returns the value of a metric.
     pub fn metric(&self, name: &str) -> Option<f64> {
         let text = Client::new("GET", "/metrics", "").send(self.metrics).body;
         let line = text.lines().find(|line| line.split(' ').next() == Some(name))?.to_owned();
         line.rsplit(' ').next()?.parse().ok()
     }
 
-    /// Sends a signal by its name.
+    /// Sends a signal, named without `SIG`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let status = Command::new("kill").args(["-s", name, &id]).status();
         assert!(status.is_ok_and(|status| status.success()));
     }
 
-    /// Ends it at once.
+    /// Kills the process.
     pub fn kill(&mut self) {
         self.child.kill().expect("it runs");
-        self.child.wait().expect("it has ended");
+        self.child.wait().expect("it exits");
     }
 
-    /// Its exit code, if it has ended.
+    /// Returns the exit code if the process has exited.
     pub fn try_wait(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten().map(|status| status.code().unwrap_or(-1))
     }
 
-    /// Waits for its end; its exit code.
+    /// Waits until the process exits and returns its exit code.
     pub fn wait(&mut self) -> Option<i32> {
-        self.child.wait().expect("it ends").code()
+        self.child.wait().expect("it exits").code()
     }
 }
 
 impl Drop for Host {
     fn drop(&mut self) {
-        // One that has ended needs no end.
+        // Fails for a process that has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/tests/promises.rs
+++ b/tests/invariants.rs
@@ -9,7 +9,7 @@
     sync::atomic::{AtomicBool, Ordering},
     thread,
 };
-use support::{EnginePlan, Host, Plan, Site, call, text, wait_for, with_token};
+use support::{EngineOptions, Host, Site, SiteOptions, call, output_text, wait_for, with_token};
 
 /// Calls until the answer is final: anything but a refusal that says when to come back.
 fn final_answer(host: &Host, key: &str) -> (u16, Option<String>) {
@@ -34,7 +34,7 @@
 
 #[test]
 fn killed_host() {
-    let mut site = Site::start(Plan { service_takes_ms: 1_500, ..Plan::default() });
+    let mut site = Site::start(SiteOptions { service_time_ms: 1_500, ..SiteOptions::default() });
     let keys: Vec<String> = (0..8).map(|n| format!("offer-{n}")).collect();
     let first = &site.hosts[0];
     thread::scope(|scope| {
@@ -57,7 +57,7 @@
 
 #[test]
 fn lost_answer() {
-    let site = Site::start(Plan::default());
+    let site = Site::start(SiteOptions::default());
     site.service.fault(json!({"lose_answers": 1}));
     let answer = site.hosts[0].service("book/offer", &[("Idempotency-Key", "offer")], "1 MW");
     // A service's own error is its answer: the request ran, and a repeat gets the same.
@@ -69,7 +69,7 @@
 
 #[test]
 fn dead_upstream() {
-    let mut site = Site::start(Plan::default());
+    let mut site = Site::start(SiteOptions::default());
     site.service.process.kill();
     let answer = site.hosts[0].service("book/offer", &[("Idempotency-Key", "offer")], "1 MW");
     assert_eq!((answer.status, answer.verdict()), (503, Some("not-run")));
@@ -78,7 +78,7 @@
 
 #[test]
 fn killed_upstream() {
-    let mut site = Site::start(Plan { service_takes_ms: 20_000, ..Plan::default() });
+    let mut site = Site::start(SiteOptions { service_time_ms: 20_000, ..SiteOptions::default() });
     let host = &site.hosts[0];
     let answer = thread::scope(|scope| {
         let waiting = scope.spawn(|| host.try_service("book/offer", "offer"));
@@ -92,7 +92,7 @@
 
 #[test]
 fn platform_outage() {
-    let mut site = Site::start(Plan::default());
+    let mut site = Site::start(SiteOptions::default());
     site.platform.fault(json!({"down": true}));
     for n in 0..12 {
         let key = format!("offer-{n}");
@@ -133,7 +133,7 @@
 
 #[test]
 fn paused_host() {
-    let site = Site::start(Plan::default());
+    let site = Site::start(SiteOptions::default());
     site.hosts[0].process.signal("-STOP");
     wait_for("the other host to hold all slots", || holder_of_all(&site.hosts[1]));
     let mut catalog = site.catalog.clone();
@@ -156,8 +156,8 @@
 
 #[test]
 fn late_order() {
-    let unfenced = EnginePlan { fenced: false, ..EnginePlan::default() };
-    let site = Site::start(Plan { engines: vec![unfenced; 2], ..Plan::default() });
+    let unfenced = EngineOptions { fenced: false, ..EngineOptions::default() };
+    let site = Site::start(SiteOptions { engines: vec![unfenced; 2], ..SiteOptions::default() });
     for engine in &site.engines {
         engine.fault(json!({"late_requests": 1, "late_ms": 2_500}));
     }
@@ -200,8 +200,9 @@
 #[test]
 fn moved_models() {
     // Loads are lost, answered late or not at all while the catalog changes.
-    let plans = vec![EnginePlan::default(), EnginePlan { fenced: false, ..EnginePlan::default() }];
-    let site = Site::start(Plan { engines: plans, ..Plan::default() });
+    let plans =
+        vec![EngineOptions::default(), EngineOptions { fenced: false, ..EngineOptions::default() }];
+    let site = Site::start(SiteOptions { engines: plans, ..SiteOptions::default() });
     let fault = json!({"lose_requests": 1, "lose_answers": 2});
     site.engines.iter().for_each(|e| e.fault(fault.clone()));
     let mut catalog = site.catalog.clone();
@@ -221,8 +222,8 @@
 
 #[test]
 fn leaving_runner() {
-    let plan = EnginePlan { gib: 48, token_ms: 5, ..EnginePlan::default() };
-    let site = Site::start(Plan { engines: vec![plan; 2], ..Plan::default() });
+    let plan = EngineOptions { capacity_gib: 48, token_ms: 5, ..EngineOptions::default() };
+    let site = Site::start(SiteOptions { engines: vec![plan; 2], ..SiteOptions::default() });
     let body = json!({"model": "ladder", "prompt": "x", "max_tokens": 400, "stream": true});
     thread::scope(|scope| {
         let streams: Vec<_> = (0..6)
@@ -255,8 +256,8 @@
 
 #[test]
 fn planned_stop() {
-    let plan = EnginePlan { token_ms: 10, ..EnginePlan::default() };
-    let mut site = Site::start(Plan { engines: vec![plan; 2], ..Plan::default() });
+    let plan = EngineOptions { token_ms: 10, ..EngineOptions::default() };
+    let mut site = Site::start(SiteOptions { engines: vec![plan; 2], ..SiteOptions::default() });
     let answer = site.hosts[0].service("book/offer", &[("Idempotency-Key", "offer")], "1 MW");
     assert_eq!(answer.status, 200);
     let stopped = &site.hosts[0];
@@ -269,7 +270,7 @@
                 scope.spawn(move || stopped.complete(body, &[]).body)
             })
             .collect();
-        let came = |e: &support::Outside| e.stats()["requests"].as_u64().unwrap_or(0);
+        let came = |e: &support::StandIn| e.stats()["requests"].as_u64().unwrap_or(0);
         wait_for("streams under way", || site.engines.iter().map(came).sum::<u64>() >= before + 6);
         stopped.process.signal("-TERM");
         wait_for("the balancer to be told", || !stopped.is_ready());
@@ -288,7 +289,7 @@
 
 #[test]
 fn racing_operators() {
-    let site = Site::start(Plan::default());
+    let site = Site::start(SiteOptions::default());
     let with_price = |price: u32| {
         let mut catalog = site.catalog.clone();
         catalog["move_price"] = json!(price);
@@ -302,10 +303,10 @@
         (a.join().expect("joined"), b.join().expect("joined"))
     });
     let won = [a.status.success(), b.status.success()];
-    assert_eq!(won.iter().filter(|w| **w).count(), 1, "{}{}", text(&a), text(&b));
+    assert_eq!(won.iter().filter(|w| **w).count(), 1, "{}{}", output_text(&a), output_text(&b));
     let (winner, loser, price) = if won[0] { ("a", &b, 7) } else { ("b", &a, 9) };
-    assert!(text(loser).contains(&format!("change {winner}")), "{}", text(loser));
-    assert!(text(loser).contains("move_price"), "the loser sees the difference");
+    assert!(output_text(loser).contains(&format!("change {winner}")), "{}", output_text(loser));
+    assert!(output_text(loser).contains("move_price"), "the loser sees the difference");
     for host in &site.hosts {
         wait_for("the revision to be in force", || host.state()["config"]["revision"] == 2);
         let revision = call("GET", &format!("{}/revision", host.admin), &[], &[]).json();
@@ -315,7 +316,7 @@
 
 #[test]
 fn restored_platform() {
-    let mut site = Site::start(Plan::default());
+    let mut site = Site::start(SiteOptions::default());
     let post = |path: &str| call("POST", &format!("{}{path}", site.platform.url), &[], &[]).status;
     assert_eq!(post("/snapshot"), 200);
     let mut catalog = site.catalog.clone();
@@ -334,14 +335,14 @@
     wait_for("the replaced host to catch up", || revision(&site.hosts[1]) == Some(2));
     let admin = site.hosts[0].admin.trim_start_matches("http://").to_owned();
     let restored = site.tool(&["restore", &admin]);
-    assert!(restored.status.success(), "{}", text(&restored));
+    assert!(restored.status.success(), "{}", output_text(&restored));
     wait_for("the repaired platform", || site.hosts.iter().all(|h| revision(h) == Some(3)));
 }
 
 #[test]
 fn crossed_answers() {
-    let plan = EnginePlan { token_ms: 3, ..EnginePlan::default() };
-    let site = Site::start(Plan { engines: vec![plan; 2], ..Plan::default() });
+    let plan = EngineOptions { token_ms: 3, ..EngineOptions::default() };
+    let site = Site::start(SiteOptions { engines: vec![plan; 2], ..SiteOptions::default() });
     thread::scope(|scope| {
         for n in 0..60_u64 {
             let host = &site.hosts[(n % 2) as usize];
@@ -367,7 +368,7 @@
 
 #[test]
 fn broken_stream() {
-    let site = Site::start(Plan::default());
+    let site = Site::start(SiteOptions::default());
     let whole = stream_of(&site, 8);
     let fault = |faults: Value| site.engines.iter().for_each(|e| e.fault(faults.clone()));
     fault(json!({"break_after": 3}));
@@ -381,7 +382,7 @@
 #[test]
 fn open_service() {
     // Readers' calls are repeatable and go on while a host is replaced.
-    let mut site = Site::start(Plan::default());
+    let mut site = Site::start(SiteOptions::default());
     let over = AtomicBool::new(false);
     let (kept, replaced) = site.hosts.split_at_mut(1);
     let failures = thread::scope(|scope| {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -9,7 +9,7 @@
 
 use gateway::{
     Deployment, Host, fronts,
-    load::{Seen, check, offer, under_load},
+    load::{Exchange, check, offer, under_load},
     wait_for,
 };
 use std::{
@@ -55,7 +55,7 @@
     let engine = deployment.engines[0].clone();
     engine.set_limit(Some("2.5"));
     let mut settled = Instant::now();
-    let seen = under_load(&fronts(&hosts), offer, 8, Duration::from_millis(50), || {
+    let exchanges = under_load(&fronts(&hosts), offer, 8, Duration::from_millis(50), || {
         thread::sleep(SETTLED);
         settled = Instant::now();
         thread::sleep(2 * WINDOW);
@@ -66,7 +66,8 @@
     let all = arrived_since(&engine, settled) as f64;
     let offered = 2.5 * 2.0 * WINDOW.as_secs_f64();
     assert!(all >= 0.8 * offered, "{all} of {offered} were used");
-    let failed: Vec<&Seen> = seen.iter().filter(|one| one.answer.status != 200).collect();
+    let failed: Vec<&Exchange> =
+        exchanges.iter().filter(|exchange| exchange.answer.status != 200).collect();
     assert!(failed.is_empty(), "{failed:?}");
 }
 
@@ -79,7 +80,7 @@
     let desk = deployment.desks[0].clone();
     desk.set_limit(Some("0.5"));
     let (mut settled, mut ended) = (Instant::now(), Instant::now());
-    let seen = under_load(&fronts(&hosts), check, 4, Duration::from_millis(50), || {
+    let exchanges = under_load(&fronts(&hosts), check, 4, Duration::from_millis(50), || {
         thread::sleep(SETTLED);
         settled = Instant::now();
         thread::sleep(2 * WINDOW);
@@ -91,17 +92,24 @@
     let arrivals = desk.arrivals();
     let during = arrivals.iter().filter(|at| **at >= settled && **at < ended).count();
     assert!((3..=6).contains(&during), "{during} in {WINDOW:?} twice");
-    let refused: Vec<&Seen> =
-        seen.iter().filter(|one| one.began >= settled && one.answer.status == 503).collect();
+    let refused: Vec<&Exchange> = exchanges
+        .iter()
+        .filter(|exchange| exchange.began >= settled && exchange.answer.status == 503)
+        .collect();
     assert!(refused.len() > 50, "{} were refused", refused.len());
-    for one in &refused {
-        assert!(one.took < Duration::from_millis(500), "{one:?}");
-        let seconds = one.answer.header("retry-after").and_then(|text| text.parse::<f64>().ok());
-        assert!(seconds.is_some_and(|seconds| seconds > 0.0 && seconds < 60.0), "{one:?}");
+    for exchange in &refused {
+        assert!(exchange.took < Duration::from_millis(500), "{exchange:?}");
+        let seconds =
+            exchange.answer.header("retry-after").and_then(|text| text.parse::<f64>().ok());
+        assert!(seconds.is_some_and(|seconds| seconds > 0.0 && seconds < 60.0), "{exchange:?}");
     }
     let later = ended + Duration::from_secs(2) + SETTLED;
-    let late: Vec<&Seen> = seen.iter().filter(|one| one.began >= later).collect();
-    assert!(!late.is_empty() && late.iter().all(|one| one.answer.status == 200), "{late:?}");
+    let late: Vec<&Exchange> =
+        exchanges.iter().filter(|exchange| exchange.began >= later).collect();
+    assert!(
+        !late.is_empty() && late.iter().all(|exchange| exchange.answer.status == 200),
+        "{late:?}"
+    );
 }
 
 /// More is asked for than the limit allows, by far: what has no turn within its patience is refused when it comes, with
@@ -118,14 +126,16 @@
     let desk = deployment.desks[0].clone();
     desk.set_limit(Some("12.5"));
     let (mut settled, mut ended) = (Instant::now(), Instant::now());
-    let seen = under_load(&fronts(&hosts), check, 60, Duration::from_millis(800), || {
+    let exchanges = under_load(&fronts(&hosts), check, 60, Duration::from_millis(800), || {
         thread::sleep(2 * SETTLED);
         settled = Instant::now();
         thread::sleep(2 * WINDOW);
         ended = Instant::now();
     });
-    let refused = seen.iter().filter(|one| one.began >= settled && one.answer.status == 503);
-    let mut took: Vec<Duration> = refused.map(|one| one.took).collect();
+    let refused = exchanges
+        .iter()
+        .filter(|exchange| exchange.began >= settled && exchange.answer.status == 503);
+    let mut took: Vec<Duration> = refused.map(|exchange| exchange.took).collect();
     took.sort();
     assert!(took.len() > 50, "{} were refused", took.len());
     let median = took[took.len() / 2];
@@ -142,11 +152,12 @@
     let hosts = hosts(&deployment, 2);
     for spoiled in ["nan", "-1", "", "1e-3", "0.5 a second"] {
         deployment.desks[0].set_limit(Some(spoiled));
-        let seen = under_load(&fronts(&hosts), check, 2, Duration::from_millis(10), || {
+        let exchanges = under_load(&fronts(&hosts), check, 2, Duration::from_millis(10), || {
             thread::sleep(Duration::from_millis(500));
         });
-        let failed: Vec<&Seen> = seen.iter().filter(|one| one.answer.status != 200).collect();
-        assert!(failed.is_empty() && seen.len() > 20, "{spoiled:?}: {failed:?}");
+        let failed: Vec<&Exchange> =
+            exchanges.iter().filter(|exchange| exchange.answer.status != 200).collect();
+        assert!(failed.is_empty() && exchanges.len() > 20, "{spoiled:?}: {failed:?}");
     }
 }
 
--- a/tests/returned_fleet.rs
+++ b/tests/returned_fleet.rs
@@ -4,7 +4,10 @@
 
 use gateway::{
     Deployment, Host, fresh_ip,
-    returns::{HEARD, HELD, KEPT, LOST, come_back, holders, name, write_much},
+    restores::{
+        LEASES_KEPT, LEASES_LOST, MAX_HOLDER_GAP, SETTLE_TIME, advance_revision, holders, name,
+        restore_store,
+    },
     wait_for,
 };
 use rstest::rstest;
@@ -33,10 +36,10 @@
         logs.map(|log| log.matches("event=source_changed source=store ").count()).sum::<usize>()
     };
     wait_for("one reads for all", || readers() == 1);
-    sleep(HEARD);
+    sleep(SETTLE_TIME);
     let before = turned();
-    come_back(&deployment, &copy, LOST);
-    sleep(HELD);
+    restore_store(&deployment, &copy, LEASES_LOST);
+    sleep(MAX_HOLDER_GAP);
     assert!(turned() - before <= 1, "{} turned to the store", turned() - before);
     assert_eq!(readers(), 1);
     let keys = (0..HOSTS).map(|number| format!("vanetally/hosts/{}", name(number)));
@@ -86,8 +89,8 @@
     };
     wait_for("all hosts are there", || !missing());
     wait_for("one holds the orders", || store.get("vanetally/orders").is_some());
-    sleep(HEARD);
-    come_back(&deployment, &copy, LOST);
+    sleep(SETTLE_TIME);
+    restore_store(&deployment, &copy, LEASES_LOST);
     let (back, calls, writes) = (Instant::now(), store.calls(), store.write_calls());
     deployment.configure(5, &["added"]);
     let changed_ms = now_ms();
@@ -96,7 +99,7 @@
     wait_for("all keys are there", || !missing());
     let keys = back.elapsed();
     wait_for("one holds the orders", || store.get("vanetally/orders").is_some());
-    sleep(HELD.saturating_sub(back.elapsed()));
+    sleep(MAX_HOLDER_GAP.saturating_sub(back.elapsed()));
     let in_force = |(_, log): (String, String)| {
         logged_ms(&log, "event=configuration_in_force version=5 ").map(|at| at - changed_ms)
     };
@@ -130,17 +133,17 @@
     };
     let hosts: Vec<Host> = (0..size).map(spawn).collect();
     wait_for("all are ready", || hosts.iter().all(Host::is_ready));
-    sleep(HEARD);
+    sleep(SETTLE_TIME);
     let in_force = |version: u64| {
         let words = format!("event=configuration_in_force version={version} ");
         let own = (0..size).filter(|number| number % 2 == 1);
         own.map(|number| deployment.log(&name(number))).all(|log| log.contains(&words))
     };
-    for (version, how) in [(5, LOST), (6, KEPT)] {
-        write_much(&deployment);
-        sleep(HEARD);
-        come_back(&deployment, &copy, how);
-        sleep(HEARD);
+    for (version, how) in [(5, LEASES_LOST), (6, LEASES_KEPT)] {
+        advance_revision(&deployment);
+        sleep(SETTLE_TIME);
+        restore_store(&deployment, &copy, how);
+        sleep(SETTLE_TIME);
         deployment.configure(version, &["added"]);
         let written = Instant::now();
         wait_for("it is in force", || in_force(version));
--- a/tests/reborn.rs
+++ b/tests/runner_restart.rs
@@ -1,4 +1,4 @@
-//! Runners that start again under their id, and entries that can't be read.
+//! Runners that restart under their id, and entries that cannot be read.
 
 mod gateway;
 
@@ -12,10 +12,11 @@
 };
 use vanetally_platform_standin::{Behaviour, Client, Runner};
 
-/// A runner that started again gets its next order within this time of its announcement.
-const ORDERED: Duration = Duration::from_secs(1);
-/// A new holder of orders lets no weights come for this long: it does not know which its forerunner has ordered.
-const CEILING: Duration = Duration::from_millis(5_300);
+/// Maximum time after the announcement of a restarted runner until its next order.
+const MAX_ORDER_TIME: Duration = Duration::from_secs(1);
+/// Time in which a new holder of the order lease orders no weights, as it does not know the orders of its
+/// predecessor.
+const LOAD_LIMIT_TIME: Duration = Duration::from_millis(5_300);
 
 fn offer(id: &str) -> Client {
     Client::new("POST", "/offer/1", id)
@@ -35,57 +36,57 @@
     orders.iter().filter(|order| order.operation == "load" && order.status == 202).count()
 }
 
-/// An engine started again under its id and held nothing any more. The holder of orders took its reports for
-/// stale, since they count fewer orders than it knew of, believed that it held what it had held, and ordered
-/// nothing: `report orders_taken=0` beside a count of 1, each quarter of a second, and 421 to each request.
+/// An engine restarts under its id and holds no models. Its reports count fewer orders than the holder of
+/// the order lease knows of, and must not be ignored as stale: otherwise nothing is ordered and each
+/// request is answered with 421.
 #[test]
-fn ordered_again() {
+fn ordered_after_restart() {
     let deployment = Deployment::start();
     let host = deployment.host("front-1");
     let engine = &deployment.engines[0];
-    sleep(CEILING);
+    sleep(LOAD_LIMIT_TIME);
     assert_eq!(
         offer("a1").with("X-Model", "m1/a1").send(host.front).status,
         200,
-        "an order was taken"
+        "the engine has accepted an order"
     );
     let before = loads(engine);
     engine.restart();
     announce(&deployment, engine);
     let announced = Instant::now();
-    // What is asked for is missed, and then ordered.
+    // The request finds the model missing, which causes the order.
     let front = host.front;
-    let asking = spawn(move || offer("a2").send(front).status);
+    let request = spawn(move || offer("a2").send(front).status);
     wait_for("the engine gets an order", || loads(engine) > before);
-    assert!(announced.elapsed() < ORDERED, "ordered after {:?}", announced.elapsed());
-    asking.join().expect("no panic");
+    assert!(announced.elapsed() < MAX_ORDER_TIME, "ordered after {:?}", announced.elapsed());
+    request.join().expect("no panic");
     wait_for_served("a3", front);
 }
 
-/// Asks again and again, as callers do.
+/// Sends requests until one is served.
 fn wait_for_served(name: &str, front: SocketAddr) {
-    let asked = Cell::new(0);
-    wait_for("it is served", || {
-        asked.set(asked.get() + 1);
-        offer(&format!("{name}-{}", asked.get())).send(front).status == 200
+    let sent = Cell::new(0);
+    wait_for("a request is served", || {
+        sent.set(sent.get() + 1);
+        offer(&format!("{name}-{}", sent.get())).send(front).status == 200
     });
 }
 
-/// A life that has taken as many orders as the one before it, none, is another one all the same.
+/// An incarnation is recognised as new even if it has accepted as many orders as the previous one: none.
 #[test]
 fn equal_counts() {
     let deployment = Deployment::start();
     let host = deployment.host("front-1");
     let engine = &deployment.engines[0];
     assert_eq!(offer("a1").send(host.front).status, 200);
-    assert_eq!(loads(engine), 0, "neither life has taken an order");
+    assert_eq!(loads(engine), 0, "neither incarnation has accepted an order");
     engine.restart();
     announce(&deployment, engine);
     wait_for_served("a2", host.front);
     assert_eq!(loads(engine), 1, "the weights were ordered anew");
 }
 
-/// What ran in the life that ended is not waited for: the caller hears at once, and not that it did not run.
+/// A request that ran in the previous incarnation is answered at once, and not as not run.
 #[test]
 fn open_request_ends() {
     let deployment = Deployment::start();
@@ -93,25 +94,26 @@
     let engine = deployment.engines[0].clone();
     engine.set_behaviour(Behaviour::Unresponsive);
     let front = host.front;
-    let asked = Instant::now();
-    let asking = spawn(move || (offer("a1").send(front).status, asked.elapsed()));
-    wait_for("it runs", || engine.runs().contains_key("a1"));
+    let sent = Instant::now();
+    let request = spawn(move || (offer("a1").send(front).status, sent.elapsed()));
+    wait_for("the request runs", || engine.runs().contains_key("a1"));
     engine.restart();
     announce(&deployment, &engine);
-    let (status, took) = asking.join().expect("no panic");
+    let (status, took) = request.join().expect("no panic");
     assert!(took < Duration::from_secs(2), "answered after {took:?}");
     assert!(![429, 503, 408, 421].contains(&status), "{status} would say that it did not run");
 }
 
-fn spoil(deployment: &Deployment, runner: &Runner, change: impl Fn(&mut Value)) {
+fn corrupt_entry(deployment: &Deployment, runner: &Runner, change: impl Fn(&mut Value)) {
     let (key, mut value) = runner.entry();
     change(&mut value);
     deployment.store.put(&key, &value);
 }
 
-/// An entry that another writer spoiled names no runner to use, and disturbs no other; once it can be read it is used.
+/// A runner with an invalid entry is not used, and other runners are not affected. It is used again once
+/// its entry is valid.
 #[test]
-fn spoiled_entry() {
+fn invalid_entry() {
     let deployment = Deployment::start();
     let host = deployment.host("front-1");
     let desk = &deployment.desks[0];
@@ -125,17 +127,17 @@
         |value| drop(value.as_object_mut().and_then(|fields| fields.remove("born"))),
     ];
     for (number, fault) in faults.into_iter().enumerate() {
-        spoil(&deployment, desk, fault);
-        wait_for("no request goes there", || check(&format!("s{number}")) != 200);
+        corrupt_entry(&deployment, desk, fault);
+        wait_for("the runner is not used", || check(&format!("s{number}")) != 200);
         let before = desk.requests().len();
         assert_ne!(check(&format!("t{number}")), 200);
         assert_eq!(desk.requests().len(), before, "fault {number}");
         assert_eq!(
             offer(&format!("o{number}")).send(host.front).status,
             200,
-            "the engine serves on"
+            "the engine still serves"
         );
         announce(&deployment, desk);
-        wait_for("it is used again", || check(&format!("u{number}")) == 200);
+        wait_for("the runner is used again", || check(&format!("u{number}")) == 200);
     }
 }
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that send all kinds of requests, and note what they got.
+//! Callers that send all kinds of requests and record the answers.
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::{
@@ -12,155 +12,172 @@
 };
 use vanetally_platform_standin::{Client, ClientAnswer, Session};
 
-/// What a caller sends.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// A stream that may run once.
+pub enum RequestKind {
+    /// A stream that may run at most once.
     Offer,
-    /// A stream that may be taken up elsewhere.
+    /// A stream that may be resumed on another engine.
     Draft,
-    /// A call that may be repeated.
+    /// A repeatable call.
     Check,
-    /// A call on the route that this version of the configuration added.
+    /// A call to the route that this configuration version added.
     Added(u64),
 }
 
-/// One request and its answer.
+/// A request with its answer and times.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct Exchange {
     pub id: String,
-    pub kind: Kind,
-    /// Whether it bore a key that nobody holds.
-    pub is_unknown: bool,
-    /// The host that it went to, and which of its lives that was.
+    pub kind: RequestKind,
+    /// Whether the request carried a key of no organisation.
+    pub has_unknown_key: bool,
+    /// Index and incarnation of the host that received the request.
     pub host: usize,
-    pub life: u64,
+    pub incarnation: u64,
     pub began: Instant,
     pub ended: Instant,
-    /// None if the caller left without waiting for it.
+    /// `None` if the caller disconnected without waiting for the answer.
     pub answer: Option<ClientAnswer>,
 }
 
-/// What callers share.
-pub struct Shared {
+/// State shared by all callers and the test.
+pub struct SharedState {
     pub fronts: Vec<SocketAddr>,
-    /// Counts the starts of each host.
-    pub lives: Vec<AtomicU64>,
-    /// The newest version that the operator wrote.
+    /// Number of starts of each host.
+    pub incarnations: Vec<AtomicU64>,
+    /// Newest configuration version written to the store.
     pub version: AtomicU64,
-    pub seen: Mutex<Vec<Seen>>,
+    pub exchanges: Mutex<Vec<Exchange>>,
     /// Whether requests need a key.
     pub has_keys: bool,
     is_over: AtomicBool,
 }
 
-/// The organisation of all callers, its key, and one that nobody holds.
+/// Organisation of all callers.
 pub const ORGANISATION: &str = "soakers";
+/// Key of the organisation.
 pub const KEY: &str = "soak-key-5d1f";
-pub const NO_KEY: &str = "soak-key-of-nobody";
+/// Key of no organisation.
+pub const UNKNOWN_KEY: &str = "soak-key-of-nobody";
 
-impl Shared {
+impl SharedState {
     pub fn new(fronts: Vec<SocketAddr>, has_keys: bool) -> Self {
-        let lives = fronts.iter().map(|_| AtomicU64::new(1)).collect();
+        let incarnations = fronts.iter().map(|_| AtomicU64::new(1)).collect();
         Self {
             fronts,
-            lives,
+            incarnations,
             version: AtomicU64::new(1),
-            seen: Mutex::default(),
+            exchanges: Mutex::default(),
             has_keys,
             is_over: AtomicBool::new(false),
         }
     }
 }
 
-/// Callers at work.
+/// Running caller threads.
 pub struct Callers {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     threads: Vec<JoinHandle<()>>,
 }
 
-const CALLERS: u64 = 10;
+const CALLER_COUNT: u64 = 10;
 const DEADLINE_MS: u64 = 1_500;
-/// Adapters that are asked for; a runner has places for four.
-const ADAPTERS: u32 = 6;
-/// Share of requests whose caller leaves at once.
-const LEAVES: f64 = 0.04;
-/// Share of requests with a key that nobody holds.
-const UNKNOWN: f64 = 0.05;
-/// Share of requests on a connection that is kept.
-const KEPT: f64 = 0.7;
+/// Number of adapters that callers request; a runner holds at most four.
+const ADAPTER_COUNT: u32 = 6;
+/// Share of requests whose caller disconnects within 20 ms.
+const DISCONNECT_SHARE: f64 = 0.04;
+/// Share of requests with a key of no organisation.
+const UNKNOWN_KEY_SHARE: f64 = 0.05;
+/// Share of the other requests that use a persistent connection.
+const KEEP_ALIVE_SHARE: f64 = 0.7;
 
 impl Callers {
-    pub fn start(shared: &Arc<Shared>, seed: u64) -> Self {
+    pub fn start(shared: &Arc<SharedState>, seed: u64) -> Self {
         let start = |number| {
             let shared = shared.clone();
             thread::spawn(move || call(&shared, seed, number))
         };
-        Self { shared: shared.clone(), threads: (0..CALLERS).map(start).collect() }
+        Self { shared: shared.clone(), threads: (0..CALLER_COUNT).map(start).collect() }
     }
 
-    /// Ends them and waits for their last answers.
+    /// Stops the callers and waits for their last answers.
     pub fn stop(self) {
         self.shared.is_over.store(true, Ordering::Relaxed);
         self.threads.into_iter().for_each(|thread| thread.join().expect("callers don't panic"));
     }
 }
 
-fn call(shared: &Shared, seed: u64, number: u64) {
-    let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(CALLERS).wrapping_add(number));
+fn call(shared: &SharedState, seed: u64, number: u64) {
+    let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(CALLER_COUNT).wrapping_add(number));
     let mut sessions: Vec<Session> = shared.fronts.iter().map(|_| Session::new()).collect();
     let mut count = 0;
     while !shared.is_over.load(Ordering::Relaxed) {
         count += 1;
         let host = rng.random_range(0..shared.fronts.len());
-        let kind = any_kind(&mut rng, shared);
+        let kind = choose_kind(&mut rng, shared);
         let id = format!("c{number}-{count}");
-        let is_unknown = shared.has_keys && rng.random_bool(UNKNOWN);
-        let key = if is_unknown { NO_KEY } else { KEY };
+        let has_unknown_key = shared.has_keys && rng.random_bool(UNKNOWN_KEY_SHARE);
+        let key = if has_unknown_key { UNKNOWN_KEY } else { KEY };
         let client = request(&mut rng, kind, &id)
             .with("Authorization", &format!("Bearer {key}"))
             .with("X-Tenant", "mallory");
-        let life = shared.lives[host].load(Ordering::Relaxed);
+        let incarnation = shared.incarnations[host].load(Ordering::Relaxed);
         let began = Instant::now();
         let address = shared.fronts[host];
-        let answer = if rng.random_bool(LEAVES) {
+        let answer = if rng.random_bool(DISCONNECT_SHARE) {
             client.send_and_disconnect(address, Duration::from_millis(rng.random_range(0..20)));
             None
-        } else if rng.random_bool(KEPT) {
+        } else if rng.random_bool(KEEP_ALIVE_SHARE) {
             Some(client.send_on(&mut sessions[host], address))
         } else {
             Some(client.send(address))
         };
-        let seen = Seen { id, kind, is_unknown, host, life, began, ended: Instant::now(), answer };
-        shared.seen.lock().expect("no thread panicked").push(seen);
+        let exchange = Exchange {
+            id,
+            kind,
+            has_unknown_key,
+            host,
+            incarnation,
+            began,
+            ended: Instant::now(),
+            answer,
+        };
+        shared.exchanges.lock().expect("no thread panicked").push(exchange);
         thread::sleep(Duration::from_millis(rng.random_range(2..25)));
     }
 }
 
-fn any_kind(rng: &mut StdRng, shared: &Shared) -> Kind {
+fn choose_kind(rng: &mut StdRng, shared: &SharedState) -> RequestKind {
     match rng.random_range(0..10) {
-        0..4 => Kind::Offer,
-        4..6 => Kind::Draft,
-        6..9 => Kind::Check,
-        _ => Kind::Added(rng.random_range(1..=shared.version.load(Ordering::Relaxed))),
+        0..4 => RequestKind::Offer,
+        4..6 => RequestKind::Draft,
+        6..9 => RequestKind::Check,
+        _ => RequestKind::Added(rng.random_range(1..=shared.version.load(Ordering::Relaxed))),
     }
 }
 
-/// The path of the route that a version added.
+/// Returns the name of the route that a configuration version added.
 pub fn added_route(version: u64) -> String {
     format!("added{version}")
 }
 
-fn request(rng: &mut StdRng, kind: Kind, id: &str) -> Client {
+fn request(rng: &mut StdRng, kind: RequestKind, id: &str) -> Client {
     let model = match rng.random_range(0..3) {
-        0 => format!("m1/a{}", rng.random_range(1..=ADAPTERS)),
+        0 => format!("m1/a{}", rng.random_range(1..=ADAPTER_COUNT)),
         _ => "m1".to_owned(),
     };
     let client = match kind {
-        Kind::Offer => Client::new("POST", "/offer/1", id).with("X-Model", &model).body(b"draft"),
-        Kind::Draft => Client::new("POST", "/draft/1", id).with("X-Model", &model).body(b"draft"),
-        Kind::Check => Client::new("GET", "/check/1", id),
-        Kind::Added(version) => Client::new("GET", &format!("/{}/1", added_route(version)), id),
+        RequestKind::Offer => {
+            Client::new("POST", "/offer/1", id).with("X-Model", &model).body(b"draft")
+        }
+        RequestKind::Draft => {
+            Client::new("POST", "/draft/1", id).with("X-Model", &model).body(b"draft")
+        }
+        RequestKind::Check => Client::new("GET", "/check/1", id),
+        RequestKind::Added(version) => {
+            Client::new("GET", &format!("/{}/1", added_route(version)), id)
+        }
     };
     client.deadline(DEADLINE_MS)
 }
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,16 +1,16 @@
-//! Faults, drawn one after the other; they overlap until something heals them.
+//! Random faults. A fault lasts until it is healed, so several overlap.
 
-use crate::site::{Site, Slot};
+use crate::site::{HostSlot, Site};
 use rand::{RngExt, rngs::StdRng};
 use std::{thread, time::Duration};
 use vanetally_platform_standin::{Behaviour, ProxyMode, Runner, StoreMode};
 
-/// Events of a whole stream.
+/// Number of events of a complete stream.
 pub const EVENTS: u32 = 5;
-/// How a sound engine answers.
-pub const SOUND_ENGINE: Behaviour = Behaviour::Stream { events: EVENTS, pause_ms: 2 };
-/// How a sound service answers.
-pub const SOUND_DESK: Behaviour = Behaviour::Complete;
+/// Behaviour of a healthy engine.
+pub const HEALTHY_ENGINE: Behaviour = Behaviour::Stream { events: EVENTS, pause_ms: 2 };
+/// Behaviour of a healthy runner of the plain service.
+pub const HEALTHY_DESK: Behaviour = Behaviour::Complete;
 
 const ENGINE_FAULTS: [Behaviour; 7] = [
     Behaviour::Stream { events: EVENTS, pause_ms: 60 },
@@ -34,10 +34,10 @@
 const LINK_FAULTS: [ProxyMode; 5] =
     [ProxyMode::Delay(40), ProxyMode::Reset, ProxyMode::Silent, ProxyMode::OneWay, ProxyMode::Drop];
 
-/// Share of the strikes after which something happens to an entry.
+/// Share of the faults after which an entry fault is injected.
 const ENTRY_SHARE: f64 = 0.2;
-/// Fields of an entry, and what another writer makes of them.
-const SPOILED: [(&str, &str); 5] = [
+/// Fields of an entry with the invalid values that another writer puts into them.
+const INVALID_FIELDS: [(&str, &str); 5] = [
     ("state", "resting"),
     ("slots", "many"),
     ("address", "nowhere"),
@@ -45,29 +45,31 @@
     ("service", ""),
 ];
 
-/// Strikes once, then waits a little.
-pub fn strike(rng: &mut StdRng, site: &mut Site) {
+/// Injects a fault, sometimes heals another, and pauses briefly.
+pub fn inject(rng: &mut StdRng, site: &mut Site) {
     let host = rng.random_range(0..site.slots.len());
     match rng.random_range(0..16) {
         0 | 1 => site.slots[host].kill(),
         2 | 3 => site.slots[host].pause(),
         4 => site.slots[host].signal("TERM"),
         5 => site.slots[host].signal("HUP"),
-        6 => site.deployment.store.set_mode(any(rng, &STORE_FAULTS)),
-        7 => site.slots[host].store_link.set_mode(any(rng, &LINK_FAULTS)),
+        6 => site.deployment.store.set_mode(choose(rng, &STORE_FAULTS)),
+        7 => site.slots[host].store_link.set_mode(choose(rng, &LINK_FAULTS)),
         8 => {
             let runner = rng.random_range(0..site.runner_links.len());
-            site.runner_links[runner].set_mode(any(rng, &LINK_FAULTS));
+            site.runner_links[runner].set_mode(choose(rng, &LINK_FAULTS));
         }
-        9 => any_runner(rng, &site.deployment.engines).set_behaviour(any(rng, &ENGINE_FAULTS)),
-        10 => any_runner(rng, &site.deployment.desks).set_behaviour(any(rng, &DESK_FAULTS)),
+        9 => {
+            choose_runner(rng, &site.deployment.engines).set_behaviour(choose(rng, &ENGINE_FAULTS))
+        }
+        10 => choose_runner(rng, &site.deployment.desks).set_behaviour(choose(rng, &DESK_FAULTS)),
         11 => site.configure(),
         12 => site.deployment.store.compact_history(),
         13 => {
-            let number = site.any_present(rng);
+            let number = site.choose_present(rng);
             site.announce(number, "draining");
         }
-        14 => site.withdraw(site.any_present(rng)),
+        14 => site.withdraw(site.choose_present(rng)),
         _ => heal_some(rng, site),
     }
     if rng.random_bool(0.4) {
@@ -76,15 +78,16 @@
     thread::sleep(Duration::from_millis(rng.random_range(20..250)));
 }
 
-/// Strikes a host, the store or a way to it, then waits a little; a host goes on again, and mostly something else heals.
-pub fn strike_hosts(rng: &mut StdRng, site: &mut Site) {
+/// Injects a fault into a host, the store or a link to it, revives a host, mostly heals something
+/// else, and pauses briefly.
+pub fn inject_host_fault(rng: &mut StdRng, site: &mut Site) {
     let host = rng.random_range(0..site.slots.len());
     match rng.random_range(0..8) {
         0 => site.slots[host].kill(),
         1 | 2 => site.slots[host].pause(),
         3 => site.slots[host].signal("TERM"),
-        4 => site.deployment.store.set_mode(any(rng, &STORE_FAULTS)),
-        5 => site.slots[host].store_link.set_mode(any(rng, &LINK_FAULTS)),
+        4 => site.deployment.store.set_mode(choose(rng, &STORE_FAULTS)),
+        5 => site.slots[host].store_link.set_mode(choose(rng, &LINK_FAULTS)),
         6 => site.configure(),
         _ => site.deployment.store.compact_history(),
     }
@@ -96,33 +99,33 @@
     thread::sleep(Duration::from_millis(rng.random_range(100..700)));
 }
 
-/// Now and then a runner starts again under its id, or another writer spoils its entry.
-pub fn strike_entry(rng: &mut StdRng, site: &mut Site) {
+/// Restarts a runner under its id or corrupts its entry, with the probability `ENTRY_SHARE`.
+pub fn inject_entry_fault(rng: &mut StdRng, site: &mut Site) {
     if !rng.random_bool(ENTRY_SHARE) {
         return;
     }
-    let number = site.any_present(rng);
+    let number = site.choose_present(rng);
     match rng.random_range(0..3) {
-        0 => site.restart(number),
+        0 => site.restart_runner(number),
         1 => {
-            // It is announced only later, with its next heartbeat.
+            // The restart is announced only with the next heartbeat.
             site.runner(number).restart();
         }
-        _ => site.spoil(number, any(rng, &SPOILED)),
+        _ => site.corrupt_entry(number, choose(rng, &INVALID_FIELDS)),
     }
 }
 
-/// Cuts most hosts from the store for a while in which an upstream may leave.
+/// Cuts most hosts off from the store for a while, in which an upstream may leave.
 pub fn cut_store(rng: &mut StdRng, site: &Site) {
     for slot in &site.slots {
         if rng.random_bool(0.7) {
-            slot.store_link.set_mode(any(rng, &[ProxyMode::Drop, ProxyMode::Silent]));
+            slot.store_link.set_mode(choose(rng, &[ProxyMode::Drop, ProxyMode::Silent]));
         }
     }
     thread::sleep(Duration::from_millis(rng.random_range(1_000..4_000)));
 }
 
-/// Heals one thing.
+/// Heals one kind of fault.
 fn heal_some(rng: &mut StdRng, site: &mut Site) {
     let host = rng.random_range(0..site.slots.len());
     match rng.random_range(0..5) {
@@ -131,33 +134,33 @@
         2 => site.slots[host].store_link.set_mode(ProxyMode::Pass),
         3 => site.runner_links.iter().for_each(|link| link.set_mode(ProxyMode::Pass)),
         _ => {
-            sound(site);
+            heal_runners(site);
             site.announce_all();
         }
     }
 }
 
-/// Heals all.
+/// Heals all faults.
 pub fn heal(site: &mut Site) {
-    sound(site);
+    heal_runners(site);
     site.deployment.store.set_mode(StoreMode::Serving);
     site.runner_links.iter().for_each(|link| link.set_mode(ProxyMode::Pass));
     for slot in &mut site.slots {
         slot.store_link.set_mode(ProxyMode::Pass);
-        Slot::revive(slot, &site.deployment, &site.shared);
+        HostSlot::revive(slot, &site.deployment, &site.shared);
     }
     site.announce_all();
 }
 
-fn sound(site: &Site) {
-    site.deployment.engines.iter().for_each(|engine| engine.set_behaviour(SOUND_ENGINE));
-    site.deployment.desks.iter().for_each(|desk| desk.set_behaviour(SOUND_DESK));
+fn heal_runners(site: &Site) {
+    site.deployment.engines.iter().for_each(|engine| engine.set_behaviour(HEALTHY_ENGINE));
+    site.deployment.desks.iter().for_each(|desk| desk.set_behaviour(HEALTHY_DESK));
 }
 
-fn any<T: Copy>(rng: &mut StdRng, choices: &[T]) -> T {
+fn choose<T: Copy>(rng: &mut StdRng, choices: &[T]) -> T {
     choices[rng.random_range(0..choices.len())]
 }
 
-fn any_runner<'a>(rng: &mut StdRng, runners: &'a [Runner]) -> &'a Runner {
+fn choose_runner<'a>(rng: &mut StdRng, runners: &'a [Runner]) -> &'a Runner {
     &runners[rng.random_range(0..runners.len())]
 }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,20 +1,21 @@
-//! A randomized soak of real processes: faults from outside them, promises checked from what
-//! callers and runners see.
+//! A randomized soak test with real processes. Faults are injected from outside the processes, and
+//! invariants are checked from what callers and runners observe.
 //!
-//! `cargo test --test soak` plays the seeds of `seeds.list` and two more. By hand, `SOAK_SEEDS=50`
-//! plays that many fresh seeds instead; `SOAK_FIRST=7` sets the first of them; a failing seed's
-//! logs are left in the directory named by `SOAK_LOGS`. `SOAK_OTHER=PROGRAM` runs another build beside this one: each time
-//! that a host starts again it is of the other one (`.ci/other-build COMMIT` builds one and prints its path).
+//! `cargo test --test soak` runs the seeds of `seeds.list` and two more. `SOAK_SEEDS=50` runs 50 new
+//! seeds instead, and `SOAK_FIRST=7` sets the first of them. The logs of a failing seed are written
+//! to the directory `SOAK_LOGS`. `SOAK_OTHER=PROGRAM` runs another build side by side with this one:
+//! successive incarnations of a host alternate between the two builds. `.ci/other-build COMMIT`
+//! builds a program of another commit and prints its path.
 
 mod callers;
 mod faults;
 #[path = "../gateway/mod.rs"]
 mod gateway;
-mod need;
-mod promises;
-mod returns;
+mod invariants;
+mod rate_limit;
+mod restores;
 mod site;
-mod words;
+mod upstream_signals;
 
 use std::{
     sync::Mutex,
@@ -22,12 +23,12 @@
     time::{SystemTime, UNIX_EPOCH},
 };
 
-/// Seeds that failed once, each with a line on the cause.
+/// Seeds that have failed before, each with its cause.
 const KNOWN_SEEDS: &str = include_str!("seeds.list");
-/// Seeds of a run that sets none.
-const USUAL_SEEDS: [u64; 2] = [1, 2];
-/// Seeds that are played at the same time.
-const AT_ONCE: usize = 3;
+/// Seeds that run in addition if `SOAK_SEEDS` is not set.
+const DEFAULT_SEEDS: [u64; 2] = [1, 2];
+/// Number of seeds that run at the same time.
+const PARALLEL_SEEDS: usize = 3;
 
 fn number(variable: &str) -> Option<u64> {
     std::env::var(variable).ok()?.parse().ok()
@@ -40,7 +41,7 @@
 
 fn seeds() -> Vec<u64> {
     match number("SOAK_SEEDS") {
-        None => known_seeds().into_iter().chain(USUAL_SEEDS).collect(),
+        None => known_seeds().into_iter().chain(DEFAULT_SEEDS).collect(),
         Some(count) => {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             let first = number("SOAK_FIRST").unwrap_or(now.as_secs() * 1_000);
@@ -50,24 +51,24 @@
 }
 
 #[test]
-fn promises_kept() {
+fn invariants_hold() {
     let seeds = Mutex::new(seeds().into_iter());
-    let broken = Mutex::new(Vec::new());
-    let play = || {
+    let failed = Mutex::new(Vec::new());
+    let run = || {
         loop {
             let next = seeds.lock().expect("no thread panicked").next();
             let Some(seed) = next else {
                 return;
             };
-            // Seeds that failed once stay as they were.
-            let report = site::play(seed, !known_seeds().contains(&seed));
+            // Known seeds run without entry faults and restores, so that their faults stay the same.
+            let report = site::run_seed(seed, !known_seeds().contains(&seed));
             println!("{report}");
-            if !report.broken.is_empty() {
-                broken.lock().expect("no thread panicked").push(report);
+            if !report.violations.is_empty() {
+                failed.lock().expect("no thread panicked").push(report);
             }
         }
     };
-    thread::scope(|scope| (0..AT_ONCE).for_each(|_| drop(scope.spawn(play))));
-    let broken = broken.into_inner().expect("no thread panicked");
-    assert!(broken.is_empty(), "{} seeds broke promises", broken.len());
+    thread::scope(|scope| (0..PARALLEL_SEEDS).for_each(|_| drop(scope.spawn(run))));
+    let failed = failed.into_inner().expect("no thread panicked");
+    assert!(failed.is_empty(), "{} seeds violated invariants", failed.len());
 }
--- a/tests/soak/site.rs
+++ b/tests/soak/site.rs
@@ -1,13 +1,13 @@
-//! One play of one seed: hosts as processes, stand-ins around them, proxies between.
+//! The run of one seed: hosts as processes, stand-ins around them and proxies in between.
 
 use crate::{
-    callers::{Callers, KEY, ORGANISATION, Shared, added_route},
+    callers::{Callers, KEY, ORGANISATION, SharedState, added_route},
     faults,
     gateway::{Deployment, Host, fresh_ip},
-    need::Need,
-    promises::{self, Broken},
-    returns,
-    words::Words,
+    invariants::{self, Violation},
+    rate_limit::RateLimitPhase,
+    restores,
+    upstream_signals::UpstreamSignals,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::json;
@@ -21,41 +21,41 @@
 };
 use vanetally_platform_standin::{Client, Proxy, Runner, RunnerOptions, Snapshot};
 
-/// Faults of one play.
-const FAULTS: usize = 30;
-/// Each so many seeds one is played with more hosts, so that some read the store for others.
+/// Number of faults before the upstream leaves.
+const FAULT_COUNT: usize = 30;
+/// Seeds divisible by this run with more hosts, so that some of them read the store for others.
 const LARGE_EVERY: u64 = 8;
 const LARGE_HOSTS: usize = 14;
-/// Each so many seeds callers bear keys.
+/// In seeds divisible by this requests need keys.
 const KEYS_EVERY: u64 = 2;
-/// A site that is whole again serves within this time.
-const RECOVERY: Duration = Duration::from_secs(20);
-/// A planned stop ends within this time, far beyond what it takes: speed is judged elsewhere.
-const STOP: Duration = Duration::from_secs(25);
-const LOOK: Duration = Duration::from_millis(50);
-/// So long after the end of all trouble hosts know which upstreams have left; what is under way then may
-/// arrive a little later.
-const CONTACT: Duration = Duration::from_millis(3_000 + 200);
-/// So long nobody may send to an upstream that has left.
-const WATCHED: Duration = Duration::from_millis(1_200);
-/// Faults that strike after an upstream has left.
-const LATER_FAULTS: usize = 4;
-
-/// The first life of each host, as callers count them.
-const FIRST_LIFE: u64 = 1;
-
-/// The program of another build that runs side by side with this one, if `SOAK_OTHER` names one.
+/// Maximum time until a healed site serves again.
+const MAX_RECOVERY_TIME: Duration = Duration::from_secs(20);
+/// Maximum duration of a graceful stop, well above the usual one: its speed is not checked here.
+const MAX_STOP_TIME: Duration = Duration::from_secs(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum time after the end of all faults until hosts know which upstreams have left, and 200 ms
+/// for requests in flight.
+const SETTLE_TIME: Duration = Duration::from_millis(3_000 + 200);
+/// Time in which an upstream that has left must receive no request.
+const WATCH_TIME: Duration = Duration::from_millis(1_200);
+/// Number of faults after the upstream has left.
+const LATER_FAULT_COUNT: usize = 4;
+
+/// First incarnation of each host.
+const FIRST_INCARNATION: u64 = 1;
+
+/// Returns the program of another build to run side by side with this one, if `SOAK_OTHER` names it.
 pub fn other_build() -> Option<PathBuf> {
     std::env::var_os("SOAK_OTHER").map(PathBuf::from)
 }
 
-/// Whether a life of a host is of the other build, where there is one.
-pub fn is_other(host: usize, life: u64) -> bool {
-    other_build().is_some() && (host as u64 + life).is_multiple_of(2)
+/// Whether a host incarnation runs the other build, if there is one.
+pub fn is_other_build(host: usize, incarnation: u64) -> bool {
+    other_build().is_some() && (host as u64 + incarnation).is_multiple_of(2)
 }
 
-/// A host's place: it may run, be paused or have ended.
-pub struct Slot {
+/// A host with its process, which may be running, paused or exited.
+pub struct HostSlot {
     name: String,
     ip: String,
     number: usize,
@@ -64,11 +64,12 @@
     is_paused: bool,
 }
 
-impl Slot {
-    /// Starts the host's life `life`; where there is another build, lives of both take turns at each host.
-    fn start(&mut self, deployment: &Deployment, life: u64) {
+impl HostSlot {
+    /// Starts the incarnation `incarnation` of the host. Incarnations alternate between the builds if
+    /// there are two.
+    fn start(&mut self, deployment: &Deployment, incarnation: u64) {
         let (name, ip, store) = (&self.name, &self.ip, self.store_link.address());
-        let host = match other_build().filter(|_| is_other(self.number, life)) {
+        let host = match other_build().filter(|_| is_other_build(self.number, incarnation)) {
             Some(program) => deployment.spawn_build(&program, name, ip, store),
             None => deployment.spawn_at(name, ip, store),
         };
@@ -76,20 +77,20 @@
         self.is_paused = false;
     }
 
-    /// Ends the process at once.
+    /// Kills the process.
     pub fn kill(&mut self) {
         if let Some(mut host) = self.host.take() {
             host.kill();
         }
     }
 
-    /// Stops the process in its tracks.
+    /// Pauses the process.
     pub fn pause(&mut self) {
         self.signal("STOP");
         self.is_paused = self.host.is_some();
     }
 
-    /// Sends a signal, if the process runs.
+    /// Sends a signal if the process has not exited.
     pub fn signal(&mut self, name: &str) {
         let Some(host) = &mut self.host else {
             return;
@@ -99,31 +100,31 @@
         }
     }
 
-    /// Lets a paused process go on, and starts one that has ended.
-    pub fn revive(&mut self, deployment: &Deployment, shared: &Shared) {
+    /// Resumes a paused process, and restarts one that has exited.
+    pub fn revive(&mut self, deployment: &Deployment, shared: &SharedState) {
         if std::mem::take(&mut self.is_paused) {
             self.signal("CONT");
         }
-        let has_ended = self.host.as_mut().is_none_or(|host| host.try_wait().is_some());
-        if has_ended {
-            let life = shared.lives[self.number].fetch_add(1, Ordering::Relaxed) + 1;
-            self.start(deployment, life);
+        let has_exited = self.host.as_mut().is_none_or(|host| host.try_wait().is_some());
+        if has_exited {
+            let incarnation = shared.incarnations[self.number].fetch_add(1, Ordering::Relaxed) + 1;
+            self.start(deployment, incarnation);
         }
     }
 }
 
-/// Everything of one play.
+/// Processes, stand-ins and proxies of one run.
 pub struct Site {
     pub deployment: Deployment,
-    pub slots: Vec<Slot>,
-    /// Before the engines, then before the plain services.
+    pub slots: Vec<HostSlot>,
+    /// Proxies in front of the engines, then of the plain services.
     pub runner_links: Vec<Proxy>,
-    pub shared: Arc<Shared>,
-    /// The runner that has left, if one has.
-    left: Option<usize>,
-    /// From which the store may come back.
-    pub copy: Option<Snapshot>,
-    /// Runners that said that they leave, and the store's era then.
+    pub shared: Arc<SharedState>,
+    /// Runner that has left for good.
+    gone: Option<usize>,
+    /// Snapshot from which the store may be restored.
+    pub snapshot: Option<Snapshot>,
+    /// Runners that announced that they leave, with the era of the store at that time.
     drained: HashMap<usize, u64>,
 }
 
@@ -142,8 +143,8 @@
         let runner_links = runners.map(|runner| Proxy::start(&ip, runner.address())).collect();
         let is_large = seed.is_multiple_of(LARGE_EVERY);
         let hosts = if is_large { LARGE_HOSTS } else { rng.random_range(2..6) };
-        let mut slots: Vec<Slot> = (0..hosts)
-            .map(|number| Slot {
+        let mut slots: Vec<HostSlot> = (0..hosts)
+            .map(|number| HostSlot {
                 name: format!("front-{number}"),
                 ip: fresh_ip(),
                 number,
@@ -154,14 +155,14 @@
             .collect();
         let has_keys = seed.is_multiple_of(KEYS_EVERY);
         configure(&deployment, 1, has_keys);
-        slots.iter_mut().for_each(|slot| slot.start(&deployment, FIRST_LIFE));
+        slots.iter_mut().for_each(|slot| slot.start(&deployment, FIRST_INCARNATION));
         let fronts = slots.iter().filter_map(|slot| Some(slot.host.as_ref()?.front)).collect();
-        let shared = Arc::new(Shared::new(fronts, has_keys));
+        let shared = Arc::new(SharedState::new(fronts, has_keys));
         if other_build().is_some() {
             deployment.store.enable_era();
         }
-        let (left, copy, drained) = (None, None, HashMap::new());
-        let mut site = Self { deployment, slots, runner_links, shared, left, copy, drained };
+        let (gone, snapshot, drained) = (None, None, HashMap::new());
+        let mut site = Self { deployment, slots, runner_links, shared, gone, snapshot, drained };
         site.announce_all();
         site
     }
@@ -171,13 +172,13 @@
         engines.get(number).unwrap_or_else(|| &self.deployment.desks[number - engines.len()])
     }
 
-    /// A runner writes its entry, with this state.
+    /// Writes the entry of a runner with the state `state`.
     pub fn announce(&mut self, number: usize, state: &str) {
         let era = self.deployment.store.era();
         if state == "draining" {
             self.drained.insert(number, era);
-        } else if self.drained.remove(&number).is_some_and(|drained| drained < era) {
-            // What it said holds for its life, whatever the store has forgotten.
+        } else if self.drained.remove(&number).is_some_and(|drained_in| drained_in < era) {
+            // Leaving holds for the whole incarnation, even if a restore has lost the entry.
             self.runner(number).restart();
         }
         let (key, mut value) = self.runner(number).entry_at(self.runner_links[number].address());
@@ -185,78 +186,79 @@
         self.deployment.store.put(&key, &value);
     }
 
-    /// A runner starts again under its id, and says so.
-    pub fn restart(&mut self, number: usize) {
+    /// Restarts a runner under its id and announces it.
+    pub fn restart_runner(&mut self, number: usize) {
         self.runner(number).restart();
         self.announce(number, "ready");
     }
 
-    /// Another writer puts `value` into a field of a runner's entry.
-    pub fn spoil(&self, number: usize, (field, value): (&str, &str)) {
+    /// Puts an invalid value into a field of a runner's entry.
+    pub fn corrupt_entry(&self, number: usize, (field, value): (&str, &str)) {
         let (key, mut entry) = self.runner(number).entry_at(self.runner_links[number].address());
         entry[field] = value.into();
         self.deployment.store.put(&key, &entry);
     }
 
-    /// All runners write that they are ready, but for one that has left.
+    /// Announces all runners as ready, except one that has left.
     pub fn announce_all(&mut self) {
-        let left = self.left;
-        let stay = (0..self.runner_links.len()).filter(|number| left != Some(*number));
-        stay.for_each(|number| self.announce(number, "ready"));
+        let gone = self.gone;
+        let present = (0..self.runner_links.len()).filter(|number| gone != Some(*number));
+        present.for_each(|number| self.announce(number, "ready"));
     }
 
-    /// The last plain service leaves for good, with or without a word.
-    fn leave(&mut self, rng: &mut StdRng) {
+    /// Removes the last plain service for good, with or without an announcement.
+    fn remove_service(&mut self, rng: &mut StdRng) {
         let number = self.runner_links.len() - 1;
         if rng.random_bool(0.5) {
             self.announce(number, "draining");
         } else {
             self.withdraw(number);
         }
-        self.left = Some(number);
+        self.gone = Some(number);
     }
 
-    /// Nobody sends to the runner that has left, once all hosts had the time to hear of it.
-    fn is_left_alone(&mut self) -> Option<Broken> {
-        let number = self.left.take()?;
+    /// Checks that the runner that has left receives no request after the time in which all hosts learn
+    /// of it.
+    fn check_gone_unused(&mut self) -> Option<Violation> {
+        let number = self.gone.take()?;
         let runner = self.runner(number);
-        thread::sleep(CONTACT);
+        thread::sleep(SETTLE_TIME);
         let before = runner.requests().len();
-        thread::sleep(WATCHED);
+        thread::sleep(WATCH_TIME);
         let requests = runner.requests().len() - before;
-        (requests > 0).then_some(Broken::StillUsed { requests })
+        (requests > 0).then_some(Violation::GoneUpstreamUsed { requests })
     }
 
-    /// The life of each host, and whether it runs.
+    /// Returns the incarnation of each host, and whether it is running.
     pub fn running(&self) -> Vec<(u64, bool)> {
-        let of = |slot: &Slot| {
-            let life = self.shared.lives[slot.number].load(Ordering::Relaxed);
-            (life, slot.host.is_some() && !slot.is_paused)
+        let state = |slot: &HostSlot| {
+            let incarnation = self.shared.incarnations[slot.number].load(Ordering::Relaxed);
+            (incarnation, slot.host.is_some() && !slot.is_paused)
         };
-        self.slots.iter().map(of).collect()
+        self.slots.iter().map(state).collect()
     }
 
-    /// Any runner that has not left for good.
-    pub fn any_present(&self, rng: &mut StdRng) -> usize {
-        let present = self.runner_links.len() - usize::from(self.left.is_some());
+    /// Chooses a runner that has not left for good.
+    pub fn choose_present(&self, rng: &mut StdRng) -> usize {
+        let present = self.runner_links.len() - usize::from(self.gone.is_some());
         rng.random_range(0..present)
     }
 
-    /// A runner's entry goes.
+    /// Removes the entry of a runner.
     pub fn withdraw(&self, number: usize) {
         let (key, _) = self.runner(number).entry();
         self.deployment.store.remove(&key);
     }
 
-    /// The operator adds a route.
+    /// Writes a configuration with one more route.
     pub fn configure(&self) {
         let version = self.shared.version.load(Ordering::Relaxed) + 1;
         configure(&self.deployment, version, self.shared.has_keys);
         self.shared.version.store(version, Ordering::Relaxed);
     }
 
-    /// Whether each host serves all kinds of requests under the newest configuration.
-    fn is_whole(&self) -> Result<(), String> {
+    /// Checks that each host serves all kinds of requests with the newest configuration.
+    fn check_serving(&self) -> Result<(), String> {
         let newest = format!("/{}/1", added_route(self.shared.version.load(Ordering::Relaxed)));
         for slot in &self.slots {
             let front = self.shared.fronts[slot.number];
@@ -275,36 +277,41 @@
         Ok(())
     }
 
-    fn recover(&mut self) -> Option<Broken> {
-        let begun = Instant::now();
+    /// Waits until the site serves; returns a violation if it takes too long.
+    fn recover(&mut self) -> Option<Violation> {
+        let began = Instant::now();
         loop {
-            // A planned stop that was under way may end only now.
+            // A graceful stop in progress may end only now.
             for slot in &mut self.slots {
                 slot.revive(&self.deployment, &self.shared);
             }
-            match self.is_whole() {
+            match self.check_serving() {
                 Ok(()) => return None,
-                Err(what) if begun.elapsed() > RECOVERY => return Some(Broken::NotRecovered(what)),
-                Err(_) => thread::sleep(LOOK),
+                Err(reason) if began.elapsed() > MAX_RECOVERY_TIME => {
+                    return Some(Violation::NotRecovered(reason));
+                }
+                Err(_) => thread::sleep(POLL_INTERVAL),
             }
         }
     }
 
-    /// Stops all hosts as planned.
-    fn stop(&mut self) -> Vec<Broken> {
+    /// Stops all hosts gracefully.
+    fn stop(&mut self) -> Vec<Violation> {
         self.slots.iter_mut().for_each(|slot| slot.signal("TERM"));
-        let begun = Instant::now();
-        let ended = |slot: &mut Slot| slot.host.as_mut().and_then(Host::try_wait);
-        while begun.elapsed() < STOP && self.slots.iter_mut().any(|slot| ended(slot).is_none()) {
-            thread::sleep(LOOK);
+        let began = Instant::now();
+        let exit_code = |slot: &mut HostSlot| slot.host.as_mut().and_then(Host::try_wait);
+        while began.elapsed() < MAX_STOP_TIME
+            && self.slots.iter_mut().any(|slot| exit_code(slot).is_none())
+        {
+            thread::sleep(POLL_INTERVAL);
         }
-        let codes = self.slots.iter_mut().map(|slot| (slot.name.clone(), ended(slot)));
-        let bad = codes.filter(|(_, code)| *code != Some(0));
-        bad.map(|(host, code)| Broken::BadStop { host, code }).collect()
+        let codes = self.slots.iter_mut().map(|slot| (slot.name.clone(), exit_code(slot)));
+        let failed = codes.filter(|(_, code)| *code != Some(0));
+        failed.map(|(host, code)| Violation::BadStop { host, code }).collect()
     }
 }
 
-/// The operator writes the configuration `version`, in which callers bear keys or not.
+/// Writes the configuration `version`, in which requests need keys or not.
 fn configure(deployment: &Deployment, version: u64, has_keys: bool) {
     let routes: Vec<String> = (1..=version).map(added_route).collect();
     let routes: Vec<&str> = routes.iter().map(String::as_str).collect();
@@ -316,90 +323,100 @@
     }
 }
 
-/// How a play went.
+/// Result of a run.
 pub struct Report {
     seed: u64,
     hosts: usize,
     requests: usize,
     served: usize,
-    /// What the runner in need named, and the most that it got within a window.
+    /// Stated limit of the rate-limited runner.
     rate: f64,
-    most: usize,
-    /// Runners that ended under the deadly content.
-    ends: usize,
-    pub broken: Vec<Broken>,
+    /// Maximum number of requests in a window that counted against the limit.
+    max_in_window: usize,
+    /// Number of runner crashes caused by the crash body.
+    crashes: usize,
+    pub violations: Vec<Violation>,
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { seed, hosts, requests, served, rate, most, ends, broken } = self;
+        let Self { seed, hosts, requests, served, rate, max_in_window, crashes, violations } = self;
         write!(f, "seed={seed} hosts={hosts} requests={requests} served={served}")?;
-        write!(f, " limit={rate} most={most} ends={ends}")?;
-        write!(f, " broken={}", broken.len())?;
-        broken.iter().try_for_each(|broken| write!(f, "\n    {broken}"))
+        write!(f, " limit={rate} max_in_window={max_in_window} crashes={crashes}")?;
+        write!(f, " violations={}", violations.len())?;
+        violations.iter().try_for_each(|violation| write!(f, "\n    {violation}"))
     }
 }
 
-/// Plays one seed; `has_entries` says whether runners start again and their entries are spoiled as well, drawn apart
-/// from the other faults.
-pub fn play(seed: u64, has_entries: bool) -> Report {
+/// Runs one seed. `has_entry_faults` adds entry faults and store restores, which are drawn from
+/// generators of their own.
+pub fn run_seed(seed: u64, has_entry_faults: bool) -> Report {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut entries = StdRng::seed_from_u64(!seed);
-    let mut copies = StdRng::seed_from_u64(seed.rotate_left(48));
+    let mut entry_rng = StdRng::seed_from_u64(!seed);
+    let mut restore_rng = StdRng::seed_from_u64(seed.rotate_left(48));
     let mut site = Site::start(&mut rng, seed);
     faults::heal(&mut site);
     site.configure();
-    let mut broken: Vec<Broken> = site.recover().into_iter().collect();
+    let mut violations: Vec<Violation> = site.recover().into_iter().collect();
     let callers = Callers::start(&site.shared, seed);
-    for _ in 0..FAULTS {
-        faults::strike(&mut rng, &mut site);
-        if has_entries {
-            faults::strike_entry(&mut entries, &mut site);
-            returns::strike(&mut copies, &mut site);
+    for _ in 0..FAULT_COUNT {
+        faults::inject(&mut rng, &mut site);
+        if has_entry_faults {
+            faults::inject_entry_fault(&mut entry_rng, &mut site);
+            restores::inject(&mut restore_rng, &mut site);
         }
     }
-    // It leaves as the way to the store is cut, or before.
+    // The upstream leaves with or without a cut of the links to the store.
     if rng.random_bool(0.5) {
         faults::cut_store(&mut rng, &site);
     }
-    site.leave(&mut rng);
-    for _ in 0..LATER_FAULTS {
-        faults::strike(&mut rng, &mut site);
-        if has_entries {
-            returns::strike(&mut copies, &mut site);
+    site.remove_service(&mut rng);
+    for _ in 0..LATER_FAULT_COUNT {
+        faults::inject(&mut rng, &mut site);
+        if has_entry_faults {
+            restores::inject(&mut restore_rng, &mut site);
         }
     }
     faults::cut_store(&mut rng, &site);
     faults::heal(&mut site);
-    broken.extend(site.is_left_alone());
+    violations.extend(site.check_gone_unused());
     site.announce_all();
-    broken.extend(site.recover());
-    let mut needs = StdRng::seed_from_u64(seed.rotate_left(32));
-    let need = Need::play(&mut needs, &mut site);
-    broken.extend(site.recover());
-    broken.extend(need.is_over());
-    let mut words = StdRng::seed_from_u64(seed.rotate_left(16));
-    let words = Words::play(&mut words, &mut site);
-    broken.extend(site.recover());
+    violations.extend(site.recover());
+    let mut limit_rng = StdRng::seed_from_u64(seed.rotate_left(32));
+    let limit_phase = RateLimitPhase::run(&mut limit_rng, &mut site);
+    violations.extend(site.recover());
+    violations.extend(limit_phase.check_lifted());
+    let mut signal_rng = StdRng::seed_from_u64(seed.rotate_left(16));
+    let signals = UpstreamSignals::run(&mut signal_rng, &mut site);
+    violations.extend(site.recover());
     callers.stop();
-    broken.extend(site.stop());
-    let seen = site.shared.seen.lock().expect("no thread panicked").clone();
-    let most = need.most(&seen);
-    broken.extend(need.kept(most));
-    broken.extend(words.check(&seen));
-    broken.extend(promises::check(&site.deployment, &seen, site.shared.has_keys));
-    if !broken.is_empty() {
-        keep_logs(seed, &site.deployment);
+    violations.extend(site.stop());
+    let exchanges = site.shared.exchanges.lock().expect("no thread panicked").clone();
+    let max_in_window = limit_phase.max_in_window(&exchanges);
+    violations.extend(limit_phase.check_limit(max_in_window));
+    violations.extend(signals.check(&exchanges));
+    violations.extend(invariants::check(&site.deployment, &exchanges, site.shared.has_keys));
+    if !violations.is_empty() {
+        save_logs(seed, &site.deployment);
     }
-    let is_served = |seen: &&crate::callers::Seen| {
-        seen.answer.as_ref().is_some_and(|answer| answer.status == 200)
+    let is_served = |exchange: &&crate::callers::Exchange| {
+        exchange.answer.as_ref().is_some_and(|answer| answer.status == 200)
     };
-    let served = seen.iter().filter(is_served).count();
-    let (hosts, ends) = (site.slots.len(), words.ends());
-    Report { seed, hosts, requests: seen.len(), served, rate: need.rate, most, ends, broken }
+    let served = exchanges.iter().filter(is_served).count();
+    let (hosts, crashes) = (site.slots.len(), signals.crashes());
+    Report {
+        seed,
+        hosts,
+        requests: exchanges.len(),
+        served,
+        rate: limit_phase.rate,
+        max_in_window,
+        crashes,
+        violations,
+    }
 }
 
-fn keep_logs(seed: u64, deployment: &Deployment) {
+fn save_logs(seed: u64, deployment: &Deployment) {
     let Ok(directory) = std::env::var("SOAK_LOGS") else {
         return;
     };
--- a/tests/store_copy.rs
+++ b/tests/store_copy.rs
@@ -4,7 +4,10 @@
 
 use gateway::{
     Deployment, Host,
-    returns::{AWAY, HEARD, HELD, KEPT, LATE, LOST, come_back, holders, name, write_much},
+    restores::{
+        ANSWERS_LATE, LEASES_KEPT, LEASES_LOST, MAX_HOLDER_GAP, OUTAGE, SETTLE_TIME,
+        advance_revision, holders, name, restore_store,
+    },
     wait_for,
 };
 use rstest::rstest;
@@ -49,11 +52,11 @@
 fn returned_to(deployment: Deployment, hosts: usize, how: Restore) -> (Deployment, Vec<Host>) {
     let hosts = deployment.hosts(hosts);
     wait_for("one holds the orders", || holders(&hosts) == 1);
-    sleep(HEARD);
+    sleep(SETTLE_TIME);
     let copy = deployment.store.snapshot();
-    write_much(&deployment);
-    sleep(HEARD);
-    come_back(&deployment, &copy, how);
+    advance_revision(&deployment);
+    sleep(SETTLE_TIME);
+    restore_store(&deployment, &copy, how);
     (deployment, hosts)
 }
 
@@ -68,16 +71,16 @@
 
 /// Eight hosts took no change after the store's return, since its revisions lay below those that they knew.
 #[rstest]
-#[case::leases_kept(KEPT)]
-#[case::leases_lost(LOST)]
-#[case::answers_late(LATE)]
+#[case::leases_kept(LEASES_KEPT)]
+#[case::leases_lost(LEASES_LOST)]
+#[case::answers_late(ANSWERS_LATE)]
 fn change_after_return(#[case] how: Restore, #[values(true, false)] tells_before: bool) {
     let deployment = Deployment::start();
     if tells_before {
         deployment.store.enable_era();
     }
     let (deployment, hosts) = returned_to(deployment, 4, how);
-    sleep(HEARD);
+    sleep(SETTLE_TIME);
     let took = configure(&deployment, &hosts, 5, "added");
     assert!(took < IN_FORCE, "in force after {took:?}");
 }
@@ -87,13 +90,13 @@
 #[case::few(4)]
 #[case::fleet(14)]
 fn change_after_second_return(#[case] count: usize) {
-    let (deployment, hosts) = returned(count, LOST);
-    sleep(HEARD);
+    let (deployment, hosts) = returned(count, LEASES_LOST);
+    sleep(SETTLE_TIME);
     let copy = deployment.store.snapshot();
-    write_much(&deployment);
-    sleep(HEARD);
-    come_back(&deployment, &copy, KEPT);
-    sleep(HEARD);
+    advance_revision(&deployment);
+    sleep(SETTLE_TIME);
+    restore_store(&deployment, &copy, LEASES_KEPT);
+    sleep(SETTLE_TIME);
     let took = configure(&deployment, &hosts, 5, "added");
     assert!(took < IN_FORCE, "in force after {took:?}");
 }
@@ -101,8 +104,8 @@
 /// A runner said after the store's return that it leaves, and got requests for as long as it lived.
 #[test]
 fn leaving_after_return() {
-    let (deployment, hosts) = returned(4, KEPT);
-    sleep(HEARD);
+    let (deployment, hosts) = returned(4, LEASES_KEPT);
+    sleep(SETTLE_TIME);
     let (key, mut value) = deployment.desks[0].entry();
     value["state"] = "draining".into();
     deployment.store.put(&key, &value);
@@ -117,13 +120,13 @@
 
 /// Nobody gave orders after the store's return: the holder's key seemed to lie there still.
 #[rstest]
-#[case::leases_kept(KEPT)]
-#[case::leases_lost(LOST)]
+#[case::leases_kept(LEASES_KEPT)]
+#[case::leases_lost(LEASES_LOST)]
 fn orders_after_return(#[case] how: Restore) {
     let (deployment, hosts) = returned(4, how);
     let back = Instant::now();
     wait_for("one holds the orders", || holders(&hosts) == 1);
-    sleep(HELD.saturating_sub(back.elapsed()));
+    sleep(MAX_HOLDER_GAP.saturating_sub(back.elapsed()));
     assert_eq!(holders(&hosts), 1);
     for (number, host) in hosts.iter().enumerate() {
         let adapter = format!("a{}", number + 1);
@@ -142,19 +145,19 @@
 
 /// An order before the return, one after it, each with the token of its holder.
 #[rstest]
-#[case::leases_kept(KEPT)]
-#[case::leases_lost(LOST)]
+#[case::leases_kept(LEASES_KEPT)]
+#[case::leases_lost(LEASES_LOST)]
 fn token_lower_after_return(#[case] how: Restore) {
     let deployment = Deployment::start();
     deployment.store.enable_era();
     let copy = deployment.store.snapshot();
-    write_much(&deployment);
+    advance_revision(&deployment);
     let hosts = deployment.hosts(4);
     wait_for("one holds the orders", || holders(&hosts) == 1);
     assert_eq!(ask_adapter(&hosts[0], "a1"), 200);
-    sleep(HEARD);
-    come_back(&deployment, &copy, how);
-    sleep(HELD);
+    sleep(SETTLE_TIME);
+    restore_store(&deployment, &copy, how);
+    sleep(MAX_HOLDER_GAP);
     assert_eq!(ask_adapter(&hosts[1], "a2"), 200);
     assert_tokens_rise(&deployment);
 }
@@ -169,10 +172,14 @@
     let (key, mut value) = deployment.desks[0].entry();
     value["state"] = "draining".into();
     deployment.store.put(&key, &value);
-    sleep(HEARD);
+    sleep(SETTLE_TIME);
     // What was lost is written again only much later.
-    come_back(&deployment, &copy, Restore { rewrite_delay: Duration::from_secs(5), ..KEPT });
-    sleep(HEARD);
+    restore_store(
+        &deployment,
+        &copy,
+        Restore { rewrite_delay: Duration::from_secs(5), ..LEASES_KEPT },
+    );
+    sleep(SETTLE_TIME);
     let before = deployment.desks[0].requests().len();
     for host in &hosts {
         assert_eq!(get(host, "/added/1"), 503, "the route is known, its upstream leaves");
@@ -185,12 +192,16 @@
 fn copy_brings_back_nobody() {
     let deployment = Deployment::start();
     let hosts = deployment.hosts(4);
-    sleep(HEARD);
+    sleep(SETTLE_TIME);
     let copy = deployment.store.snapshot();
     deployment.store.remove("servers/i-desk-0");
-    sleep(HEARD);
-    come_back(&deployment, &copy, Restore { rewrite_delay: Duration::from_secs(5), ..KEPT });
-    sleep(HEARD);
+    sleep(SETTLE_TIME);
+    restore_store(
+        &deployment,
+        &copy,
+        Restore { rewrite_delay: Duration::from_secs(5), ..LEASES_KEPT },
+    );
+    sleep(SETTLE_TIME);
     let before = deployment.desks[0].requests().len();
     for host in &hosts {
         get(host, "/check/1");
@@ -205,11 +216,15 @@
     let (key, value) = deployment.desks[0].entry();
     deployment.store.remove(&key);
     let hosts = deployment.hosts(4);
-    sleep(HEARD);
+    sleep(SETTLE_TIME);
     let copy = deployment.store.snapshot();
     deployment.store.put(&key, &value);
     wait_for("it is used", || hosts.iter().all(|host| get(host, "/check/1") == 200));
-    come_back(&deployment, &copy, Restore { rewrite_delay: Duration::from_millis(1_200), ..KEPT });
+    restore_store(
+        &deployment,
+        &copy,
+        Restore { rewrite_delay: Duration::from_millis(1_200), ..LEASES_KEPT },
+    );
     let back = Instant::now();
     while back.elapsed() < IN_FORCE {
         for (number, host) in hosts.iter().enumerate() {
@@ -226,14 +241,14 @@
     let copy = deployment.store.snapshot();
     let hosts = deployment.hosts(4);
     wait_for("one holds the orders", || holders(&hosts) == 1);
-    sleep(HEARD);
-    come_back(&deployment, &copy, LOST);
+    sleep(SETTLE_TIME);
+    restore_store(&deployment, &copy, LEASES_LOST);
     let back = Instant::now();
     let keys: Vec<String> =
         (0..4).map(|number| format!("vanetally/hosts/{}", name(number))).collect();
     wait_for("hosts are there", || keys.iter().all(|key| deployment.store.get(key).is_some()));
     wait_for("the holder is there", || deployment.store.get("vanetally/orders").is_some());
-    assert!(back.elapsed() < HELD, "written again after {:?}", back.elapsed());
+    assert!(back.elapsed() < MAX_HOLDER_GAP, "written again after {:?}", back.elapsed());
     assert_eq!(holders(&hosts), 1);
 }
 
@@ -253,9 +268,13 @@
     let copy = deployment.store.snapshot();
     deployment.configure_organisations(3, &[organisation(&["second"])]);
     wait_for("one is taken away", || all("first", 401));
-    come_back(&deployment, &copy, Restore { rewrite_delay: Duration::from_secs(5), ..KEPT });
+    restore_store(
+        &deployment,
+        &copy,
+        Restore { rewrite_delay: Duration::from_secs(5), ..LEASES_KEPT },
+    );
     let back = Instant::now();
-    while back.elapsed() < HEARD {
+    while back.elapsed() < SETTLE_TIME {
         assert!(all("first", 401) && all("second", 200), "after {:?}", back.elapsed());
     }
 }
@@ -269,10 +288,10 @@
     let hosts = deployment.hosts(4);
     wait_for("it is in force", || hosts.iter().all(|host| get(host, "/more599/1") == 200));
     let copy = deployment.store.snapshot();
-    write_much(&deployment);
-    sleep(HEARD);
-    come_back(&deployment, &copy, LOST);
-    sleep(HEARD);
+    advance_revision(&deployment);
+    sleep(SETTLE_TIME);
+    restore_store(&deployment, &copy, LEASES_LOST);
+    sleep(SETTLE_TIME);
     deployment.configure_large(5, ROUTES + 1);
     let written = Instant::now();
     wait_for("it is in force", || hosts.iter().all(|host| get(host, "/more600/1") == 200));
@@ -287,9 +306,9 @@
     let mut hosts = deployment.hosts(4);
     wait_for("one holds the orders", || holders(&hosts) == 1);
     assert_eq!(ask_adapter(&hosts[0], "a1"), 200);
-    sleep(HEARD);
+    sleep(SETTLE_TIME);
     hosts.iter_mut().for_each(Host::kill);
-    come_back(&deployment, &copy, KEPT);
+    restore_store(&deployment, &copy, LEASES_KEPT);
     let hosts = deployment.hosts(4);
     wait_for("one holds the orders", || holders(&hosts) == 1);
     wait_for("an adapter is served", || ask_adapter(&hosts[1], "a2") == 200);
@@ -301,18 +320,18 @@
 /// Watches that hung as the store went away are never answered: the return shows by other calls only.
 #[rstest]
 #[case::short(Duration::from_millis(50))]
-#[case::usual(AWAY)]
+#[case::usual(OUTAGE)]
 #[case::long(Duration::from_millis(2_300))]
 fn silent_return(#[case] away: Duration) {
     let deployment = Deployment::start();
     let hosts = deployment.hosts(4);
-    sleep(HEARD);
+    sleep(SETTLE_TIME);
     let copy = deployment.store.snapshot();
-    write_much(&deployment);
-    sleep(HEARD);
+    advance_revision(&deployment);
+    sleep(SETTLE_TIME);
     deployment.store.set_mode(StoreMode::Silent);
     sleep(away);
-    deployment.store.restore(&copy, KEPT);
+    deployment.store.restore(&copy, LEASES_KEPT);
     deployment.store.set_mode(StoreMode::Serving);
     let took = configure(&deployment, &hosts, 5, "added");
     assert!(took < IN_FORCE, "in force after {took:?}");
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! A site of real processes on loopback, for process tests.
+//! A test site on loopback: entry hosts, stand-ins and the command-line tool as processes.
 //!
-//! Every site has addresses of its own in 127.0.0.0/8, so that tests run side by side. Nothing
-//! sleeps for a fixed time: tests wait for conditions.
+//! Each site has its own addresses in 127.0.0.0/8, so tests can run in parallel. Tests wait for
+//! conditions and never sleep for a fixed time.
 
 #![allow(dead_code, missing_docs)]
 
@@ -19,13 +19,14 @@
 pub const CREDENTIAL: &str = "test-credential";
 pub const TOKEN: &str = "desk-token";
 pub const GIB: u64 = 1 << 30;
-/// Longest wait for any condition; far beyond what a sound run needs.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Maximum wait for any condition, far above what a passing run needs.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// A child process that ends with the test.
+/// A child process that is killed on drop.
 pub struct Process(pub Child);
 
 impl Process {
+    /// Sends a signal, given as an option of `kill` such as `-STOP`.
     pub fn signal(&self, name: &str) {
         let pid = self.0.id().to_string();
         let sent = Command::new("kill").args([name, &pid]).status().expect("kill runs");
@@ -37,10 +38,10 @@
         self.0.wait().expect("reaped");
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits until the process exits and returns its exit code.
     pub fn exit_code(&mut self) -> i32 {
         let mut code = None;
-        wait_for("a process to end", || {
+        wait_for("a process to exit", || {
             code = self.0.try_wait().expect("waited");
             code.is_some()
         });
@@ -55,7 +56,7 @@
     }
 }
 
-/// A whole answer.
+/// A complete HTTP response.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -73,6 +74,7 @@
         self.headers.iter().find(named).map(|h| h.1.as_str())
     }
 
+    /// Returns the error code of the body, or an empty string.
     pub fn code(&self) -> String {
         self.json()["error"]["code"].as_str().unwrap_or("").to_owned()
     }
@@ -82,8 +84,8 @@
     }
 }
 
-pub fn caller() -> Client {
-    Client::new(Options { connect_timeout: Duration::from_secs(2), idle_timeout: PATIENCE })
+pub fn client() -> Client {
+    Client::new(Options { connect_timeout: Duration::from_secs(2), idle_timeout: MAX_WAIT })
 }
 
 pub fn try_call(
@@ -97,9 +99,9 @@
         url: url.into(),
         headers: headers.iter().map(|(n, v)| (n.to_string(), v.to_string())).collect(),
         body: body.to_vec(),
-        timeout: PATIENCE,
+        timeout: MAX_WAIT,
     };
-    let mut answer = caller().send(&call)?;
+    let mut answer = client().send(&call)?;
     let mut text = Vec::new();
     answer.body.read_to_end(&mut text).map_err(|e| Error {
         verdict: vanetally_types::Verdict::MayHaveRun,
@@ -114,10 +116,10 @@
     try_call(method, url, headers, body).unwrap_or_else(|e| panic!("{method} {url}: {e}"))
 }
 
-pub fn wait_for(what: &str, mut test: impl FnMut() -> bool) {
+pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let began = Instant::now();
-    while !test() {
-        assert!(began.elapsed() < PATIENCE, "waited in vain for {what}");
+    while !condition() {
+        assert!(began.elapsed() < MAX_WAIT, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -126,14 +128,14 @@
     SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
 }
 
-/// What stands outside: name, address and process.
-pub struct Outside {
+/// A stand-in process: the platform, an engine or a service.
+pub struct StandIn {
     pub name: String,
     pub url: String,
     pub process: Process,
 }
 
-impl Outside {
+impl StandIn {
     pub fn fault(&self, faults: Value) {
         let answer =
             call("POST", &format!("{}/fault", self.url), &[], faults.to_string().as_bytes());
@@ -144,13 +146,13 @@
         call("GET", &format!("{}/stats", self.url), &[], &[]).json()
     }
 
-    /// How often the once-only id `key` ran here.
+    /// Number of times the request with the idempotency key `key` ran here.
     pub fn runs(&self, key: &str) -> u64 {
         self.stats()["runs"][key].as_u64().unwrap_or(0)
     }
 }
 
-/// One entry host.
+/// An entry host process.
 pub struct Host {
     pub name: String,
     pub url: String,
@@ -196,50 +198,51 @@
     all
 }
 
-/// How a site differs from the plain one.
+/// Options of a test site; the default is two hosts and two engines.
 #[derive(Clone)]
-pub struct Plan {
+pub struct SiteOptions {
     pub hosts: usize,
-    pub engines: Vec<EnginePlan>,
+    pub engines: Vec<EngineOptions>,
     pub models: Vec<(&'static str, &'static str)>,
-    pub service_takes_ms: u64,
+    pub service_time_ms: u64,
+    /// Catalog sections that replace the default ones.
     pub extra: Value,
 }
 
 #[derive(Clone)]
-pub struct EnginePlan {
-    pub gib: u64,
+pub struct EngineOptions {
+    pub capacity_gib: u64,
     pub fenced: bool,
     pub token_ms: u64,
     pub load_ms_per_gib: u64,
     pub order_life: Option<&'static str>,
 }
 
-impl Default for EnginePlan {
+impl Default for EngineOptions {
     fn default() -> Self {
-        Self { gib: 32, fenced: true, token_ms: 2, load_ms_per_gib: 5, order_life: None }
+        Self { capacity_gib: 32, fenced: true, token_ms: 2, load_ms_per_gib: 5, order_life: None }
     }
 }
 
-impl Default for Plan {
+impl Default for SiteOptions {
     fn default() -> Self {
         Self {
             hosts: 2,
-            engines: vec![EnginePlan::default(); 2],
+            engines: vec![EngineOptions::default(); 2],
             models: vec![("ladder", "12GiB"), ("summary", "12GiB"), ("tagger", "12GiB")],
-            service_takes_ms: 1,
+            service_time_ms: 1,
             extra: json!({}),
         }
     }
 }
 
-/// All processes of a test.
+/// All processes of a test site.
 pub struct Site {
     pub dir: tempfile::TempDir,
     net: String,
-    pub platform: Outside,
-    pub engines: Vec<Outside>,
-    pub service: Outside,
+    pub platform: StandIn,
+    pub engines: Vec<StandIn>,
+    pub service: StandIn,
     pub hosts: Vec<Host>,
     pub catalog: Value,
 }
@@ -247,23 +250,26 @@
 static SITES: AtomicU8 = AtomicU8::new(0);
 
 impl Site {
-    pub fn start(plan: Plan) -> Self {
+    pub fn start(options: SiteOptions) -> Self {
         let pid = std::process::id();
         let number = SITES.fetch_add(1, Ordering::Relaxed);
         let net = format!("127.{}.{}", 1 + (pid >> 8) % 250, pid % 256);
-        let ip = |at: usize| format!("{net}.{}", 1 + usize::from(number) * 16 + at);
+        let ip = |index: usize| format!("{net}.{}", 1 + usize::from(number) * 16 + index);
         let dir = tempfile::tempdir().expect("a directory");
-        let platform = outside(
+        let platform = start_stand_in(
             "platform",
             &["platform", "--credential", CREDENTIAL, "--listen", &format!("{}:7000", ip(0))],
         );
-        let takes = plan.service_takes_ms.to_string();
+        let service_time = options.service_time_ms.to_string();
         let listen = format!("{}:7100", ip(0));
-        let service = outside("service", &["service", "--takes-ms", &takes, "--listen", &listen]);
+        let service = start_stand_in(
+            "service",
+            &["service", "--takes-ms", &service_time, "--listen", &listen],
+        );
         let mut engines = Vec::new();
-        for (at, engine) in plan.engines.iter().enumerate() {
-            let listen = format!("{}:{}", ip(0), 7200 + at);
-            engines.push(start_engine(&format!("runner-{}", at + 1), engine, &listen));
+        for (index, engine) in options.engines.iter().enumerate() {
+            let listen = format!("{}:{}", ip(0), 7200 + index);
+            engines.push(start_engine(&format!("runner-{}", index + 1), engine, &listen));
         }
         let mut site = Self {
             dir,
@@ -274,29 +280,30 @@
             hosts: Vec::new(),
             catalog: json!({}),
         };
-        site.catalog = catalog(&site, &plan);
+        site.catalog = catalog(&site, &options);
         let applied = site.apply(&site.catalog, &[]);
-        assert!(applied.status.success(), "{}", text(&applied));
-        site.list_hosts(&(0..plan.hosts).collect::<Vec<_>>(), &[]);
-        for at in 0..plan.hosts {
-            let host = site.start_host(at);
+        assert!(applied.status.success(), "{}", output_text(&applied));
+        site.list_hosts(&(0..options.hosts).collect::<Vec<_>>(), &[]);
+        for index in 0..options.hosts {
+            let host = site.start_host(index);
             site.hosts.push(host);
         }
         site.wait_ready();
         site
     }
 
-    /// The address of entry host `at`: one IP each, so that ports are the same everywhere.
-    fn host_ip(&self, at: usize) -> String {
+    /// Address of the entry host `index`. Each host has its own IP and the same ports.
+    fn host_ip(&self, index: usize) -> String {
         let (head, last) = self.net.rsplit_once('.').expect("an address");
         let last: usize = last.parse().expect("a number");
-        format!("{head}.{}", last + at)
+        format!("{head}.{}", last + index)
     }
 
+    /// Writes the host list of the platform.
     pub fn list_hosts(&self, present: &[usize], leaving: &[usize]) {
-        let row = |at: &usize| {
-            json!({"name": format!("entry-{}", at + 1), "peer": format!("{}:8002", self.host_ip(*at)),
-                "domain": domain(*at), "leaving": leaving.contains(at)})
+        let row = |index: &usize| {
+            json!({"name": format!("entry-{}", index + 1), "peer": format!("{}:8002", self.host_ip(*index)),
+                "domain": domain(*index), "leaving": leaving.contains(index)})
         };
         let list: Vec<Value> = present.iter().map(row).collect();
         let body = json!(list).to_string();
@@ -304,11 +311,11 @@
         assert_eq!(answer.status, 200);
     }
 
-    pub fn start_host(&self, at: usize) -> Host {
-        let ip = self.host_ip(at);
-        let name = format!("entry-{}", at + 1);
+    pub fn start_host(&self, index: usize) -> Host {
+        let ip = self.host_ip(index);
+        let name = format!("entry-{}", index + 1);
         let settings = json!({
-            "host": name, "domain": domain(at), "listen": format!("{ip}:8000"),
+            "host": name, "domain": domain(index), "listen": format!("{ip}:8000"),
             "admin": format!("{ip}:8001"), "peer": format!("{ip}:8002"),
             "platform": self.platform.url, "credential": CREDENTIAL,
             "link_key": "test-link-key-0123456789",
@@ -327,12 +334,12 @@
         }
     }
 
-    /// Replaces a host's process by a new one at the same address.
-    pub fn restart_host(&mut self, at: usize) {
-        let log = self.dir.path().join(format!("entry-{}-again.log", at + 1));
-        let process = spawn_daemon(&self.hosts[at].settings.clone(), &log);
-        self.hosts[at].process = process;
-        let host = &self.hosts[at];
+    /// Replaces the process of a host by a new one at the same address.
+    pub fn restart_host(&mut self, index: usize) {
+        let log = self.dir.path().join(format!("entry-{}-again.log", index + 1));
+        let process = spawn_daemon(&self.hosts[index].settings.clone(), &log);
+        self.hosts[index].process = process;
+        let host = &self.hosts[index];
         wait_for("the restarted host", || host.is_ready());
     }
 
@@ -341,7 +348,7 @@
         names.map(|m| m["name"].as_str().unwrap_or("").to_owned()).collect()
     }
 
-    /// Waits until every host serves every model and decides on every id.
+    /// Waits until every host serves every model and every slot has a holder.
     pub fn wait_ready(&self) {
         for host in &self.hosts {
             wait_for("a ready host", || host.is_ready());
@@ -352,21 +359,23 @@
                         == 200
                 });
             }
-            wait_for("holders with deputies", || self.slots_settled(host));
+            wait_for("each slot to have a holder and a backup", || self.slots_settled(host));
         }
     }
 
+    /// Whether every slot has a holder, and a backup where there is a second host.
     fn slots_settled(&self, host: &Host) -> bool {
         let state = host.state();
-        let others = self.hosts.len() > 1;
+        let has_peers = self.hosts.len() > 1;
         let slots = state["slots"].as_array().cloned().unwrap_or_default();
-        let sound = |slot: &Value| {
-            let held = slot["role"] == "holder";
-            !slot["holder"].is_null() && (!held || !others || !slot["deputy"].is_null())
+        let is_settled = |slot: &Value| {
+            let is_holder = slot["role"] == "holder";
+            !slot["holder"].is_null() && (!is_holder || !has_peers || !slot["deputy"].is_null())
         };
-        slots.len() == 16 && slots.iter().all(sound)
+        slots.len() == 16 && slots.iter().all(is_settled)
     }
 
+    /// Runs the command-line tool against the platform of the site.
     pub fn tool(&self, args: &[&str]) -> Output {
         Command::new(env!("CARGO_BIN_EXE_vanetally"))
             .args(args)
@@ -375,7 +384,7 @@
             .expect("the tool runs")
     }
 
-    /// Applies a catalog with the tool.
+    /// Applies a catalog with the command-line tool.
     pub fn apply(&self, catalog: &Value, args: &[&str]) -> Output {
         static FILES: AtomicU8 = AtomicU8::new(0);
         let number = FILES.fetch_add(1, Ordering::Relaxed);
@@ -386,24 +395,24 @@
         self.tool(&all)
     }
 
-    /// Whether any engine ever took more memory than it has.
+    /// Number of loads that took an engine beyond its memory, over all engines.
     pub fn overcommits(&self) -> u64 {
         self.engines.iter().map(|e| e.stats()["overcommits"].as_u64().unwrap_or(0)).sum()
     }
 
-    pub fn log_of(&self, at: usize) -> String {
-        let path = self.dir.path().join(format!("entry-{}.log", at + 1));
+    pub fn log_of(&self, index: usize) -> String {
+        let path = self.dir.path().join(format!("entry-{}.log", index + 1));
         std::fs::read_to_string(path).unwrap_or_default()
     }
 }
 
-pub fn text(output: &Output) -> String {
+pub fn output_text(output: &Output) -> String {
     let (out, err) = (&output.stdout, &output.stderr);
     format!("{}{}", String::from_utf8_lossy(out), String::from_utf8_lossy(err))
 }
 
-fn domain(at: usize) -> &'static str {
-    ["a", "b", "c"][at % 3]
+fn domain(index: usize) -> &'static str {
+    ["a", "b", "c"][index % 3]
 }
 
 fn spawn_daemon(settings: &std::path::Path, log: &std::path::Path) -> Process {
@@ -420,26 +429,27 @@
     Process(child)
 }
 
-pub fn start_engine(name: &str, plan: &EnginePlan, listen: &str) -> Outside {
-    let numbers = [plan.gib, plan.token_ms, plan.load_ms_per_gib].map(|n| n.to_string());
+pub fn start_engine(name: &str, options: &EngineOptions, listen: &str) -> StandIn {
+    let values =
+        [options.capacity_gib, options.token_ms, options.load_ms_per_gib].map(|n| n.to_string());
     let mut args = vec![
         "engine",
         "--capacity-gib",
-        &numbers[0],
+        &values[0],
         "--token-ms",
-        &numbers[1],
+        &values[1],
         "--load-ms-per-gib",
-        &numbers[2],
+        &values[2],
         "--listen",
         listen,
     ];
-    if !plan.fenced {
+    if !options.fenced {
         args.push("--unfenced");
     }
-    outside(name, &args)
+    start_stand_in(name, &args)
 }
 
-fn outside(name: &str, args: &[&str]) -> Outside {
+fn start_stand_in(name: &str, args: &[&str]) -> StandIn {
     let mut child = Command::new(env!("CARGO_BIN_EXE_vanetally-standin"))
         .args(args)
         .stdin(Stdio::null())
@@ -451,22 +461,22 @@
     BufReader::new(out).read_line(&mut line).expect("its first line");
     let address =
         line.trim().strip_prefix("listening ").unwrap_or_else(|| panic!("{name}: {line}"));
-    Outside { name: name.into(), url: format!("http://{address}"), process: Process(child) }
+    StandIn { name: name.into(), url: format!("http://{address}"), process: Process(child) }
 }
 
-fn catalog(site: &Site, plan: &Plan) -> Value {
-    let runner = |(at, (outside, plan)): (usize, (&Outside, &EnginePlan))| {
-        json!({"name": outside.name, "url": outside.url, "domain": domain(at),
-            "capacity": format!("{}GiB", plan.gib), "slots": 8, "fenced": plan.fenced,
-            "order_life": plan.order_life})
+fn catalog(site: &Site, options: &SiteOptions) -> Value {
+    let runner = |(index, (engine, options)): (usize, (&StandIn, &EngineOptions))| {
+        json!({"name": engine.name, "url": engine.url, "domain": domain(index),
+            "capacity": format!("{}GiB", options.capacity_gib), "slots": 8, "fenced": options.fenced,
+            "order_life": options.order_life})
     };
     let runners: Vec<Value> =
-        site.engines.iter().zip(&plan.engines).enumerate().map(runner).collect();
+        site.engines.iter().zip(&options.engines).enumerate().map(runner).collect();
     let model = |(name, size): &(&str, &str)| {
         let kind = if *name == "tagger" { "archive" } else { "deadline" };
         json!({"name": name, "versions": [{"name": "v1", "size": size}], "labels": {"kind": kind}})
     };
-    let models: Vec<Value> = plan.models.iter().map(model).collect();
+    let models: Vec<Value> = options.models.iter().map(model).collect();
     let mut catalog = json!({
         "callers": [
             {"name": "desk", "token_sha256": vanetally_daemon::token_hash(TOKEN), "labels": {"team": "desk"}},
@@ -487,7 +497,7 @@
         "store": {"loads_per_10s": 100, "slots": 10},
         "move_price": 1,
     });
-    for (key, value) in plan.extra.as_object().into_iter().flatten() {
+    for (key, value) in options.extra.as_object().into_iter().flatten() {
         catalog[key] = value.clone();
     }
     catalog
--- a/tests/suspended/main.rs
+++ b/tests/suspended/main.rs
@@ -62,7 +62,7 @@
         let library = preload(directory.path());
         let deployment = Deployment::start();
         deployment.configure_organisations(2, &[organisation(&KEYS)]);
-        let host = deployment.strict_host_in("front-0", &[("LD_PRELOAD", &library)]);
+        let host = deployment.strict_host_with_env("front-0", &[("LD_PRELOAD", &library)]);
         let mut scene = Self { deployment, host, woken: Instant::now() };
         assert_eq!(scene.check("before", KEYS[1]), 200);
         scene.host.signal("STOP");
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -8,14 +8,14 @@
     process::Command,
     sync::{Arc, Mutex, Weak},
 };
-use support::{Answer, Plan, Site, call, text, try_call, unix_millis, with_token};
+use support::{Answer, Site, SiteOptions, call, output_text, try_call, unix_millis, with_token};
 
 /// One site for all tests that only look; its processes end with the last of them.
 fn site() -> Arc<Site> {
     static SITE: Mutex<Weak<Site>> = Mutex::new(Weak::new());
     let mut shared = SITE.lock().unwrap_or_else(|e| e.into_inner());
     shared.upgrade().unwrap_or_else(|| {
-        let site = Arc::new(Site::start(Plan::default()));
+        let site = Arc::new(Site::start(SiteOptions::default()));
         *shared = Arc::downgrade(&site);
         site
     })
@@ -199,7 +199,7 @@
     let json = site.tool(&["state", admin, "--json"]);
     let state: Value = serde_json::from_slice(&json.stdout).expect("JSON");
     assert_eq!(state["host"]["name"], "entry-1");
-    let table = text(&site.tool(&["state", admin]));
+    let table = output_text(&site.tool(&["state", admin]));
     assert!(table.contains("runner-1"), "{table}");
     let whole = format!("{state}{table}{}", site.log_of(0));
     for secret in ["desk-token", "test-credential", "test-link-key"] {
@@ -234,7 +234,7 @@
         .arg(&path)
         .output()
         .expect("the daemon runs");
-    (output.status.code().unwrap_or(-1), text(&output))
+    (output.status.code().unwrap_or(-1), output_text(&output))
 }
 
 const SOUND: &str = r#"{
@@ -269,7 +269,7 @@
 #[case(&["check", "/nonexistent"], 2)]
 fn tool_codes(#[case] args: &[&str], #[case] code: i32) {
     let output = Command::new(env!("CARGO_BIN_EXE_vanetally")).args(args).output().expect("runs");
-    assert_eq!(output.status.code(), Some(code), "{}", text(&output));
+    assert_eq!(output.status.code(), Some(code), "{}", output_text(&output));
 }
 
 #[test]
@@ -279,7 +279,7 @@
     catalog["models"][0]["versions"][0]["size"] = json!("900GiB");
     catalog["runners"][0]["url"] = json!("http://example.org");
     let output = site.apply(&catalog, &[]);
-    let text = text(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(2), "{text}");
     assert!(text.contains("ladder@v1") && text.contains("runner-1"), "{text}");
 }
