--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes: one of them reads the store for all.
+//! A fleet of hosts in which an aggregator reads the store for all others.
 
 mod gateway;
 
@@ -9,18 +9,19 @@
 };
 use vanetally_platform_standin::{Client, Proxy, ProxyMode};
 
-/// More hosts than those that each read the store.
+/// More hosts than the largest fleet in which each host reads the store itself.
 const HOSTS: usize = 14;
-/// A change has to be in force within this time, also while the host that reads the store is lost: two seconds,
-/// and a fifth of a second for each host that is asked whether it is.
-const BOUND: Duration = Duration::from_millis(5_000);
-/// Time in which the store's calls are counted.
-const COUNTED: Duration = Duration::from_secs(6);
-/// How long and how often all hosts are frozen: longer than a source may be silent.
-const FROZEN: Duration = Duration::from_millis(700);
-const FREEZES: usize = 3;
-/// Time in which hosts that misjudge each other change their sources.
-const THAWED: Duration = Duration::from_millis(1_000);
+/// Maximum time until a change is in force, also while the aggregator is lost: two seconds, and a fifth of
+/// a second for each host that the test queries.
+const MAX_CHANGE_TIME: Duration = Duration::from_millis(5_000);
+/// Time in which the calls to the store are counted.
+const COUNT_WINDOW: Duration = Duration::from_secs(6);
+/// Duration for which all hosts are paused, longer than the allowed silence of a source.
+const PAUSE: Duration = Duration::from_millis(700);
+/// Number of pauses.
+const PAUSE_COUNT: usize = 3;
+/// Time after a pause in which hosts that take their source for silent would change it.
+const RESUME_TIME: Duration = Duration::from_millis(1_000);
 
 fn name(number: usize) -> String {
     format!("front-{number}")
@@ -28,12 +29,12 @@
 
 fn start_hosts(deployment: &Deployment) -> Vec<Host> {
     let hosts: Vec<Host> = (0..HOSTS).map(|number| deployment.spawn(&name(number))).collect();
-    wait_for("all are ready", || hosts.iter().all(|host| host.readiness() == 200));
-    wait_for("one reads for all", || readers(deployment).len() == 1);
+    wait_for("all hosts are ready", || hosts.iter().all(|host| host.readiness() == 200));
+    wait_for("a single host reads the store", || readers(deployment).len() == 1);
     hosts
 }
 
-/// The hosts whose last word on their source is the store.
+/// Returns the hosts whose last logged source is the store.
 fn readers(deployment: &Deployment) -> Vec<usize> {
     let reads = |number: &usize| {
         let log = deployment.log(&name(*number));
@@ -43,25 +44,25 @@
     (0..HOSTS).filter(reads).collect()
 }
 
-/// The changes of source and the stalls that all hosts logged.
+/// Returns the source changes and the stalls that hosts logged.
 fn source_changes(deployment: &Deployment) -> String {
     let mut changes = String::new();
     for (file, log) in deployment.logs() {
-        let is_meant =
+        let is_relevant =
             |line: &&str| line.contains("=source_changed") || line.contains("=host_stalled");
-        for line in log.lines().filter(is_meant) {
+        for line in log.lines().filter(is_relevant) {
             changes += &format!("\n{file}: {line}");
         }
     }
     changes
 }
 
-/// Whether the host serves the route that was added.
+/// Whether the host serves the route at `path`.
 fn serves(host: &Host, path: &str) -> bool {
     Client::new("GET", path, "a1").deadline(200).send(host.front).status == 200
 }
 
-/// Answered calls of all hosts so far, by kind.
+/// Returns the number of answered calls of all hosts by kind.
 fn calls_by_kind(hosts: &[Host]) -> Vec<(&'static str, f64)> {
     let count = |kind: &str| {
         let name = format!("vanetally_store_calls_total{{call=\"{kind}\",outcome=\"answered\"}}");
@@ -72,31 +73,36 @@
         .to_vec()
 }
 
-/// Fourteen hosts cost the store as many calls as one, but for their leases.
+/// Fourteen hosts cause as many store calls as one host, except for their leases.
 #[test]
-fn one_reads() {
+fn single_reader() {
     let deployment = Deployment::start();
     let hosts = start_hosts(&deployment);
     sleep(Duration::from_secs(2));
     let before = deployment.store.calls();
     let kinds_before = calls_by_kind(&hosts);
-    sleep(COUNTED);
+    sleep(COUNT_WINDOW);
     let calls = deployment.store.calls() - before;
     let kinds: Vec<(&str, f64)> = calls_by_kind(&hosts)
         .into_iter()
         .zip(kinds_before)
         .map(|((kind, after), (_, before))| (kind, after - before))
         .collect();
-    // Two renewals in six seconds each, four in two seconds for the orders, two probes a second, a watch
-    // each one and a half seconds or after a change.
-    let most = HOSTS * 2 + 12 + 12 + 20;
-    assert!(calls <= most, "{calls} calls: {kinds:?}{}", source_changes(&deployment));
-    let reading = readers(&deployment);
-    assert_eq!(reading.len(), 1, "{reading:?} read the store: {}", source_changes(&deployment));
+    // Two renewals per host in six seconds, four in two seconds for the order lease, two probes a second
+    // and a watch every one and a half seconds or after a change.
+    let max = HOSTS * 2 + 12 + 12 + 20;
+    assert!(calls <= max, "{calls} calls: {kinds:?}{}", source_changes(&deployment));
+    let reader_hosts = readers(&deployment);
+    assert_eq!(
+        reader_hosts.len(),
+        1,
+        "{reader_hosts:?} read the store: {}",
+        source_changes(&deployment)
+    );
     drop(hosts);
 }
 
-/// The host that reads for all is killed, and the configuration changes at that moment.
+/// The aggregator is killed at the same time as the configuration changes.
 #[test]
 fn reader_killed() {
     let deployment = Deployment::start();
@@ -105,57 +111,59 @@
     hosts[reader].kill();
     let changed = Instant::now();
     deployment.configure(2, &["added"]);
-    let left: Vec<&Host> =
+    let remaining: Vec<&Host> =
         hosts.iter().enumerate().filter(|(n, _)| *n != reader).map(|(_, host)| host).collect();
-    wait_for("it is in force", || left.iter().all(|host| serves(host, "/added/1")));
-    assert!(changed.elapsed() < BOUND, "in force after {:?}", changed.elapsed());
-    let turned = |number: usize| {
+    wait_for("the configuration is in force", || {
+        remaining.iter().all(|host| serves(host, "/added/1"))
+    });
+    assert!(changed.elapsed() < MAX_CHANGE_TIME, "in force after {:?}", changed.elapsed());
+    let switched = |number: usize| {
         let log = deployment.log(&name(number));
         log.lines().filter(|line| line.contains("source=store reason=silent")).count()
     };
-    let turned: usize = (0..HOSTS).map(turned).sum();
-    assert!(turned <= 2, "{turned} turned to the store");
+    let switched: usize = (0..HOSTS).map(switched).sum();
+    assert!(switched <= 2, "{switched} hosts switched to the store");
 }
 
-/// The host that reads for all is frozen and wakes up again: no runner that left meanwhile is believed in.
+/// The aggregator is paused and resumed: no host goes on using a runner that left meanwhile.
 #[test]
-fn reader_frozen() {
+fn reader_paused() {
     let deployment = Deployment::start();
     let hosts = start_hosts(&deployment);
     let reader = readers(&deployment)[0];
     hosts[reader].signal("STOP");
     deployment.store.remove("servers/i-desk-0");
-    let left = Instant::now();
+    let removed = Instant::now();
     let awake: Vec<&Host> =
         hosts.iter().enumerate().filter(|(n, _)| *n != reader).map(|(_, host)| host).collect();
-    wait_for("it is gone", || awake.iter().all(|host| !serves(host, "/check/1")));
-    assert!(left.elapsed() < BOUND, "gone after {:?}", left.elapsed());
+    wait_for("the runner is gone", || awake.iter().all(|host| !serves(host, "/check/1")));
+    assert!(removed.elapsed() < MAX_CHANGE_TIME, "gone after {:?}", removed.elapsed());
     hosts[reader].signal("CONT");
-    wait_for("the frozen host knows", || !serves(&hosts[reader], "/check/2"));
-    wait_for("one reads for all", || readers(&deployment).len() == 1);
+    wait_for("the paused host drops the runner", || !serves(&hosts[reader], "/check/2"));
+    wait_for("a single host reads the store", || readers(&deployment).len() == 1);
 }
 
-/// The whole machine stands still for a moment: nobody takes the hosts before it for silent because of that.
+/// The whole machine stalls briefly: no host takes its source for silent because of that.
 #[test]
-fn all_frozen() {
+fn all_paused() {
     let deployment = Deployment::start();
     let hosts = start_hosts(&deployment);
     let reader = readers(&deployment);
-    let turned = || source_changes(&deployment).lines().filter(|l| l.contains("=silent")).count();
-    let before = turned();
-    for _ in 0..FREEZES {
+    let switched = || source_changes(&deployment).lines().filter(|l| l.contains("=silent")).count();
+    let before = switched();
+    for _ in 0..PAUSE_COUNT {
         hosts.iter().for_each(|host| host.signal("STOP"));
-        sleep(FROZEN);
+        sleep(PAUSE);
         hosts.iter().for_each(|host| host.signal("CONT"));
-        sleep(THAWED);
+        sleep(RESUME_TIME);
     }
-    assert_eq!(turned(), before, "{}", source_changes(&deployment));
+    assert_eq!(switched(), before, "{}", source_changes(&deployment));
     assert_eq!(readers(&deployment), reader, "{}", source_changes(&deployment));
 }
 
-/// What the holder of orders tells comes to all hosts: a missing adapter is served everywhere.
+/// Announcements of the holder of the order lease reach all hosts: a missing adapter is served everywhere.
 #[test]
-fn placed_everywhere() {
+fn adapter_served_everywhere() {
     let deployment = Deployment::start();
     let hosts = start_hosts(&deployment);
     for (number, host) in hosts.iter().enumerate() {
@@ -168,20 +176,19 @@
     }
     let loads = deployment.engines[0].orders();
     let loads = loads.iter().filter(|order| order.adapter.as_deref() == Some("a1")).count();
-    assert_eq!(loads, 1, "one order is enough for all");
+    assert_eq!(loads, 1, "a single order serves all hosts");
 }
 
-/// So long after a change all hosts that run have to follow it: the time that deployments of so many hosts allow.
-const FOLLOWED: Duration = Duration::from_millis(3_000);
+/// Maximum time until all running hosts apply a change, as deployments of this size allow.
+const MAX_FLEET_CHANGE_TIME: Duration = Duration::from_millis(3_000);
 
-/// The host that reads the store for all hears nothing from it any more, and the next one in the order stands still.
+/// The aggregator is cut off from the store, and the next host in the order is stalled.
 ///
-/// In a fleet of 69 hosts the reader stayed the source of all for four seconds, though the store answered some forty of
-/// the others; keys that were taken away were honoured for three seconds. Of those hosts each had one line on its source,
-/// from before: `event=source_changed source=front-sea-b-1 reason=silent age_ms=653`. They asked the next host in the order
-/// again and again; it stood still and said nothing, and only one that answers with nothing newer was passed over.
+/// Guards against a stale aggregator that stays the source of all others although the store answers them:
+/// revoked keys would stay valid for seconds. A host that asks the next one in the order for newer data
+/// has to skip it also if it does not answer at all, not only if it answers with nothing newer.
 #[test]
-fn deaf_reader() {
+fn reader_cut_off() {
     let deployment = Deployment::start();
     let proxies: Vec<Proxy> =
         (0..HOSTS).map(|_| Proxy::start(&fresh_ip(), deployment.store.address())).collect();
@@ -190,25 +197,28 @@
         .enumerate()
         .map(|(number, proxy)| deployment.spawn_at(&name(number), &fresh_ip(), proxy.address()))
         .collect();
-    wait_for("all are ready", || hosts.iter().all(|host| host.readiness() == 200));
-    wait_for("one reads for all", || readers(&deployment).len() == 1);
-    // Who stands still shows who comes next in the order.
+    wait_for("all hosts are ready", || hosts.iter().all(|host| host.readiness() == 200));
+    wait_for("a single host reads the store", || readers(&deployment).len() == 1);
+    // Pausing the first reader reveals the next one in the order.
     let first = readers(&deployment)[0];
     hosts[first].signal("STOP");
-    let next = |but: usize| readers(&deployment).into_iter().find(|number| *number != but);
-    wait_for("another one reads", || next(first).is_some());
+    let next =
+        |excluded: usize| readers(&deployment).into_iter().find(|number| *number != excluded);
+    wait_for("another host reads the store", || next(first).is_some());
     let second = next(first).expect("a reader");
     hosts[first].signal("CONT");
-    wait_for("the first one reads again", || readers(&deployment) == [first]);
+    wait_for("the first host reads the store again", || readers(&deployment) == [first]);
     proxies[first].set_mode(ProxyMode::Silent);
     hosts[second].signal("STOP");
     let changed = Instant::now();
     deployment.configure(2, &["added"]);
     let others: Vec<&Host> = (0..HOSTS).filter(|n| *n != second).map(|n| &hosts[n]).collect();
-    wait_for("it is in force", || others.iter().all(|host| serves(host, "/added/1")));
+    wait_for("the configuration is in force", || {
+        others.iter().all(|host| serves(host, "/added/1"))
+    });
     let took = changed.elapsed();
-    assert!(took < FOLLOWED, "in force after {took:?}{}", source_changes(&deployment));
+    assert!(took < MAX_FLEET_CHANGE_TIME, "in force after {took:?}{}", source_changes(&deployment));
     proxies[first].set_mode(ProxyMode::Pass);
     hosts[second].signal("CONT");
-    wait_for("one reads for all", || readers(&deployment).len() == 1);
+    wait_for("a single host reads the store", || readers(&deployment).len() == 1);
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,6 +1,7 @@
-//! What must always hold, under kills, pauses, cuts and races of real processes.
+//! Invariants that hold when real processes are killed, paused, cut off or race each other.
 //!
-//! The stand-ins' own counters are the judges: runs of each id, memory, work after leaving.
+//! They are checked with the counters of the stand-ins: runs of each id, memory, and requests after
+//! leaving.
 
 mod support;
 
@@ -11,7 +12,7 @@
 };
 use support::{EngineOptions, Host, Site, SiteOptions, call, output_text, wait_for, with_token};
 
-/// Calls until the answer is final: anything but a refusal that says when to come back.
+/// Repeats the call until its answer is not a 503, which asks the caller to retry.
 fn final_answer(host: &Host, key: &str) -> (u16, Option<String>) {
     let mut last = (0, None);
     wait_for("a final answer", || {
@@ -22,12 +23,12 @@
     last
 }
 
-fn holder_of_all(host: &Host) -> bool {
+fn holds_all_slots(host: &Host) -> bool {
     let slots = host.state()["slots"].as_array().cloned().unwrap_or_default();
     slots.iter().all(|s| s["role"] == "holder")
 }
 
-fn slots_in(host: &Host, field: &str, value: &str) -> usize {
+fn count_slots(host: &Host, field: &str, value: &str) -> usize {
     let slots = host.state()["slots"].as_array().cloned().unwrap_or_default();
     slots.iter().filter(|s| s[field] == value).count()
 }
@@ -39,7 +40,7 @@
     let first = &site.hosts[0];
     thread::scope(|scope| {
         for key in &keys {
-            // The caller of the killed host hears nothing or an error.
+            // The callers of the killed host receive no answer or an error.
             scope.spawn(|| first.try_service("book/offer", key).map(|a| a.status));
         }
         wait_for("all offers to run", || keys.iter().all(|key| site.service.runs(key) == 1));
@@ -51,8 +52,8 @@
         assert!(verdict.as_deref() != Some("not-run"), "{key}: {status} {verdict:?}");
         assert_eq!(site.service.runs(key), 1, "{key} runs once");
     }
-    wait_for("the slots to move", || holder_of_all(&site.hosts[1]));
-    assert_eq!(final_answer(&site.hosts[1], "fresh").0, 200, "fresh ids run at once");
+    wait_for("the slots to move", || holds_all_slots(&site.hosts[1]));
+    assert_eq!(final_answer(&site.hosts[1], "fresh").0, 200, "new ids run at once");
 }
 
 #[test]
@@ -60,7 +61,7 @@
     let site = Site::start(SiteOptions::default());
     site.service.fault(json!({"lose_answers": 1}));
     let answer = site.hosts[0].service("book/offer", &[("Idempotency-Key", "offer")], "1 MW");
-    // A service's own error is its answer: the request ran, and a repeat gets the same.
+    // An error of the service is a final answer: the request ran, and a repeat receives the same answer.
     assert_eq!(answer.status, 500);
     let repeat = site.hosts[1].service("book/offer", &[("Idempotency-Key", "offer")], "1 MW");
     assert_eq!((repeat.status, repeat.header("x-replayed")), (500, Some("true")));
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn dead_upstream() {
+fn unreachable_upstream() {
     let mut site = Site::start(SiteOptions::default());
     site.service.process.kill();
     let answer = site.hosts[0].service("book/offer", &[("Idempotency-Key", "offer")], "1 MW");
@@ -106,11 +107,11 @@
         let body = json!({"model": model, "prompt": "x", "max_tokens": 1});
         assert_eq!(site.hosts[0].complete(body, &[]).status, 200, "{model} during the outage");
     }
-    // A host that is replaced now has its configuration from the other one.
+    // A host that is replaced now reads its configuration from the other one.
     site.hosts[1].process.kill();
     site.restart_host(1);
     assert_eq!(site.hosts[1].state()["config"]["source"], "peer");
-    // What the replaced host may have granted from memory is not run again.
+    // Requests that the replaced host may have granted from memory do not run again.
     for n in 0..12 {
         let key = format!("offer-{n}");
         let Ok(answer) = site.hosts[1].try_service("book/offer", &key) else { continue };
@@ -121,7 +122,7 @@
     wait_for("everything to be recorded", || {
         site.hosts
             .iter()
-            .all(|h| slots_in(h, "mode", "memory") + slots_in(h, "mode", "asking") == 0)
+            .all(|h| count_slots(h, "mode", "memory") + count_slots(h, "mode", "asking") == 0)
     });
     for n in 0..12 {
         let key = format!("offer-{n}");
@@ -135,7 +136,7 @@
 fn paused_host() {
     let site = Site::start(SiteOptions::default());
     site.hosts[0].process.signal("-STOP");
-    wait_for("the other host to hold all slots", || holder_of_all(&site.hosts[1]));
+    wait_for("the other host to hold all slots", || holds_all_slots(&site.hosts[1]));
     let mut catalog = site.catalog.clone();
     let model = json!({"name": "late", "versions": [{"name": "v1", "size": "12GiB"}],
         "labels": {"kind": "deadline"}});
@@ -145,8 +146,8 @@
     wait_for("the new model", || site.hosts[1].complete(body.clone(), &[]).status == 200);
     assert_eq!(final_answer(&site.hosts[1], "offer").0, 200);
     site.hosts[0].process.signal("-CONT");
-    wait_for("the paused host to know", || {
-        slots_in(&site.hosts[0], "role", "holder") == 0
+    wait_for("the paused host to catch up", || {
+        count_slots(&site.hosts[0], "role", "holder") == 0
             && site.hosts[0].state()["config"]["revision"] == 2
     });
     assert_eq!(final_answer(&site.hosts[0], "offer").0, 200);
@@ -155,7 +156,7 @@
 }
 
 #[test]
-fn late_order() {
+fn delayed_order() {
     let unfenced = EngineOptions { fenced: false, ..EngineOptions::default() };
     let site = Site::start(SiteOptions { engines: vec![unfenced; 2], ..SiteOptions::default() });
     for engine in &site.engines {
@@ -172,24 +173,24 @@
         runners.iter().filter_map(|r| r["open_orders"].as_u64()).sum::<u64>()
     };
     wait_for("an order without answer", || site.hosts.iter().any(|h| open(h) > 0));
-    // Its steward is paused, another takes over while the order is still under way.
-    let steward = site.hosts.iter().position(|h| open(h) > 0).expect("a steward");
-    site.hosts[steward].process.signal("-STOP");
-    let other = &site.hosts[1 - steward];
-    wait_for("another steward", || {
+    // The leader is paused, and the other host takes over while the order is still in flight.
+    let leader = site.hosts.iter().position(|h| open(h) > 0).expect("a leader");
+    site.hosts[leader].process.signal("-STOP");
+    let other = &site.hosts[1 - leader];
+    wait_for("another leader", || {
         let groups = other.state()["groups"].as_array().cloned().unwrap_or_default();
         groups.iter().all(|g| g["role"] == "holder")
     });
-    // The plan now wants something else in the place of what is under way.
+    // The plan now has another model in the place of the one being loaded.
     let models = catalog["models"].as_array_mut().expect("a list");
     models.pop();
     models.push(json!({"name": "other", "versions": [{"name": "v1", "size": "14GiB"}],
         "labels": {"kind": "deadline"}}));
     assert!(site.apply(&catalog, &[]).status.success());
-    wait_for("the late order to arrive", || {
+    wait_for("the delayed order to arrive", || {
         site.engines.iter().any(|e| e.stats()["resident"].to_string().contains("late@v1"))
     });
-    site.hosts[steward].process.signal("-CONT");
+    site.hosts[leader].process.signal("-CONT");
     for model in ["ladder", "summary", "tagger"] {
         let body = json!({"model": model, "prompt": "x", "max_tokens": 1});
         assert_eq!(other.complete(body, &[]).status, 200, "{model} stays reachable");
@@ -199,10 +200,10 @@
 
 #[test]
 fn moved_models() {
-    // Loads are lost, answered late or not at all while the catalog changes.
-    let plans =
+    // Load requests and their answers are lost while the catalog changes.
+    let engines =
         vec![EngineOptions::default(), EngineOptions { fenced: false, ..EngineOptions::default() }];
-    let site = Site::start(SiteOptions { engines: plans, ..SiteOptions::default() });
+    let site = Site::start(SiteOptions { engines, ..SiteOptions::default() });
     let fault = json!({"lose_requests": 1, "lose_answers": 2});
     site.engines.iter().for_each(|e| e.fault(fault.clone()));
     let mut catalog = site.catalog.clone();
@@ -222,8 +223,8 @@
 
 #[test]
 fn leaving_runner() {
-    let plan = EngineOptions { capacity_gib: 48, token_ms: 5, ..EngineOptions::default() };
-    let site = Site::start(SiteOptions { engines: vec![plan; 2], ..SiteOptions::default() });
+    let engine = EngineOptions { capacity_gib: 48, token_ms: 5, ..EngineOptions::default() };
+    let site = Site::start(SiteOptions { engines: vec![engine; 2], ..SiteOptions::default() });
     let body = json!({"model": "ladder", "prompt": "x", "max_tokens": 400, "stream": true});
     thread::scope(|scope| {
         let streams: Vec<_> = (0..6)
@@ -234,11 +235,11 @@
             .collect();
         wait_for("streams on a runner", || site.engines.iter().any(|e| e.stats()["requests"] != 0));
         site.engines[0].fault(json!({"leaving": true}));
-        let knows = |h: &Host| {
+        let is_informed = |h: &Host| {
             let runners = h.state()["runners"].as_array().cloned().unwrap_or_default();
             runners.iter().any(|r| r["name"] == "runner-1" && r["leaving"] == true)
         };
-        wait_for("both hosts to know", || site.hosts.iter().all(knows));
+        wait_for("both hosts to learn of it", || site.hosts.iter().all(is_informed));
         let before = site.engines[0].stats()["requests"].as_u64();
         for model in site.model_names() {
             let body = json!({"model": model, "prompt": "x", "max_tokens": 1});
@@ -256,8 +257,8 @@
 
 #[test]
 fn planned_stop() {
-    let plan = EngineOptions { token_ms: 10, ..EngineOptions::default() };
-    let mut site = Site::start(SiteOptions { engines: vec![plan; 2], ..SiteOptions::default() });
+    let engine = EngineOptions { token_ms: 10, ..EngineOptions::default() };
+    let mut site = Site::start(SiteOptions { engines: vec![engine; 2], ..SiteOptions::default() });
     let answer = site.hosts[0].service("book/offer", &[("Idempotency-Key", "offer")], "1 MW");
     assert_eq!(answer.status, 200);
     let stopped = &site.hosts[0];
@@ -270,20 +271,22 @@
                 scope.spawn(move || stopped.complete(body, &[]).body)
             })
             .collect();
-        let came = |e: &support::StandIn| e.stats()["requests"].as_u64().unwrap_or(0);
-        wait_for("streams under way", || site.engines.iter().map(came).sum::<u64>() >= before + 6);
+        let requests = |e: &support::StandIn| e.stats()["requests"].as_u64().unwrap_or(0);
+        wait_for("streams in progress", || {
+            site.engines.iter().map(requests).sum::<u64>() >= before + 6
+        });
         stopped.process.signal("-TERM");
-        wait_for("the balancer to be told", || !stopped.is_ready());
+        wait_for("the host to report not ready", || !stopped.is_ready());
         for stream in streams {
             let body = stream.join().expect("joined");
             assert!(body.trim_end().ends_with("data: [DONE]"), "a stream was cut");
         }
     });
     assert_eq!(site.hosts[0].process.exit_code(), 0);
-    wait_for("the duties to be handed over", || holder_of_all(&site.hosts[1]));
+    wait_for("the slots to be handed over", || holds_all_slots(&site.hosts[1]));
     assert_eq!(site.hosts[1].state()["slots"][0]["doubts"], json!([]));
     let repeat = site.hosts[1].service("book/offer", &[("Idempotency-Key", "offer")], "1 MW");
-    assert_eq!(repeat.header("x-replayed"), Some("true"), "the kept answer moved too");
+    assert_eq!(repeat.header("x-replayed"), Some("true"), "the stored answer was handed over too");
     assert_eq!(site.service.runs("offer"), 1);
 }
 
@@ -295,7 +298,7 @@
         catalog["move_price"] = json!(price);
         catalog
     };
-    // One of the two writes takes effect and its answer is lost.
+    // One of the two writes takes effect, and its answer is lost.
     site.platform.fault(json!({"lose_answers": 1}));
     let (a, b) = thread::scope(|scope| {
         let a = scope.spawn(|| site.apply(&with_price(7), &["--base", "1", "--change", "a"]));
@@ -306,7 +309,7 @@
     assert_eq!(won.iter().filter(|w| **w).count(), 1, "{}{}", output_text(&a), output_text(&b));
     let (winner, loser, price) = if won[0] { ("a", &b, 7) } else { ("b", &a, 9) };
     assert!(output_text(loser).contains(&format!("change {winner}")), "{}", output_text(loser));
-    assert!(output_text(loser).contains("move_price"), "the loser sees the difference");
+    assert!(output_text(loser).contains("move_price"), "the failed operator sees the difference");
     for host in &site.hosts {
         wait_for("the revision to be in force", || host.state()["config"]["revision"] == 2);
         let revision = call("GET", &format!("{}/revision", host.admin), &[], &[]).json();
@@ -328,8 +331,11 @@
     wait_for("a host to report it", || {
         site.hosts.iter().any(|h| h.state()["config"]["platform_behind"] == true)
     });
-    assert!(site.hosts.iter().all(|h| revision(h) == Some(2)), "no host went back");
-    // A replaced host reads the old revision and then hears of the newer one.
+    assert!(
+        site.hosts.iter().all(|h| revision(h) == Some(2)),
+        "no host applied the older revision"
+    );
+    // A replaced host reads the old revision and then receives the newer one.
     site.hosts[1].process.kill();
     site.restart_host(1);
     wait_for("the replaced host to catch up", || revision(&site.hosts[1]) == Some(2));
@@ -341,8 +347,8 @@
 
 #[test]
 fn crossed_answers() {
-    let plan = EngineOptions { token_ms: 3, ..EngineOptions::default() };
-    let site = Site::start(SiteOptions { engines: vec![plan; 2], ..SiteOptions::default() });
+    let engine = EngineOptions { token_ms: 3, ..EngineOptions::default() };
+    let site = Site::start(SiteOptions { engines: vec![engine; 2], ..SiteOptions::default() });
     thread::scope(|scope| {
         for n in 0..60_u64 {
             let host = &site.hosts[(n % 2) as usize];
@@ -354,8 +360,8 @@
                     "max_tokens": tokens});
                 let answer = host.complete(body, &[]);
                 assert_eq!(answer.status, 200, "{}", answer.body);
-                let mark = format!("[{:08x}]", vanetally_types::hash64(prompt.as_bytes()) as u32);
-                assert!(answer.body.contains(&mark), "{n} got {}", answer.body);
+                let tag = format!("[{:08x}]", vanetally_types::hash64(prompt.as_bytes()) as u32);
+                assert!(answer.body.contains(&tag), "{n} got {}", answer.body);
             });
         }
     });
@@ -376,31 +382,31 @@
     fault(json!({"break_after": 3, "no_resume": true}));
     let cut = stream_of(&site, 8);
     assert!(cut.contains("stream_broken") && cut.contains("may-have-run"), "{cut}");
-    assert!(!cut.contains("[DONE]"), "never silently short");
+    assert!(!cut.contains("[DONE]"), "a cut stream does not look complete");
 }
 
 #[test]
-fn open_service() {
-    // Readers' calls are repeatable and go on while a host is replaced.
+fn service_during_host_loss() {
+    // Repeatable calls to a service succeed while a host is killed.
     let mut site = Site::start(SiteOptions::default());
-    let over = AtomicBool::new(false);
-    let (kept, replaced) = site.hosts.split_at_mut(1);
+    let is_over = AtomicBool::new(false);
+    let (remaining, killed) = site.hosts.split_at_mut(1);
     let failures = thread::scope(|scope| {
-        let reading = scope.spawn(|| {
+        let caller = scope.spawn(|| {
             let mut failures = 0;
             let mut calls = 0;
-            while !over.load(Ordering::Relaxed) || calls < 50 {
-                let url = format!("{}/services/read/article", kept[0].url);
+            while !is_over.load(Ordering::Relaxed) || calls < 50 {
+                let url = format!("{}/services/read/article", remaining[0].url);
                 let answer = call("GET", &url, &with_token(&[]), &[]);
                 failures += u32::from(answer.status != 200);
                 calls += 1;
             }
             failures
         });
-        replaced[0].process.kill();
-        wait_for("the loss to be known", || holder_of_all(&kept[0]));
-        over.store(true, Ordering::Relaxed);
-        reading.join().expect("joined")
+        killed[0].process.kill();
+        wait_for("the slots to move", || holds_all_slots(&remaining[0]));
+        is_over.store(true, Ordering::Relaxed);
+        caller.join().expect("joined")
     });
     assert_eq!(failures, 0);
 }
--- a/tests/large_configuration.rs
+++ b/tests/large_configuration.rs
@@ -9,17 +9,17 @@
 };
 use vanetally_platform_standin::{Proxy, ProxyMode};
 
-/// More than the twelve that each read the store for themselves.
+/// More than the twelve hosts that each read the store themselves.
 const HOSTS: usize = 14;
 const ROUTES: usize = 1_400;
-/// Metrics are read off once a second.
-const SETTLED: Duration = Duration::from_millis(1_500);
+/// Time after which metrics are current; they are updated once a second.
+const METRICS_INTERVAL: Duration = Duration::from_millis(1_500);
 
 fn name(number: usize) -> String {
     format!("front-{number}")
 }
 
-/// Hosts of which one reads the store for all others.
+/// Starts hosts of which one reads the store for all others.
 fn start_fleet(deployment: &Deployment) -> Vec<Host> {
     let hosts: Vec<Host> = (1..=HOSTS).map(|number| deployment.spawn(&name(number))).collect();
     wait_for_reader(deployment);
@@ -27,11 +27,11 @@
 }
 
 fn wait_for_reader(deployment: &Deployment) {
-    let hears = |number: &usize| {
+    let has_aggregator = |number: &usize| {
         deployment.log(&name(*number)).contains("event=source_changed source=front-")
     };
-    wait_for("all but one hear from an aggregator", || {
-        (1..=HOSTS).filter(hears).count() == HOSTS - 1
+    wait_for("all hosts but one have an aggregator as their source", || {
+        (1..=HOSTS).filter(has_aggregator).count() == HOSTS - 1
     });
 }
 
@@ -42,7 +42,7 @@
 }
 
 fn link_bytes(hosts: &[Host]) -> f64 {
-    sleep(SETTLED);
+    sleep(METRICS_INTERVAL);
     let sent = |host: &Host| host.metric("vanetally_link_sent_bytes_total").unwrap_or(0.0);
     hosts.iter().map(sent).sum()
 }
@@ -51,10 +51,10 @@
     deployment.store.get("op/config").map_or(0.0, |text| text.len() as f64)
 }
 
-/// Found in issue 18: each version went whole to each host, 550 KB over links of 10 Mbit/s; requests
-/// waited behind them, hosts took their aggregator for silent and read the store, all at once.
+/// Hosts receive only the difference between two versions. A whole configuration of 550 KB over a link of
+/// 10 Mbit/s delays requests, and hosts take their aggregator for silent and all read the store at once.
 #[test]
-fn small_change_small() {
+fn small_change_sends_difference() {
     let deployment = Deployment::start();
     let hosts = start_fleet(&deployment);
     deployment.configure_large(2, ROUTES);
@@ -68,15 +68,15 @@
     assert!(each < whole / 10.0, "{each} bytes for each host, {whole} for the configuration");
 }
 
-/// Pieces of 16 KB that pass one after the other, each after so many milliseconds: 10 Mbit/s.
+/// A link of 10 Mbit/s: chunks of 16 KB, each delayed by 13 ms.
 const SLOW_LINK: ProxyMode = ProxyMode::Delay(13);
-const STORM: u64 = 40;
-const STORM_GAP: Duration = Duration::from_millis(100);
-/// A version has to be in force this long after the store has it, at the latest; the bounds of today's
-/// deployments begin at 2 s.
-const IN_FORCE: Duration = Duration::from_millis(2_000);
+/// Number of versions written in quick succession.
+const VERSION_COUNT: u64 = 40;
+const VERSION_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum time from the write of a version until it is in force, the smallest bound of any deployment.
+const MAX_LAG: Duration = Duration::from_millis(2_000);
 
-/// The version that a host last logged as in force.
+/// Returns the version that a host last logged as in force.
 fn version_in_force(deployment: &Deployment, host: &str) -> u64 {
     let log = deployment.log(host);
     let last =
@@ -84,43 +84,43 @@
     last.and_then(|text| text.split(' ').next()?.parse().ok()).unwrap_or(0)
 }
 
-/// Large configurations in quick succession, read over a slow link: what is superseded is skipped.
-/// Issue 18, the same cause elsewhere: a watch tells every version, and fell behind ever more.
+/// Large configurations are written in quick succession and read over a slow link. Superseded versions are
+/// skipped: a watch that delivers every version falls behind more and more.
 #[test]
 fn quick_succession() {
     let deployment = Deployment::start();
     let ip = gateway::fresh_ip();
     let link = Proxy::start(&ip, deployment.store.address());
     let _host = deployment.spawn_at("front-1", &ip, link.address());
-    wait_for("the first is in force", || version_in_force(&deployment, "front-1") == 1);
+    wait_for("the first version is in force", || version_in_force(&deployment, "front-1") == 1);
     link.set_mode(SLOW_LINK);
     let mut written = Vec::new();
     let mut worst = Duration::ZERO;
-    for version in 2..STORM + 2 {
+    for version in 2..VERSION_COUNT + 2 {
         deployment.configure_large(version, ROUTES);
         written.push((version, Instant::now()));
-        sleep(STORM_GAP);
+        sleep(VERSION_INTERVAL);
         worst = worst.max(lag(&deployment, &written));
     }
-    let last = STORM + 1;
+    let last = VERSION_COUNT + 1;
     while version_in_force(&deployment, "front-1") < last {
         sleep(Duration::from_millis(20));
         worst = worst.max(lag(&deployment, &written));
     }
-    assert!(worst < IN_FORCE, "{worst:?} behind");
+    assert!(worst < MAX_LAG, "{worst:?} behind the store");
 }
 
-/// How long the oldest version beyond the one in force has lain in the store.
+/// Returns the age of the oldest version in the store that is newer than the one in force.
 fn lag(deployment: &Deployment, written: &[(u64, Instant)]) -> Duration {
     let known = version_in_force(deployment, "front-1");
     let next = written.iter().find(|(version, _)| *version > known);
     next.map_or(Duration::ZERO, |(_, at)| at.elapsed())
 }
 
-/// Routes of the largest configuration that was seen: 800 KB.
-const MOST_ROUTES: usize = 4_200;
+/// Number of routes of a configuration of 800 KB, the largest one expected.
+const MAX_ROUTES: usize = 4_200;
 
-/// How often the hosts changed the source from which they hear.
+/// Returns the logged source changes of all hosts.
 fn source_changes(deployment: &Deployment) -> Vec<String> {
     let logs = deployment.logs().into_iter();
     let changes = logs.flat_map(|(host, log)| {
@@ -130,18 +130,16 @@
     changes.collect()
 }
 
-/// A configuration of 800 KB takes the host that reads the store for all others 0.9 s on a link of 10 Mbit/s.
-/// It read nothing else meanwhile: after the watch that had brought the configuration it read that again, and
-/// only then watched the keys of upstreams and hosts. Those that hear from it took it for cut off, and the next
-/// ones in their order, which turned to the store, read the same configuration over links as slow. In a
-/// deployment of 71 such hosts the last one followed 7.2 s after the first, all 25 hosts of a failure
-/// domain had turned to the store, and callers got three of four answers late:
+/// Reading a configuration of 800 KB takes the aggregator 0.9 s on a link of 10 Mbit/s. It must go on
+/// watching the keys of upstreams and hosts meanwhile. Otherwise its subscribers take it for cut off and
+/// switch to the next hosts in the order, which then read the same configuration from the store over links
+/// as slow. In a large deployment the last host then applies the change seconds after the first:
 ///
 ///     3.3551 front-sea-b-11 event=source_changed source=front-sea-b-9 reason=stale age_ms=1117
 ///     3.8955 front-pdx-a-6 event=source_changed source=store reason=stale age_ms=1131
 ///     7.2870 front-spk-c-14 event=configuration_in_force version=7 old=4 source=front-spk-c-2
 #[test]
-fn weak_reader() {
+fn slow_reader() {
     let deployment = Deployment::start();
     let links: Vec<Proxy> = (1..=HOSTS)
         .map(|_| Proxy::start(&gateway::fresh_ip(), deployment.store.address()))
@@ -153,13 +151,13 @@
         .collect();
     wait_for_reader(&deployment);
     wait_for_version(&hosts, 1.0);
-    sleep(SETTLED);
+    sleep(METRICS_INTERVAL);
     let before = source_changes(&deployment).len();
     links.iter().for_each(|link| link.set_mode(SLOW_LINK));
     for version in 2..5 {
-        deployment.configure_large(version, MOST_ROUTES);
+        deployment.configure_large(version, MAX_ROUTES);
         wait_for_version(&hosts, version as f64);
-        sleep(SETTLED);
+        sleep(METRICS_INTERVAL);
     }
     let changes = source_changes(&deployment);
     assert_eq!(changes.len(), before, "sources changed: {changes:#?}");
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,9 +1,7 @@
-//! Upstreams in need: what they take from all hosts together, as they and callers see it.
+//! Rate-limited upstreams: the requests of all hosts together, as upstreams and callers see them.
 //!
-//! A runner in need named 1.3 requests a second in its answers and got 26 within four seconds, as many as before: no
-//! host read what it named. All were first sendings (29 lines `event=request_sent ... number=1` of five hosts,
-//! none `event=attempt_ended`), so neither retries nor hosts that each keep the limit for themselves were the cause;
-//! one host alone sent 11. What names the limit was dropped where answers are judged.
+//! Guards against hosts that ignore the limit stated in the answers of an upstream, or that each apply it
+//! on their own.
 
 mod gateway;
 
@@ -19,15 +17,15 @@
 };
 use vanetally_platform_standin::{Runner, StoreMode};
 
-/// The window in which what arrives is counted.
+/// Window in which arriving requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// So long after an upstream first named its limit, all hosts keep to it.
+/// Time after the first stated limit until all hosts keep to it.
 const SETTLED: Duration = Duration::from_secs(1);
-/// A limit over all hosts lets one request go that waited, and one a little early.
+/// Requests allowed beyond the limit: one that has waited, and one that is a little early.
 const SLACK: f64 = 2.0;
 
-/// The most requests that arrived within one window, from `since` on.
-fn most_in_window(runner: &Runner, since: Instant) -> usize {
+/// Returns the maximum number of requests that arrived in a window, from `since` on.
+fn max_in_window(runner: &Runner, since: Instant) -> usize {
     let arrivals: Vec<Instant> = runner.arrivals().into_iter().filter(|at| *at >= since).collect();
     let within =
         |from: &Instant| arrivals.iter().filter(|at| *at >= from && **at - *from < WINDOW).count();
@@ -38,17 +36,17 @@
     runner.arrivals().iter().filter(|at| **at >= since).count()
 }
 
-/// Hosts of a deployment that know who grants.
+/// Starts hosts and waits until one of them is the grantor.
 fn hosts(deployment: &Deployment, count: usize) -> Vec<Host> {
     let hosts = deployment.hosts(count);
-    wait_for("a host that grants", || hosts.iter().any(Host::is_order_holder));
+    wait_for("a host holds the order lease", || hosts.iter().any(Host::is_order_holder));
     hosts
 }
 
-/// Six hosts, two engines with one model, one of them in need: it gets what it names in sum, and nearly all of that;
-/// the rest goes to the other one, and callers see nothing of it.
+/// Six hosts and two engines with the same model, one of them rate-limited: it receives its limit in sum,
+/// and nearly all of it. The other engine serves the rest, and no request fails.
 #[test]
-fn limit_over_hosts() {
+fn limit_across_hosts() {
     let mut deployment = Deployment::start();
     deployment.add_engine();
     let hosts = hosts(&deployment, 6);
@@ -60,9 +58,9 @@
         settled = Instant::now();
         thread::sleep(2 * WINDOW);
     });
-    let most = most_in_window(&engine, settled);
+    let max = max_in_window(&engine, settled);
     let allowed = 2.5 * WINDOW.as_secs_f64() + SLACK;
-    assert!(most as f64 <= allowed, "{most} of {allowed} within the window");
+    assert!(max as f64 <= allowed, "{max} requests in the window, {allowed} allowed");
     let all = arrived_since(&engine, settled) as f64;
     let offered = 2.5 * 2.0 * WINDOW.as_secs_f64();
     assert!(all >= 0.8 * offered, "{all} of {offered} were used");
@@ -71,8 +69,8 @@
     assert!(failed.is_empty(), "{failed:?}");
 }
 
-/// The only upstream of a service takes less than one request a second. What it can't take is refused at once, with
-/// a time to come back; when it is in need no more, all are served again within a second.
+/// The only upstream of a service accepts less than one request a second. Excess requests are refused at
+/// once with a `Retry-After`; once the limit ends, all requests are served again within a second.
 #[test]
 fn limit_of_only_upstream() {
     let deployment = Deployment::start();
@@ -86,12 +84,12 @@
         thread::sleep(2 * WINDOW);
         desk.set_limit(None);
         ended = Instant::now();
-        // The next request that it takes shows that it is in need no more.
+        // The answer to the next request shows that the limit has ended.
         thread::sleep(Duration::from_secs(2) + SETTLED + Duration::from_secs(1));
     });
     let arrivals = desk.arrivals();
     let during = arrivals.iter().filter(|at| **at >= settled && **at < ended).count();
-    assert!((3..=6).contains(&during), "{during} in {WINDOW:?} twice");
+    assert!((3..=6).contains(&during), "{during} requests in twice {WINDOW:?}");
     let refused: Vec<&Exchange> = exchanges
         .iter()
         .filter(|exchange| exchange.began >= settled && exchange.answer.status == 503)
@@ -112,15 +110,15 @@
     );
 }
 
-/// More is asked for than the limit allows, by far: what has no turn within its patience is refused when it comes, with
-/// the time at which there is room, and nearly all of the limit is used.
+/// The load is far above the limit. A request without a send time within its wait limit is refused on
+/// arrival, with the time at which there is capacity, and nearly all of the limit is used.
 ///
-/// Half of the refusals came after 1.43 s in a queue, or more: those that stood in the upstream's line counted as its
-/// load, so that all its places seemed taken and the others waited for one before they were asked for:
+/// Guards against requests that count as load of the upstream while they wait in its schedule: all its
+/// places then seem taken, and others wait in a queue before they are refused:
 ///
 /// `event=request_refused request=r181 route=check lack=limit holders=1 sendings=0 cause=limited retry_after_ms=3838 after_ms=877`
 #[test]
-fn refused_when_it_comes() {
+fn refused_on_arrival() {
     let deployment = Deployment::start();
     let hosts = hosts(&deployment, 3);
     let desk = deployment.desks[0].clone();
@@ -139,37 +137,37 @@
     took.sort();
     assert!(took.len() > 50, "{} were refused", took.len());
     let median = took[took.len() / 2];
-    assert!(median < Duration::from_millis(100), "{median:?} of {}", took.len());
+    assert!(median < Duration::from_millis(100), "median {median:?} of {} refusals", took.len());
     let used = desk.arrivals().iter().filter(|at| **at >= settled && **at < ended).count() as f64;
     let offered = 12.5 * 2.0 * WINDOW.as_secs_f64();
     assert!(used >= 0.9 * offered, "{used} of {offered} were used");
 }
 
-/// What is no number names no limit.
+/// An invalid limit is ignored.
 #[test]
-fn spoiled_limits() {
+fn invalid_limits() {
     let deployment = Deployment::start();
     let hosts = hosts(&deployment, 2);
-    for spoiled in ["nan", "-1", "", "1e-3", "0.5 a second"] {
-        deployment.desks[0].set_limit(Some(spoiled));
+    for invalid in ["nan", "-1", "", "1e-3", "0.5 a second"] {
+        deployment.desks[0].set_limit(Some(invalid));
         let exchanges = under_load(&fronts(&hosts), check, 2, Duration::from_millis(10), || {
             thread::sleep(Duration::from_millis(500));
         });
         let failed: Vec<&Exchange> =
             exchanges.iter().filter(|exchange| exchange.answer.status != 200).collect();
-        assert!(failed.is_empty() && exchanges.len() > 20, "{spoiled:?}: {failed:?}");
+        assert!(failed.is_empty() && exchanges.len() > 20, "{invalid:?}: {failed:?}");
     }
 }
 
-/// What hosts that can't be asked, stood still or have just started may send beside the others: the operators allow
-/// half of the limit, and five requests.
-fn allowed_in_trouble(rate: f64) -> f64 {
+/// Returns the allowed requests in a window under faults. Hosts that cannot be reached, were stalled or
+/// have just started may send half of the limit and five requests beside the others.
+fn allowed_under_faults(rate: f64) -> f64 {
     1.5 * rate * WINDOW.as_secs_f64() + 5.0
 }
 
-/// Six hosts under load beside an engine that names 2.5 a second, and another one without need; gives back the
-/// deployment, the hosts, and the engine in need.
-fn engine_in_need() -> (Deployment, Vec<Host>, Runner) {
+/// Starts six hosts and two engines, one of them limited to 2.5 requests a second. Returns the deployment,
+/// the hosts and the limited engine.
+fn start_limited_engine() -> (Deployment, Vec<Host>, Runner) {
     let mut deployment = Deployment::start();
     deployment.add_engine();
     let hosts = hosts(&deployment, 6);
@@ -178,36 +176,37 @@
     (deployment, hosts, engine)
 }
 
-/// The host that grants stands still for longer than its lease: the next one begins with nothing given out, hosts in
-/// between keep to their parts, and what the first one had given out is not sent when it goes on.
+/// The grantor is paused for longer than its lease. The next one starts without outstanding grants, other
+/// hosts keep to their shares meanwhile, and grants of the first one are not used after it resumes.
 #[test]
-fn grantor_stands_still() {
-    let (_deployment, hosts, engine) = engine_in_need();
+fn grantor_paused() {
+    let (_deployment, hosts, engine) = start_limited_engine();
     let mut settled = Instant::now();
-    let mut back = Instant::now();
+    let mut resumed = Instant::now();
     under_load(&fronts(&hosts), offer, 8, Duration::from_millis(50), || {
         thread::sleep(SETTLED);
         settled = Instant::now();
-        let grantor = hosts.iter().find(|host| host.is_order_holder()).expect("one grants");
+        let grantor = hosts.iter().find(|host| host.is_order_holder()).expect("a grantor");
         grantor.signal("STOP");
         thread::sleep(Duration::from_secs(5));
         grantor.signal("CONT");
-        back = Instant::now();
+        resumed = Instant::now();
         thread::sleep(2 * WINDOW);
     });
-    let most = most_in_window(&engine, settled);
-    let allowed = allowed_in_trouble(2.5);
-    assert!(most as f64 <= allowed, "{most} of {allowed} within the window");
-    let used = arrived_since(&engine, back) as f64;
+    let max = max_in_window(&engine, settled);
+    let allowed = allowed_under_faults(2.5);
+    assert!(max as f64 <= allowed, "{max} requests in the window, {allowed} allowed");
+    let used = arrived_since(&engine, resumed) as f64;
     let offered = 2.5 * 2.0 * WINDOW.as_secs_f64();
     assert!(used >= 0.8 * offered, "{used} of {offered} were used");
 }
 
-/// The store is away for longer than all leases: nobody else can grant, the last one goes on, and what the limit allows
-/// is used, also where only two of six hosts have requests: the others say that they would ask it too.
+/// The store is away for longer than all leases: no other host can become grantor, and the last one goes
+/// on. The limit is used also if only two of six hosts have requests: the others announce that they could
+/// send to the upstream, too.
 #[test]
 fn limit_without_store() {
-    let (deployment, hosts, engine) = engine_in_need();
+    let (deployment, hosts, engine) = start_limited_engine();
     let mut settled = Instant::now();
     let mut late = Instant::now();
     under_load(&fronts(&hosts[..2]), offer, 8, Duration::from_millis(50), || {
@@ -218,18 +217,18 @@
         late = Instant::now();
         thread::sleep(WINDOW);
     });
-    let most = most_in_window(&engine, settled);
-    let allowed = allowed_in_trouble(2.5);
-    assert!(most as f64 <= allowed, "{most} of {allowed} within the window");
+    let max = max_in_window(&engine, settled);
+    let allowed = allowed_under_faults(2.5);
+    assert!(max as f64 <= allowed, "{max} requests in the window, {allowed} allowed");
     let used = arrived_since(&engine, late) as f64;
     assert!(used >= 0.7 * 2.5 * WINDOW.as_secs_f64(), "{used} were used");
 }
 
-/// Hosts are replaced one after the other: one that has just started is told of the limit before it sends, and none
-/// adds its own.
+/// Hosts are replaced one after the other. A new host receives the limit before it sends, and hosts do not
+/// apply it on their own in addition.
 #[test]
 fn hosts_replaced() {
-    let (deployment, mut hosts, engine) = engine_in_need();
+    let (deployment, mut hosts, engine) = start_limited_engine();
     let mut settled = Instant::now();
     let fronts = fronts(&hosts);
     let next = AtomicU64::new(0);
@@ -255,7 +254,7 @@
         }
         is_over.store(true, Ordering::Relaxed);
     });
-    let most = most_in_window(&engine, settled);
-    let allowed = allowed_in_trouble(2.5);
-    assert!(most as f64 <= allowed, "{most} of {allowed} within the window");
+    let max = max_in_window(&engine, settled);
+    let allowed = allowed_under_faults(2.5);
+    assert!(max as f64 <= allowed, "{max} requests in the window, {allowed} allowed");
 }
--- a/tests/organisations.rs
+++ b/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Organisations on the users' platform: keys, keys that are taken away, quotas; what callers and runners see.
+//! Organisations: keys, revoked keys and quotas, as callers and runners see them.
 
 mod gateway;
 
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 use vanetally_platform_standin::{Client, ClientAnswer, StoreMode};
 
-/// Keys that no log line may show.
+/// Keys, which no log line may contain.
 const KEYS: [&str; 3] = ["key-of-acme-1f00", "key-of-acme-2f00", "key-of-other-3f00"];
 
 fn acme(keys: &[&str], rate: u32) -> Value {
@@ -34,10 +34,10 @@
     answers.iter().filter(|answer| answer.status == status).count()
 }
 
-fn assert_no_key_shows(deployment: &Deployment) {
+fn assert_no_key_logged(deployment: &Deployment) {
     for (name, log) in deployment.logs() {
         for key in KEYS {
-            assert!(!log.contains(key), "{name} shows a key");
+            assert!(!log.contains(key), "{name} contains a key");
         }
     }
 }
@@ -52,7 +52,7 @@
     let seen =
         deployment.desks[0].requests().into_iter().find(|r| r.header("x-attempt-id") == Some("a"));
     let seen = seen.expect("the runner's request");
-    assert_eq!(seen.header("x-tenant"), Some("acme"), "whatever the caller said");
+    assert_eq!(seen.header("x-tenant"), Some("acme"), "whatever the caller claims");
     assert_eq!(seen.header("authorization"), None);
     let unknown = check(&host, "b", Some("no-such-key"));
     assert_eq!(unknown.status, 401);
@@ -60,22 +60,22 @@
     assert_eq!(check(&host, "c", None).status, 401);
     assert_eq!(Client::new("GET", "/open/1", "d").send(host.front).status, 200);
     drop(host);
-    assert_no_key_shows(&deployment);
+    assert_no_key_logged(&deployment);
 }
 
 #[test]
-fn taken_away() {
+fn revoked_key() {
     let deployment = Deployment::start();
     deployment.configure_organisations(2, &[acme(&KEYS[..2], 0)]);
     let host = deployment.host("front-0");
     assert_eq!(check(&host, "a", Some(KEYS[1])).status, 200);
     deployment.configure_organisations(3, &[acme(&KEYS[..1], 0)]);
-    wait_for("the change", || check(&host, "b", Some(KEYS[1])).status == 401);
-    assert_eq!(check(&host, "c", Some(KEYS[0])).status, 200, "the other key holds");
+    wait_for("the revoked key is refused", || check(&host, "b", Some(KEYS[1])).status == 401);
+    assert_eq!(check(&host, "c", Some(KEYS[0])).status, 200, "the other key is still valid");
 }
 
-/// The store falls silent and a key is taken away meanwhile: the host may not use any key longer than the bound,
-/// says so, and serves again within a second of the store's return.
+/// The store is silent and a key is revoked meanwhile: the host accepts no key for longer than the bound,
+/// is not ready then, and serves again soon after the return of the store.
 #[test]
 fn silent_store() {
     let deployment = Deployment::start();
@@ -83,31 +83,32 @@
     let host = deployment.strict_host("front-0");
     assert_eq!(check(&host, "a", Some(KEYS[0])).status, 200);
     deployment.store.set_mode(StoreMode::Silent);
-    let silent = Instant::now();
-    wait_for("the bound", || !host.is_ready());
-    assert!(silent.elapsed() < Duration::from_millis(5_000), "{:?}", silent.elapsed());
-    assert!(silent.elapsed() > Duration::from_millis(2_000), "{:?}", silent.elapsed());
+    let silenced = Instant::now();
+    wait_for("the host is not ready", || !host.is_ready());
+    assert!(silenced.elapsed() < Duration::from_millis(5_000), "{:?}", silenced.elapsed());
+    assert!(silenced.elapsed() > Duration::from_millis(2_000), "{:?}", silenced.elapsed());
     let refused = check(&host, "b", Some(KEYS[0]));
     assert_eq!(refused.status, 503);
     assert!(refused.header("retry-after").is_some());
-    assert_eq!(check(&host, "c", Some("no-such-key")).status, 503, "it may be a new one");
+    assert_eq!(check(&host, "c", Some("no-such-key")).status, 503, "the key may be a new one");
     assert_eq!(Client::new("GET", "/open/1", "d").send(host.front).status, 200);
     deployment.store.set_mode(StoreMode::Serving);
-    let back = Instant::now();
-    wait_for("the return", || check(&host, "e", Some(KEYS[0])).status == 200);
-    assert!(back.elapsed() < Duration::from_millis(1_500), "{:?}", back.elapsed());
+    let returned = Instant::now();
+    wait_for("the key is accepted again", || check(&host, "e", Some(KEYS[0])).status == 200);
+    assert!(returned.elapsed() < Duration::from_millis(1_500), "{:?}", returned.elapsed());
 }
 
-/// Three hosts, one organisation far above its quota: in sum it gets the quota, and others are not touched.
+/// An organisation far above its quota receives no more than that over three hosts, and other
+/// organisations are not affected.
 #[test]
-fn quota_over_hosts() {
+fn quota_across_hosts() {
     let deployment = Deployment::start();
     deployment.configure_organisations(2, &[acme(&KEYS[..2], 4_000), other()]);
     let hosts = ["front-0", "front-1", "front-2"].map(|name| deployment.host(name));
-    let grants = || hosts.iter().any(|host| host.is_order_holder());
-    wait_for("a host that grants", grants);
+    let has_grantor = || hosts.iter().any(|host| host.is_order_holder());
+    wait_for("a host holds the order lease", has_grantor);
     std::thread::sleep(Duration::from_millis(500));
-    let begun = Instant::now();
+    let began = Instant::now();
     let mut answers = Vec::new();
     let mut others = Vec::new();
     for number in 0..150 {
@@ -117,37 +118,39 @@
             others.push(check(host, &format!("o{number}"), Some(KEYS[2])));
         }
     }
-    let most = (begun.elapsed().as_secs_f64() + 1.0) * 4_000.0 / 200.0 + 3.0;
+    let max = (began.elapsed().as_secs_f64() + 1.0) * 4_000.0 / 200.0 + 3.0;
     let (served, refused) = (statuses(&answers, 200), statuses(&answers, 429));
-    assert!(served as f64 <= most, "{served} of at most {most}");
-    assert!(served >= 15, "{served}: the burst is theirs");
+    assert!(served as f64 <= max, "{served} served, {max} allowed");
+    assert!(served >= 15, "{served} served, less than the burst");
     assert_eq!(served + refused, answers.len(), "{answers:?}");
-    let refusal = answers.iter().find(|answer| answer.status == 429).expect("one beyond the quota");
+    let refusal =
+        answers.iter().find(|answer| answer.status == 429).expect("a refusal beyond the quota");
     assert!(refusal.header("retry-after").is_some());
-    assert_eq!(statuses(&others, 200), others.len(), "no quota binds them");
+    assert_eq!(statuses(&others, 200), others.len(), "no quota applies to them");
     drop(hosts);
-    assert_no_key_shows(&deployment);
+    assert_no_key_logged(&deployment);
 }
 
-/// The store falls silent for longer than the lease of who grants: nobody else can take it, and the quotas go on.
+/// The store is silent for longer than the order lease: no other host can take it over, and the grantor
+/// goes on granting quotas.
 #[test]
 fn quota_without_store() {
     let deployment = Deployment::start();
     deployment.configure_organisations(2, &[acme(&KEYS[..2], 4_000)]);
     let hosts = ["front-0", "front-1"].map(|name| deployment.host(name));
-    wait_for("a host that grants", || hosts.iter().any(|host| host.is_order_holder()));
+    wait_for("a host holds the order lease", || hosts.iter().any(|host| host.is_order_holder()));
     deployment.store.set_mode(StoreMode::Silent);
-    let silent = Instant::now();
-    let mut last = Vec::new();
+    let silenced = Instant::now();
+    let mut late = Vec::new();
     let mut number = 0;
-    while silent.elapsed() < Duration::from_secs(6) {
+    while silenced.elapsed() < Duration::from_secs(6) {
         number += 1;
         let answer = check(&hosts[number % 2], &format!("a{number}"), Some(KEYS[0]));
-        if silent.elapsed() > Duration::from_secs(4) {
-            last.push(answer);
+        if silenced.elapsed() > Duration::from_secs(4) {
+            late.push(answer);
         }
         std::thread::sleep(Duration::from_millis(120));
     }
-    let served = statuses(&last, 200);
-    assert!(served * 10 >= last.len() * 9, "{served} of {} within the quota", last.len());
+    let served = statuses(&late, 200);
+    assert!(served * 10 >= late.len() * 9, "{served} of {} within the quota", late.len());
 }
--- a/tests/owned_headers.rs
+++ b/tests/owned_headers.rs
@@ -1,4 +1,4 @@
-//! Headers by which the product itself speaks to engines never come from a caller.
+//! Headers that the product itself sends to engines are never passed on from a caller.
 
 mod gateway;
 
@@ -18,11 +18,11 @@
     ("Kv-Fetch", "10.0.0.9:8000"),
 ];
 
-fn forging(client: Client) -> Client {
+fn with_forged(client: Client) -> Client {
     FORGED.iter().fold(client, |client, (name, value)| client.with(name, value))
 }
 
-/// What of the forged headers arrived as the caller sent it.
+/// Returns the names of the forged headers that arrived unchanged.
 fn passed_on(deployment: &Deployment) -> Vec<String> {
     let upstreams = deployment.engines.iter().chain(&deployment.desks);
     let requests = upstreams.flat_map(|upstream| upstream.requests());
@@ -41,30 +41,30 @@
 fn not_passed_on(#[case] client: Client) {
     let deployment = Deployment::start();
     let host = deployment.host("front-1");
-    assert_eq!(forging(client).send(host.front).status, 200);
+    assert_eq!(with_forged(client).send(host.front).status, 200);
     assert_eq!(passed_on(&deployment), Vec::<String>::new());
 }
 
-/// Nor when a stream is taken up again.
+/// The same for a resumed stream.
 #[test]
 fn resumed() {
     let deployment = Deployment::start();
     deployment.engines[0].set_behaviour(Behaviour::BreakOnce { after: 3, events: 5 });
     let host = deployment.host("front-1");
     let client = Client::new("POST", "/draft/1", "b1").with("X-Model", "m1");
-    assert_eq!(forging(client).send(host.front).status, 200);
-    assert_eq!(deployment.engines[0].requests().len(), 2, "taken up once");
+    assert_eq!(with_forged(client).send(host.front).status, 200);
+    assert_eq!(deployment.engines[0].requests().len(), 2, "resumed once");
     assert_eq!(passed_on(&deployment), Vec::<String>::new());
 }
 
-/// Nor when a request that was turned away is sent again.
+/// The same for a rejected request that is sent again.
 #[test]
 fn retried() {
     let deployment = Deployment::start();
     deployment.engines[0].set_behaviour(Behaviour::Full);
     let host = deployment.host("front-1");
     let client = Client::new("POST", "/offer/1", "c1").with("X-Model", "m1").deadline(1_000);
-    assert_eq!(forging(client).send(host.front).status, 503);
+    assert_eq!(with_forged(client).send(host.front).status, 503);
     assert!(deployment.engines[0].requests().len() > 1, "sent again");
     assert_eq!(passed_on(&deployment), Vec::<String>::new());
 }
--- a/tests/platform_path.rs
+++ b/tests/platform_path.rs
@@ -1,5 +1,5 @@
-//! The whole path on the platform: the real program as a separate process, the platform's
-//! stand-ins around it.
+//! End-to-end tests on the platform: the real program as a separate process, with stand-ins of the
+//! platform around it.
 
 mod gateway;
 
@@ -34,7 +34,7 @@
     assert_eq!(seen[0].body, b"draft");
     assert_eq!(seen[0].header("x-expect-instance"), Some("i-engine-0"));
     assert_eq!(seen[0].header("x-token-count"), Some("100,20"));
-    // A run that has begun is not put back for a more urgent one: order is kept where requests wait.
+    // Priorities apply to queued requests in the host; a started run is not preempted by a more urgent one.
     assert_eq!(seen[0].header("x-request-priority"), None);
     let deadline: u64 = seen[0].header("x-deadline-ms").and_then(|ms| ms.parse().ok()).unwrap();
     assert!(deadline <= 10_000, "{deadline}");
@@ -76,7 +76,7 @@
     wait_for("the run is cancelled", || deployment.engines[0].cancelled() == 1);
 }
 
-/// Answers that must not reach the caller as a success.
+/// Invalid answers are not passed on as a success.
 #[rstest]
 #[case(Behaviour::WrongRequestId)]
 #[case(Behaviour::Unsealed)]
@@ -87,10 +87,10 @@
     let answer = offer("e1").send(host.front);
     assert_eq!(answer.status, 502);
     assert_eq!(answer.header("x-server-seal"), None);
-    assert_eq!(deployment.engines[0].requests().len(), 1, "run once at most");
+    assert_eq!(deployment.engines[0].requests().len(), 1, "run at most once");
 }
 
-/// Answers that broke off must not look whole.
+/// Truncated answers do not look complete to the caller.
 #[rstest]
 #[case(Behaviour::BreakAfter(3))]
 #[case(Behaviour::UnframedReset)]
@@ -100,7 +100,7 @@
     let host = deployment.host("front-1");
     let answer = offer("f1").send(host.front);
     assert!(answer.status != 200 || !answer.is_complete, "{answer:?}");
-    assert_eq!(deployment.engines[0].requests().len(), 1, "run once at most");
+    assert_eq!(deployment.engines[0].requests().len(), 1, "run at most once");
 }
 
 #[test]
@@ -114,7 +114,7 @@
     let ids: Vec<&str> = answer.body.lines().filter_map(|line| line.strip_prefix("id: ")).collect();
     assert_eq!(ids, ["1", "2", "3", "4", "5"]);
     let runs = deployment.engines[0].requests();
-    assert_eq!(runs.len(), 2, "taken up once");
+    assert_eq!(runs.len(), 2, "resumed once");
     assert_eq!(runs[1].header("last-event-id"), Some("3"));
 }
 
@@ -136,13 +136,13 @@
     let host = deployment.host("front-1");
     deployment.desks[0].set_id("i-somebody-else");
     let answer = check("i1").send(host.front);
-    assert_eq!(answer.status, 503, "it has not run, and the promise says so");
-    assert_eq!(deployment.desks[0].requests().len(), 1, "it is not asked again");
+    assert_eq!(answer.status, 503, "the request has not run, and the status guarantees it");
+    assert_eq!(deployment.desks[0].requests().len(), 1, "the runner is not used again");
     assert!(answer.header("retry-after").is_some());
 }
 
 #[test]
-fn own_failure_passes() {
+fn upstream_error_passed_on() {
     let deployment = Deployment::start();
     deployment.engines[0].set_behaviour(Behaviour::Failing);
     let host = deployment.host("front-1");
@@ -174,10 +174,10 @@
     assert_eq!(check("l2").send(host.front).status, 200);
 }
 
-/// Found in a played day: an answer that took longer than 1.2 s on a slow link was given up and asked for
-/// anew, again and again.
+/// An answer of the store that takes longer than 1.2 s on a slow link is not abandoned and requested again,
+/// which would repeat forever.
 #[test]
-fn slow_link() {
+fn slow_store() {
     let deployment = Deployment::start();
     deployment.store.set_mode(StoreMode::Slow);
     let host = deployment.spawn("front-1");
@@ -191,20 +191,20 @@
     let host = deployment.host("front-1");
     assert_eq!(Client::new("GET", "/later/1", "m1").send(host.front).status, 404);
     deployment.configure(2, &["later"]);
-    wait_for("the route is there", || {
+    wait_for("the route is served", || {
         Client::new("GET", "/later/1", "m2").send(host.front).status == 200
     });
 }
 
 #[test]
-fn history_forgotten() {
+fn compacted_history() {
     let deployment = Deployment::start();
     let host = deployment.host("front-1");
     deployment.store.set_mode(StoreMode::StalledWatches);
     deployment.configure(2, &["later"]);
     deployment.store.compact_history();
     deployment.store.set_mode(StoreMode::Serving);
-    wait_for("the route is there", || {
+    wait_for("the route is served", || {
         Client::new("GET", "/later/1", "n1").send(host.front).status == 200
     });
 }
@@ -216,14 +216,14 @@
     deployment.store.put("op/config", &serde_json::json!({ "version": "nine" }));
     deployment.store.put("servers/i-strange", &serde_json::json!([1, 2]));
     deployment.configure(3, &["later"]);
-    wait_for("the next good one is in force", || {
+    wait_for("the next valid configuration is in force", || {
         Client::new("GET", "/later/1", "o1").send(host.front).status == 200
     });
     assert_eq!(check("o2").send(host.front).status, 200);
 }
 
 #[test]
-fn stop_finishes_streams() {
+fn graceful_stop_finishes_streams() {
     let deployment = Deployment::start();
     deployment.engines[0].set_behaviour(Behaviour::Stream { events: 60, pause_ms: 25 });
     let mut host = deployment.host("front-1");
@@ -235,11 +235,15 @@
     let answer = caller.join().unwrap();
     assert_eq!((answer.status, answer.is_complete), (200, true));
     assert_eq!(host.wait(), Some(0));
-    assert_eq!(deployment.store.get("vanetally/hosts/front-1"), None, "it took its key along");
+    assert_eq!(
+        deployment.store.get("vanetally/hosts/front-1"),
+        None,
+        "the host has removed its key"
+    );
 }
 
 #[test]
-fn hang_up_survived() {
+fn hangup_signal_survived() {
     let deployment = Deployment::start();
     let host = deployment.host("front-1");
     host.signal("HUP");
@@ -275,40 +279,41 @@
     );
 }
 
-/// A holder that a runner refuses as outdated gives up its tenure, and never uses that token again.
+/// A holder that a runner refuses as outdated gives up its order lease, and never uses that token again.
 #[test]
 fn fenced_holder() {
     let deployment = Deployment::start();
     let host = deployment.host("front-1");
-    wait_for("somebody holds the orders", || deployment.store.get("vanetally/orders").is_some());
+    wait_for("a host holds the order lease", || deployment.store.get("vanetally/orders").is_some());
     deployment.engines[0].set_highest_token(1_000_000);
     let client = Client::new("POST", "/offer/1", "t1").with("X-Model", "m1/a1");
     client.send_and_disconnect(host.front, Duration::from_millis(4_500));
     wait_for("the order was refused", || !deployment.engines[0].orders().is_empty());
-    wait_for("the key was written anew", || deployment.store.writes_of("vanetally/orders") >= 2);
+    wait_for("the lease key is rewritten", || deployment.store.writes_of("vanetally/orders") >= 2);
     let orders = deployment.engines[0].orders();
     assert_eq!(orders[0].status, 412);
-    let again = orders.iter().filter(|order| order.token == orders[0].token).count();
-    assert_eq!(again, 1, "{orders:?}");
+    let count = orders.iter().filter(|order| order.token == orders[0].token).count();
+    assert_eq!(count, 1, "{orders:?}");
 }
 
 #[test]
 fn holder_replaced() {
     let deployment = Deployment::start();
     let mut first = deployment.host("front-1");
-    wait_for("the first holds the orders", || {
+    wait_for("the first host holds the order lease", || {
         deployment.store.get("vanetally/orders").as_deref() == Some("front-1")
     });
     let second = deployment.host("front-2");
     first.kill();
-    wait_for("the second holds the orders", || {
+    wait_for("the second host holds the order lease", || {
         deployment.store.get("vanetally/orders").as_deref() == Some("front-2")
     });
     let client = Client::new("POST", "/offer/1", "u1").with("X-Model", "m1/a2");
     wait_for("an adapter is served", || client.send(second.front).status == 200);
 }
 
-/// A store that is away for longer than single calls fail, and loses the key of a runner meanwhile.
+/// Takes the store offline for longer than a single failing call, and removes the key of a runner
+/// meanwhile.
 fn lose_key(deployment: &Deployment, host: &Host) {
     deployment.store.set_mode(StoreMode::Busy);
     deployment.store.remove("servers/i-desk-0");
@@ -316,7 +321,7 @@
     assert_eq!(check("x1").send(host.front).status, 200, "serving goes on");
     deployment.store.set_mode(StoreMode::Serving);
     let lapsed = "event=upstream_lapsed upstream=i-desk-0";
-    wait_for("the key is missed", || deployment.log("front-1").contains(lapsed));
+    wait_for("the key is reported missing", || deployment.log("front-1").contains(lapsed));
 }
 
 #[test]
@@ -324,11 +329,15 @@
     let deployment = Deployment::start();
     let host = deployment.host("front-1");
     lose_key(&deployment, &host);
-    assert_eq!(check("x2").send(host.front).status, 200, "it lives, whatever the store lists");
+    assert_eq!(
+        check("x2").send(host.front).status,
+        200,
+        "the runner is alive, whatever the store lists"
+    );
     let (key, value) = deployment.desks[0].entry();
     deployment.store.put(&key, &value);
     let returned = "event=upstream_returned upstream=i-desk-0";
-    wait_for("it wrote its key", || deployment.log("front-1").contains(returned));
+    wait_for("the runner has rewritten its key", || deployment.log("front-1").contains(returned));
     assert_eq!(check("x3").send(host.front).status, 200);
     assert!(!deployment.log("front-1").contains("event=upstream_gone upstream=i-desk-0"));
 }
@@ -339,19 +348,19 @@
     let host = deployment.host("front-1");
     lose_key(&deployment, &host);
     let gone = "event=upstream_gone upstream=i-desk-0";
-    wait_for("it is gone", || deployment.log("front-1").contains(gone));
+    wait_for("the runner is gone", || deployment.log("front-1").contains(gone));
     assert_eq!(check("x2").send(host.front).status, 503);
 }
 
-/// A host that the store turns away takes the configuration from another host.
+/// A host whose store has no configuration takes it from another host.
 #[test]
 fn configuration_from_peer() {
     let deployment = Deployment::start();
-    let _first = deployment.host("front-1");
+    let first = deployment.host("front-1");
     let cut_off = Deployment::start();
     cut_off.store.remove("op/config");
     let second = cut_off.spawn("front-2");
-    // Each knows where the other's links listen.
+    // Each host learns the link address of the other one.
     for (name, from, to) in [
         ("front-1", &deployment.store, &cut_off.store),
         ("front-2", &cut_off.store, &deployment.store),
@@ -361,8 +370,8 @@
         let entry = from.get(&key).unwrap();
         to.put(&key, &serde_json::from_str(&entry).unwrap());
     }
-    // A host tells its load, and with it its version, when that changes.
-    offer("v1").send(_first.front);
+    // A host reports its load, and with it its version, when the load changes.
+    offer("v1").send(first.front);
     wait_for("the configuration came from the peer", || {
         second.metric("vanetally_configuration_version") == Some(1.0)
     });
--- a/tests/suspended/main.rs
+++ b/tests/suspended/main.rs
@@ -1,9 +1,8 @@
-//! A host whose machine was suspended: its steady clock does not count that time.
+//! A host whose machine was suspended: its monotonic clock does not count that time.
 //!
-//! A host stood still for eight seconds, and the store had been silent since before. A key was taken away meanwhile,
-//! and the host went on using it for 3.3 s after it woke: the age of what it knew was measured by a clock that had
-//! stood still with it, so that it took eight seconds and a half for half a second. By a clock that counts
-//! suspensions the first request after it is refused, and the host notices how long it stood still:
+//! Guards against a host that accepts a revoked key after a suspension, because it measures the age of its
+//! data by a clock that stood still as well. By a clock that counts suspensions, the first request after
+//! the suspension is refused, and the host logs its duration:
 //!
 //! `event=request_refused request=after-1 cause=unconfirmed verdict=not-run version=2 retry_after_ms=500`
 //! `event=host_stalled gap_ms=8023`
@@ -22,18 +21,19 @@
 use vanetally_platform_standin::{Client, StoreMode};
 
 const KEYS: [&str; 2] = ["key-of-acme-1f00", "key-of-acme-2f00"];
-/// The host is suspended for so long.
+/// Duration of the suspension.
 const SUSPENDED: Duration = Duration::from_secs(8);
-/// It is asked for so long after it went on, and so often.
-const ASKED: Duration = Duration::from_secs(6);
-const LOOK: Duration = Duration::from_millis(20);
-/// It serves again within this time where the store answers.
-const SERVING: Duration = Duration::from_millis(1_500);
-/// What was sent just before may be on its way for so long.
-const WOKEN: Duration = Duration::from_millis(250);
+/// Time after the resumption in which requests are sent.
+const REQUEST_TIME: Duration = Duration::from_secs(6);
+/// Pause between these requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum time after the resumption until the host serves again if the store answers.
+const MAX_SERVING_TIME: Duration = Duration::from_millis(1_500);
+/// Time after the resumption in which requests in flight may still be served.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(250);
 
-/// Builds what leaves the time of a suspension out of the steady clock.
-fn preload(directory: &Path) -> PathBuf {
+/// Builds the library that leaves the time of a suspension out of the monotonic clock.
+fn build_preload(directory: &Path) -> PathBuf {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/suspended/preload.rs");
     let library = directory.join("libsteady.so");
     let compiler = std::env::var_os("RUSTC").unwrap_or_else(|| "rustc".into());
@@ -41,7 +41,7 @@
         .args(["--edition", "2024", "--crate-type", "cdylib", "-o"])
         .args([&library, &source])
         .status();
-    assert!(status.is_ok_and(|status| status.success()), "it can be built");
+    assert!(status.is_ok_and(|status| status.success()), "the library is built");
     library
 }
 
@@ -49,29 +49,30 @@
     json!({ "name": "acme", "api_keys": keys, "priority": 1 })
 }
 
-/// A host that is suspended, with both keys known, while the second one is taken away and `store` does what it does.
-struct Scene {
+/// A host that knows both keys and was suspended while the second one was revoked.
+struct Scenario {
     deployment: Deployment,
     host: Host,
-    woken: Instant,
+    resumed: Instant,
 }
 
-impl Scene {
-    fn play(store: StoreMode) -> Self {
+impl Scenario {
+    /// Runs the scenario with the store in the mode `store` from the suspension on.
+    fn run(store: StoreMode) -> Self {
         let directory = tempfile::tempdir().expect("a directory");
-        let library = preload(directory.path());
+        let library = build_preload(directory.path());
         let deployment = Deployment::start();
         deployment.configure_organisations(2, &[organisation(&KEYS)]);
         let host = deployment.strict_host_with_env("front-0", &[("LD_PRELOAD", &library)]);
-        let mut scene = Self { deployment, host, woken: Instant::now() };
-        assert_eq!(scene.check("before", KEYS[1]), 200);
-        scene.host.signal("STOP");
-        scene.deployment.store.set_mode(store);
-        scene.deployment.configure_organisations(3, &[organisation(&KEYS[..1])]);
+        let mut scenario = Self { deployment, host, resumed: Instant::now() };
+        assert_eq!(scenario.check("before", KEYS[1]), 200);
+        scenario.host.signal("STOP");
+        scenario.deployment.store.set_mode(store);
+        scenario.deployment.configure_organisations(3, &[organisation(&KEYS[..1])]);
         sleep(SUSPENDED);
-        scene.host.signal("CONT");
-        scene.woken = Instant::now();
-        scene
+        scenario.host.signal("CONT");
+        scenario.resumed = Instant::now();
+        scenario
     }
 
     fn check(&self, id: &str, key: &str) -> u16 {
@@ -79,35 +80,39 @@
         client.with("Authorization", &format!("Bearer {key}")).send(self.host.front).status
     }
 
-    /// Asks with a key for a while; when it was first and last used, counted from the moment at which the host went on.
-    fn used(&self, key: &str) -> Option<(Duration, Duration)> {
-        let mut used: Option<(Duration, Duration)> = None;
+    /// Sends requests with a key for a while; returns when the first and the last one were served, as time
+    /// after the resumption.
+    fn served(&self, key: &str) -> Option<(Duration, Duration)> {
+        let mut served: Option<(Duration, Duration)> = None;
         let mut number = 0;
-        while self.woken.elapsed() < ASKED {
+        while self.resumed.elapsed() < REQUEST_TIME {
             number += 1;
-            let asked = self.woken.elapsed();
+            let sent = self.resumed.elapsed();
             if self.check(&format!("after-{number}"), key) == 200 {
-                used = Some((used.map_or(asked, |(first, _)| first), asked));
+                served = Some((served.map_or(sent, |(first, _)| first), sent));
             }
-            sleep(LOOK);
+            sleep(REQUEST_INTERVAL);
         }
-        used
+        served
     }
 }
 
-/// Nobody can tell the host that the key was taken away: it knows that it can't know.
+/// The host cannot learn that the key was revoked, and therefore refuses it.
 #[test]
-fn taken_away_key() {
-    let scene = Scene::play(StoreMode::Silent);
-    let used = scene.used(KEYS[1]);
-    assert!(used.is_none_or(|(_, last)| last < WOKEN), "used {used:?} after the host went on");
+fn revoked_key() {
+    let scenario = Scenario::run(StoreMode::Silent);
+    let served = scenario.served(KEYS[1]);
+    assert!(
+        served.is_none_or(|(_, last)| last < IN_FLIGHT_TIME),
+        "served {served:?} after the resumption"
+    );
 }
 
-/// The store is there: the host asks it at once, and serves those whose keys hold.
+/// The store answers: the host reads it at once, and serves requests with valid keys.
 #[test]
-fn other_key() {
-    let scene = Scene::play(StoreMode::Serving);
-    let used = scene.used(KEYS[0]);
-    assert!(used.is_some_and(|(first, _)| first < SERVING), "{used:?}");
-    assert_ne!(scene.check("taken", KEYS[1]), 200);
+fn valid_key() {
+    let scenario = Scenario::run(StoreMode::Serving);
+    let served = scenario.served(KEYS[0]);
+    assert!(served.is_some_and(|(first, _)| first < MAX_SERVING_TIME), "{served:?}");
+    assert_ne!(scenario.check("taken", KEYS[1]), 200);
 }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path: callers, entry hosts, upstreams, tool, as separate processes.
+//! End-to-end tests: entry hosts, upstreams and the command-line tool as separate processes.
 
 mod support;
 
@@ -10,7 +10,7 @@
 };
 use support::{Answer, Site, SiteOptions, call, output_text, try_call, unix_millis, with_token};
 
-/// One site for all tests that only look; its processes end with the last of them.
+/// Returns a site shared by all tests that do not change it; its processes end with the last test.
 fn site() -> Arc<Site> {
     static SITE: Mutex<Weak<Site>> = Mutex::new(Weak::new());
     let mut shared = SITE.lock().unwrap_or_else(|e| e.into_inner());
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn own_answer() {
+fn answer_of_own_prompt() {
     let site = site();
     let prompts = ["one", "two", "three", "four"];
     let texts = prompts.map(|prompt| {
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn repeated_id() {
+fn repeated_idempotency_key() {
     let site = site();
     let first = site.hosts[0].service("book/offer", &[("Idempotency-Key", "offer-1")], "1 MW");
     let second = site.hosts[1].service("book/offer", &[("Idempotency-Key", "offer-1")], "1 MW");
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn reused_id() {
+fn reused_idempotency_key() {
     let site = site();
     let key = [("Idempotency-Key", "offer-2")];
     assert_eq!(site.hosts[0].service("book/offer", &key, "1 MW").status, 200);
@@ -123,7 +123,7 @@
     assert_eq!(site.service.runs("offer-2"), 1);
 }
 
-fn refused(path: &str, headers: &[(&str, &str)], body: &[u8]) -> Answer {
+fn call_first_host(path: &str, headers: &[(&str, &str)], body: &[u8]) -> Answer {
     let site = site();
     call("POST", &format!("{}{path}", site.hosts[0].url), headers, body)
 }
@@ -156,7 +156,7 @@
     #[case] status: u16,
     #[case] code: &str,
 ) {
-    let answer = refused(path, headers, body);
+    let answer = call_first_host(path, headers, body);
     assert_eq!((answer.status, answer.code().as_str()), (status, code), "{}", answer.body);
     assert_eq!(answer.verdict(), Some("not-run"));
 }
@@ -164,7 +164,7 @@
 #[test]
 fn large_body() {
     let body = vec![b'x'; 1_200_000];
-    let answer = refused("/v1/completions", &[DESK], &body);
+    let answer = call_first_host("/v1/completions", &[DESK], &body);
     assert_eq!((answer.status, answer.code().as_str()), (413, "body_too_large"));
     assert_eq!(answer.verdict(), Some("not-run"));
 }
@@ -201,14 +201,14 @@
     assert_eq!(state["host"]["name"], "entry-1");
     let table = output_text(&site.tool(&["state", admin]));
     assert!(table.contains("runner-1"), "{table}");
-    let whole = format!("{state}{table}{}", site.log_of(0));
+    let output = format!("{state}{table}{}", site.log_of(0));
     for secret in ["desk-token", "test-credential", "test-link-key"] {
-        assert!(!whole.contains(secret), "{secret} shows");
+        assert!(!output.contains(secret), "{secret} is shown");
     }
 }
 
 #[test]
-fn memory_kept() {
+fn memory_limit_kept() {
     let site = site();
     for model in site.model_names() {
         assert_eq!(site.hosts[0].complete(completion(&model), &[]).status, 200);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn stranger_link() {
+fn unauthenticated_link() {
     let site = site();
     let (host, _) =
         site.hosts[0].url.trim_start_matches("http://").split_once(':').expect("a port");
@@ -225,7 +225,7 @@
     assert!(answer.map_or(true, |a| a.status >= 400));
 }
 
-fn daemon_with(settings: &str) -> (i32, String) {
+fn check_settings(settings: &str) -> (i32, String) {
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("settings.json");
     std::fs::write(&path, settings).expect("written");
@@ -237,7 +237,7 @@
     (output.status.code().unwrap_or(-1), output_text(&output))
 }
 
-const SOUND: &str = r#"{
+const VALID_SETTINGS: &str = r#"{
   // where it is
   "host": "entry-1", "domain": "a",
   "listen": "127.0.0.1:8000", "admin": "127.0.0.1:8001", "peer": "127.0.0.1:8002",
@@ -246,8 +246,8 @@
 }"#;
 
 #[test]
-fn sound_settings() {
-    let (code, text) = daemon_with(SOUND);
+fn valid_settings() {
+    let (code, text) = check_settings(VALID_SETTINGS);
     assert_eq!(code, 0, "{text}");
 }
 
@@ -256,8 +256,8 @@
 #[case::wrong_unit("500ms", "500", "settings.json:6", "timing.poll")]
 #[case::bad_address("127.0.0.1:8000", "localhost", "settings.json:4", "listen")]
 #[case::short_key("0123456789abcdef", "short", "settings.json", "link_key")]
-fn bad_settings(#[case] old: &str, #[case] new: &str, #[case] place: &str, #[case] key: &str) {
-    let (code, text) = daemon_with(&SOUND.replace(old, new));
+fn invalid_settings(#[case] old: &str, #[case] new: &str, #[case] place: &str, #[case] key: &str) {
+    let (code, text) = check_settings(&VALID_SETTINGS.replace(old, new));
     assert_eq!(code, 2, "{text}");
     assert!(text.contains(place) && text.contains(key), "{text}");
 }
@@ -267,13 +267,13 @@
 #[case(&["--version"], 0)]
 #[case(&["nonsense"], 2)]
 #[case(&["check", "/nonexistent"], 2)]
-fn tool_codes(#[case] args: &[&str], #[case] code: i32) {
+fn tool_exit_codes(#[case] args: &[&str], #[case] code: i32) {
     let output = Command::new(env!("CARGO_BIN_EXE_vanetally")).args(args).output().expect("runs");
     assert_eq!(output.status.code(), Some(code), "{}", output_text(&output));
 }
 
 #[test]
-fn unsound_catalog() {
+fn invalid_catalog() {
     let site = site();
     let mut catalog = site.catalog.clone();
     catalog["models"][0]["versions"][0]["size"] = json!("900GiB");
