--- a/tests/cooldown.rs
+++ b/tests/cooldown.rs
@@ -60,17 +60,18 @@
     deployment.add_engine();
     let hosts = deployment.hosts(HOSTS);
     let engine = deployment.engines[0].clone();
-    let mut asked = Instant::now();
+    let mut requested = Instant::now();
     let exchanges = under_load(&fronts(&hosts), offer, 8, Duration::from_millis(20), || {
         thread::sleep(Duration::from_secs(1));
         engine.set_cooldown(Some("3"));
-        asked = Instant::now();
+        requested = Instant::now();
         thread::sleep(Duration::from_secs(5));
     });
-    let max = max_in_cooldown(&engine, asked);
+    let max = max_in_cooldown(&engine, requested);
     assert!(max == 0, "{max} requests in the cooldown");
-    let failed =
-        exchanges.iter().filter(|exchange| exchange.began > asked && exchange.answer.status != 200);
+    let failed = exchanges
+        .iter()
+        .filter(|exchange| exchange.began > requested && exchange.answer.status != 200);
     let failed: Vec<&Exchange> = failed.collect();
     for front in fronts(&hosts) {
         let own: Vec<&&Exchange> =
@@ -87,37 +88,41 @@
     let deployment = Deployment::start();
     let hosts = deployment.hosts(HOSTS);
     let desk = deployment.desks[0].clone();
-    let (mut asked, mut over) = (Instant::now(), Instant::now());
+    let (mut requested, mut last_end) = (Instant::now(), Instant::now());
     let exchanges = under_load(&fronts(&hosts), check, 6, Duration::from_millis(20), || {
         thread::sleep(Duration::from_secs(1));
         desk.set_cooldown(Some("3"));
-        asked = Instant::now();
+        requested = Instant::now();
         thread::sleep(Duration::from_millis(4_500));
         desk.set_cooldown(None);
-        over = asked + 2 * COOLDOWN;
-        thread::sleep(over - Instant::now() + 2 * MAX_RESUME_TIME);
+        last_end = requested + 2 * COOLDOWN;
+        thread::sleep(last_end - Instant::now() + 2 * MAX_RESUME_TIME);
     });
-    let max = max_in_cooldown(&desk, asked);
+    let max = max_in_cooldown(&desk, requested);
     assert!(max == 0, "{max} requests in the cooldown");
-    let back = asked + COOLDOWN;
-    let tried =
-        desk.arrivals().iter().filter(|at| **at > back && **at < back + COOLDOWN / 2).count();
-    assert!((1..=2 * HOSTS).contains(&tried), "{tried} requests after the cooldown");
-    let in_cooldown =
-        |exchange: &&Exchange| exchange.began > asked + GRACE && exchange.began < back - GRACE;
+    let cooldown_end = requested + COOLDOWN;
+    let probes = desk
+        .arrivals()
+        .iter()
+        .filter(|at| **at > cooldown_end && **at < cooldown_end + COOLDOWN / 2)
+        .count();
+    assert!((1..=2 * HOSTS).contains(&probes), "{probes} requests after the cooldown");
+    let in_cooldown = |exchange: &&Exchange| {
+        exchange.began > requested + GRACE && exchange.began < cooldown_end - GRACE
+    };
     for exchange in exchanges.iter().filter(in_cooldown) {
         assert_eq!(exchange.answer.status, 503, "{exchange:?}");
         assert!(exchange.took < Duration::from_millis(250), "{exchange:?}");
         let retry_after =
             exchange.answer.header("retry-after").and_then(|text| text.parse::<f64>().ok());
-        let left = (back - exchange.began).as_secs_f64();
+        let remaining = (cooldown_end - exchange.began).as_secs_f64();
         assert!(
-            retry_after.is_some_and(|seconds| (seconds - left).abs() < 0.75),
-            "{retry_after:?} instead of {left}"
+            retry_after.is_some_and(|seconds| (seconds - remaining).abs() < 0.75),
+            "{retry_after:?} instead of {remaining}"
         );
     }
     let late: Vec<&Exchange> =
-        exchanges.iter().filter(|exchange| exchange.began > over + MAX_RESUME_TIME).collect();
+        exchanges.iter().filter(|exchange| exchange.began > last_end + MAX_RESUME_TIME).collect();
     assert!(
         !late.is_empty() && late.iter().all(|exchange| exchange.answer.status == 200),
         "{late:?}"
@@ -134,8 +139,8 @@
         desk.set_cooldown(Some(invalid));
         assert_ne!(check(0).send(host.front).status, 200, "{invalid:?}");
         desk.set_cooldown(None);
-        let freed = Instant::now();
+        let cleared = Instant::now();
         wait_for("the upstream is used again", || check(1).send(host.front).status == 200);
-        assert!(freed.elapsed() < MAX_RESUME_TIME, "{invalid:?}: {:?}", freed.elapsed());
+        assert!(cleared.elapsed() < MAX_RESUME_TIME, "{invalid:?}: {:?}", cleared.elapsed());
     }
 }
--- a/tests/gateway/mod.rs
+++ b/tests/gateway/mod.rs
@@ -152,7 +152,7 @@
         self.strict_host_with_env(name, &[])
     }
 
-    /// Starts a host with strict revocation and the given environment environment.
+    /// Starts a host with strict revocation and the given environment variables.
     pub fn strict_host_with_env(&self, name: &str, environment: &[(&str, &Path)]) -> Host {
         let ip = fresh_ip();
         let mut settings = settings(name, &ip, self.store.address());
--- a/tests/gateway/restores.rs
+++ b/tests/gateway/restores.rs
@@ -18,7 +18,7 @@
     Restore { keeps_leases: true, rewrite_delay: Duration::ZERO, delays_watches: false };
 /// Leases are lost.
 pub const LEASES_LOST: Restore = Restore { keeps_leases: false, ..LEASES_KEPT };
-/// Lost entries are rewritten later, and watches are answered late.
+/// Lost entries are rewritten later, and watches are answered late with the state before the restore.
 pub const ANSWERS_LATE: Restore =
     Restore { rewrite_delay: Duration::from_millis(700), delays_watches: true, ..LEASES_LOST };
 
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn planned_stop() {
+fn graceful_stop() {
     let engine = EngineOptions { token_ms: 10, ..EngineOptions::default() };
     let mut site = Site::start(SiteOptions { engines: vec![engine; 2], ..SiteOptions::default() });
     let answer = site.hosts[0].service("book/offer", &[("Idempotency-Key", "offer")], "1 MW");
--- a/tests/large_configuration.rs
+++ b/tests/large_configuration.rs
@@ -117,7 +117,7 @@
     next.map_or(Duration::ZERO, |(_, at)| at.elapsed())
 }
 
-/// Number of routes of a configuration of 800 KB, the largest one expected.
+/// Number of routes of the largest known configuration, which has 800 KB.
 const MAX_ROUTES: usize = 4_200;
 
 /// Returns the logged source changes of all hosts.
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -36,7 +36,7 @@
 
 /// Returns the number of requests that arrived later than `DRAIN` after their host had relayed that the
 /// runner leaves.
-fn late(runner: &Runner, exchanges: &[Exchange]) -> usize {
+fn late_requests(runner: &Runner, exchanges: &[Exchange]) -> usize {
     let mut relayed: HashMap<SocketAddr, Instant> = HashMap::new();
     for exchange in
         exchanges.iter().filter(|exchange| exchange.answer.header("server-leaving") == Some("1"))
@@ -73,7 +73,7 @@
         left = Instant::now();
         thread::sleep(Duration::from_secs(6));
     });
-    assert_eq!(late(&engine, &exchanges), 0, "of {}", exchanges.len());
+    assert_eq!(late_requests(&engine, &exchanges), 0, "of {}", exchanges.len());
     let failed: Vec<&Exchange> = exchanges
         .iter()
         .filter(|exchange| exchange.began > left && exchange.answer.status != 200)
--- a/tests/organisations.rs
+++ b/tests/organisations.rs
@@ -30,7 +30,7 @@
     client.send(host.front)
 }
 
-fn statuses(answers: &[ClientAnswer], status: u16) -> usize {
+fn count_status(answers: &[ClientAnswer], status: u16) -> usize {
     answers.iter().filter(|answer| answer.status == status).count()
 }
 
@@ -49,11 +49,11 @@
     let host = deployment.host("front-0");
     let served = check(&host, "a", Some(KEYS[0]));
     assert_eq!(served.status, 200);
-    let seen =
+    let request =
         deployment.desks[0].requests().into_iter().find(|r| r.header("x-attempt-id") == Some("a"));
-    let seen = seen.expect("the runner's request");
-    assert_eq!(seen.header("x-tenant"), Some("acme"), "whatever the caller claims");
-    assert_eq!(seen.header("authorization"), None);
+    let request = request.expect("the runner's request");
+    assert_eq!(request.header("x-tenant"), Some("acme"), "whatever the caller claims");
+    assert_eq!(request.header("authorization"), None);
     let unknown = check(&host, "b", Some("no-such-key"));
     assert_eq!(unknown.status, 401);
     assert_eq!(unknown.header("www-authenticate"), Some("Bearer"));
@@ -119,14 +119,14 @@
         }
     }
     let max = (began.elapsed().as_secs_f64() + 1.0) * 4_000.0 / 200.0 + 3.0;
-    let (served, refused) = (statuses(&answers, 200), statuses(&answers, 429));
+    let (served, refused) = (count_status(&answers, 200), count_status(&answers, 429));
     assert!(served as f64 <= max, "{served} served, {max} allowed");
     assert!(served >= 15, "{served} served, less than the burst");
     assert_eq!(served + refused, answers.len(), "{answers:?}");
     let refusal =
         answers.iter().find(|answer| answer.status == 429).expect("a refusal beyond the quota");
     assert!(refusal.header("retry-after").is_some());
-    assert_eq!(statuses(&others, 200), others.len(), "no quota applies to them");
+    assert_eq!(count_status(&others, 200), others.len(), "no quota applies to them");
     drop(hosts);
     assert_no_key_logged(&deployment);
 }
@@ -151,6 +151,6 @@
         }
         std::thread::sleep(Duration::from_millis(120));
     }
-    let served = statuses(&late, 200);
+    let served = count_status(&late, 200);
     assert!(served * 10 >= late.len() * 9, "{served} of {} within the quota", late.len());
 }
--- a/tests/platform_path.rs
+++ b/tests/platform_path.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn whole_stream() {
+fn complete_stream() {
     let deployment = Deployment::start();
     deployment.engines[0].set_behaviour(STREAM);
     let host = deployment.host("front-1");
@@ -28,20 +28,20 @@
     assert_eq!(answer.header("x-server-seal"), Some("seal-1"));
     assert_eq!(answer.header("x-attempt-id"), Some("a1"));
     assert_eq!(answer.body.matches("data: piece").count(), 5);
-    let seen = deployment.engines[0].requests();
-    assert_eq!(seen.len(), 1);
-    assert_eq!((seen[0].method.as_str(), seen[0].path.as_str()), ("POST", "/offer/1"));
-    assert_eq!(seen[0].body, b"draft");
-    assert_eq!(seen[0].header("x-expect-instance"), Some("i-engine-0"));
-    assert_eq!(seen[0].header("x-token-count"), Some("100,20"));
-    // Priorities apply to queued requests in the host; a started run is not preempted by a more urgent one.
-    assert_eq!(seen[0].header("x-request-priority"), None);
-    let deadline: u64 = seen[0].header("x-deadline-ms").and_then(|ms| ms.parse().ok()).unwrap();
+    let requests = deployment.engines[0].requests();
+    assert_eq!(requests.len(), 1);
+    assert_eq!((requests[0].method.as_str(), requests[0].path.as_str()), ("POST", "/offer/1"));
+    assert_eq!(requests[0].body, b"draft");
+    assert_eq!(requests[0].header("x-expect-instance"), Some("i-engine-0"));
+    assert_eq!(requests[0].header("x-token-count"), Some("100,20"));
+    // Priorities apply only where requests wait: a started run is not preempted by a more urgent one.
+    assert_eq!(requests[0].header("x-request-priority"), None);
+    let deadline: u64 = requests[0].header("x-deadline-ms").and_then(|ms| ms.parse().ok()).unwrap();
     assert!(deadline <= 10_000, "{deadline}");
 }
 
 #[test]
-fn whole_answer() {
+fn complete_answer() {
     let deployment = Deployment::start();
     let host = deployment.host("front-1");
     let answer = check("b1").send(host.front);
@@ -57,18 +57,18 @@
 }
 
 #[test]
-fn caller_leaves() {
+fn caller_disconnects() {
     let deployment = Deployment::start();
     deployment.engines[0].set_behaviour(Behaviour::Stream { events: 2_000, pause_ms: 10 });
     let host = deployment.host("front-1");
     offer("d1").send_and_disconnect(host.front, Duration::from_millis(300));
-    let left = Instant::now();
+    let disconnected = Instant::now();
     wait_for("the run is cancelled", || deployment.engines[0].cancelled() == 1);
-    assert!(left.elapsed() < Duration::from_millis(500), "{:?}", left.elapsed());
+    assert!(disconnected.elapsed() < Duration::from_millis(500), "{:?}", disconnected.elapsed());
 }
 
 #[test]
-fn caller_leaves_early() {
+fn caller_disconnects_early() {
     let deployment = Deployment::start();
     deployment.engines[0].set_behaviour(Behaviour::Unresponsive);
     let host = deployment.host("front-1");
@@ -80,7 +80,7 @@
 #[rstest]
 #[case(Behaviour::WrongRequestId)]
 #[case(Behaviour::Unsealed)]
-fn bad_answer(#[case] behaviour: Behaviour) {
+fn invalid_answer(#[case] behaviour: Behaviour) {
     let deployment = Deployment::start();
     deployment.engines[0].set_behaviour(behaviour);
     let host = deployment.host("front-1");
@@ -94,7 +94,7 @@
 #[rstest]
 #[case(Behaviour::BreakAfter(3))]
 #[case(Behaviour::UnframedReset)]
-fn broken_answer(#[case] behaviour: Behaviour) {
+fn truncated_answer(#[case] behaviour: Behaviour) {
     let deployment = Deployment::start();
     deployment.engines[0].set_behaviour(behaviour);
     let host = deployment.host("front-1");
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -93,7 +93,7 @@
 }
 
 /// Returns the share of other requests that were served.
-fn served(exchanges: &[Exchange]) -> f64 {
+fn served_share(exchanges: &[Exchange]) -> f64 {
     let others: Vec<&Exchange> =
         exchanges.iter().filter(|exchange| !has_crash_body(exchange.number)).collect();
     let served = others
@@ -149,7 +149,7 @@
         thread::sleep(Duration::from_secs(15));
     });
     site.assert_few_crashes();
-    let served = served(&exchanges);
+    let served = served_share(&exchanges);
     assert!(served > 0.95, "{served} of {} were served", exchanges.len());
 }
 
--- a/tests/returned_fleet.rs
+++ b/tests/returned_fleet.rs
@@ -41,7 +41,7 @@
     let before = switches();
     restore_store(&deployment, &snapshot, LEASES_LOST);
     sleep(MAX_HOLDER_GAP);
-    assert!(switches() - before <= 1, "{} hosts switched to the store", switches() - before);
+    assert!(switches() - before <= 1, "{} switches to the store", switches() - before);
     assert_eq!(readers(), 1);
     let keys = (0..HOSTS).map(|number| format!("vanetally/hosts/{}", name(number)));
     let missing: Vec<String> = keys.filter(|key| deployment.store.get(key).is_none()).collect();
--- a/tests/store_return.rs
+++ b/tests/store_return.rs
@@ -102,8 +102,8 @@
 const TRIES: u64 = 4;
 
 /// The connection of a watch stays silent for good while new ones work. The watch must be given up early
-/// enough for the host to know of changes within `MAX_DETECTION_TIME` after the end of the cut: a timeout of 3.5 s
-/// from the sending of the watch was too long.
+/// enough for the host to know of changes within `MAX_DETECTION_TIME` after the end of the cut: a timeout
+/// of 3.5 s from the sending of the watch is too long.
 #[test]
 fn silent_watch() {
     let deployment = Deployment::start();
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -74,7 +74,6 @@
         self.headers.iter().find(named).map(|h| h.1.as_str())
     }
 
-    /// Returns the error code of the body, or an empty string.
     pub fn code(&self) -> String {
         self.json()["error"]["code"].as_str().unwrap_or("").to_owned()
     }
@@ -256,16 +255,14 @@
         let net = format!("127.{}.{}", 1 + (pid >> 8) % 250, pid % 256);
         let ip = |index: usize| format!("{net}.{}", 1 + usize::from(number) * 16 + index);
         let dir = tempfile::tempdir().expect("a directory");
-        let platform = start_stand_in(
+        let platform = stand_in(
             "platform",
             &["platform", "--credential", CREDENTIAL, "--listen", &format!("{}:7000", ip(0))],
         );
-        let service_time = options.service_time_ms.to_string();
+        let takes_ms = options.service_time_ms.to_string();
         let listen = format!("{}:7100", ip(0));
-        let service = start_stand_in(
-            "service",
-            &["service", "--takes-ms", &service_time, "--listen", &listen],
-        );
+        let service =
+            stand_in("service", &["service", "--takes-ms", &takes_ms, "--listen", &listen]);
         let mut engines = Vec::new();
         for (index, engine) in options.engines.iter().enumerate() {
             let listen = format!("{}:{}", ip(0), 7200 + index);
@@ -283,7 +280,7 @@
         site.catalog = catalog(&site, &options);
         let applied = site.apply(&site.catalog, &[]);
         assert!(applied.status.success(), "{}", output_text(&applied));
-        site.list_hosts(&(0..options.hosts).collect::<Vec<_>>(), &[]);
+        site.put_host_list(&(0..options.hosts).collect::<Vec<_>>(), &[]);
         for index in 0..options.hosts {
             let host = site.start_host(index);
             site.hosts.push(host);
@@ -299,8 +296,7 @@
         format!("{head}.{}", last + index)
     }
 
-    /// Writes the host list of the platform.
-    pub fn list_hosts(&self, present: &[usize], leaving: &[usize]) {
+    pub fn put_host_list(&self, present: &[usize], leaving: &[usize]) {
         let row = |index: &usize| {
             json!({"name": format!("entry-{}", index + 1), "peer": format!("{}:8002", self.host_ip(*index)),
                 "domain": domain(*index), "leaving": leaving.contains(index)})
@@ -375,7 +371,6 @@
         slots.len() == 16 && slots.iter().all(is_settled)
     }
 
-    /// Runs the command-line tool against the platform of the site.
     pub fn tool(&self, args: &[&str]) -> Output {
         Command::new(env!("CARGO_BIN_EXE_vanetally"))
             .args(args)
@@ -446,10 +441,10 @@
     if !options.fenced {
         args.push("--unfenced");
     }
-    start_stand_in(name, &args)
+    stand_in(name, &args)
 }
 
-fn start_stand_in(name: &str, args: &[&str]) -> StandIn {
+fn stand_in(name: &str, args: &[&str]) -> StandIn {
     let mut child = Command::new(env!("CARGO_BIN_EXE_vanetally-standin"))
         .args(args)
         .stdin(Stdio::null())
--- a/tests/suspended/main.rs
+++ b/tests/suspended/main.rs
@@ -22,7 +22,7 @@
 
 const KEYS: [&str; 2] = ["key-of-acme-1f00", "key-of-acme-2f00"];
 /// Duration of the suspension.
-const SUSPENDED: Duration = Duration::from_secs(8);
+const SUSPENSION: Duration = Duration::from_secs(8);
 /// Time after the resumption in which requests are sent.
 const REQUEST_TIME: Duration = Duration::from_secs(6);
 /// Pause between these requests.
@@ -69,7 +69,7 @@
         scenario.host.signal("STOP");
         scenario.deployment.store.set_mode(store);
         scenario.deployment.configure_organisations(3, &[organisation(&KEYS[..1])]);
-        sleep(SUSPENDED);
+        sleep(SUSPENSION);
         scenario.host.signal("CONT");
         scenario.resumed = Instant::now();
         scenario
