--- a/crates/dispatch/src/choice.rs
+++ b/crates/dispatch/src/choice.rs
@@ -9,7 +9,7 @@
     pub upstream: Incarnation,
     /// What the upstream is expected to read.
     pub expected: ReadEstimate,
-    /// Whether the engine's pacer needs the outcome, because this request probes the engine.
+    /// Whether the request is a trial of the pacer's circuit breaker, which needs its outcome.
     pub is_trial: bool,
     /// The upstream's stated rate limit, if it has one.
     pub limit: Option<ChosenLimit>,
--- a/crates/dispatch/src/digest.rs
+++ b/crates/dispatch/src/digest.rs
@@ -75,7 +75,7 @@
     /// Requests that arrived since the last digest.
     #[serde(rename = "n")]
     pub arrived: u32,
-    /// Expected processing time of these requests on a runner, in milliseconds.
+    /// Expected processing time of these requests on a runner.
     #[serde(rename = "w")]
     pub work_ms: u32,
 }
--- a/crates/dispatch/src/ending.rs
+++ b/crates/dispatch/src/ending.rs
@@ -53,8 +53,8 @@
 
 /// Returns the `Retry-After` of a host without a configuration, `age_ms` after its start.
 ///
-/// When all hosts start together, callers are then served within their objective of one second; a
-/// fixed second for all made nearly half of them late. If the store is unavailable, callers that
+/// With it, callers that were refused while all hosts started together are served within their
+/// objective of one second; a fixed second for all made nearly half of them late. If the store is unavailable, callers that
 /// return earlier are only refused again.
 pub(crate) fn startup_retry_ms(age_ms: u64, has_store: bool) -> u64 {
     let is_store_late = age_ms > STORE_ANSWER_MS && !has_store;
--- a/crates/dispatch/src/event.rs
+++ b/crates/dispatch/src/event.rs
@@ -87,7 +87,7 @@
     Probed {
         /// The probed upstream.
         upstream: Incarnation,
-        /// ContentHash hashes of these attempts.
+        /// Content hashes of these attempts.
         content_hashes: Vec<ContentHash>,
         /// The sign of a crash; `None` if the upstream is alive.
         sign: Option<CrashSign>,
@@ -167,7 +167,8 @@
         /// The grantor's answer.
         answer: PermitAnswer,
     },
-    /// The first piece of an answer was received.
+    /// The first piece of an answer was received: the first body frame of a stream, the head of any
+    /// other answer.
     FirstPiece {
         /// The request.
         id: RequestId,
@@ -186,7 +187,7 @@
     CooldownRequested {
         /// The upstream.
         upstream: Incarnation,
-        /// Duration in milliseconds.
+        /// Duration of the cooldown.
         for_ms: u64,
     },
     /// An attempt ended.
@@ -246,7 +247,7 @@
     pub own_load: usize,
     /// Open requests of other hosts at the upstream, by their digests.
     pub peer_load: u32,
-    /// Target for the longest gap between events, in milliseconds.
+    /// Target for the longest gap between events.
     pub gap_ms: u64,
     /// Whether the answer is an event stream.
     pub is_stream: bool,
@@ -374,6 +375,6 @@
     pub unread_tokens: u32,
     /// Milliseconds that the upstream was expected to read for earlier requests.
     pub ahead_ms: u32,
-    /// Expected reading time per token, in microseconds.
+    /// Expected reading time per token.
     pub per_token_us: f64,
 }
--- a/crates/dispatch/src/leaving.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -17,8 +17,8 @@
 const MEMORY_MS: u64 = 1_800_000;
 /// Maximum number of incarnations: as many as a large fleet replaces within [`MEMORY_MS`].
 const MAX_UPSTREAMS: usize = 8_192;
-/// When the set is full, its oldest part, one in this many, is evicted.
-const EVICTED_FRACTION: usize = 8;
+/// When the set is full, its oldest part is evicted: one incarnation in this many.
+const EVICTION_DIVISOR: usize = 8;
 
 impl LeavingUpstreams {
     /// Adds an upstream that reported that it leaves. Returns whether it was not known before.
@@ -55,7 +55,7 @@
         }
         let mut times: Vec<Tick> = self.since.values().copied().collect();
         times.sort();
-        let oldest = times[times.len() / EVICTED_FRACTION];
+        let oldest = times[times.len() / EVICTION_DIVISOR];
         self.since.retain(|_, at| *at > oldest);
     }
 }
--- a/crates/dispatch/src/machine.rs
+++ b/crates/dispatch/src/machine.rs
@@ -224,7 +224,7 @@
         known.cooldown.request(now, for_ms.saturating_add(own));
     }
 
-    /// Returns the remaining cooldown of an upstream, in milliseconds.
+    /// Returns the remaining cooldown of an upstream, if it is in cooldown.
     pub fn cooldown_left_ms(&self, now: Tick, upstream: &Incarnation) -> Option<u64> {
         self.upstreams.get(upstream)?.cooldown.left_ms(now)
     }
--- a/crates/dispatch/src/pace.rs
+++ b/crates/dispatch/src/pace.rs
@@ -45,8 +45,8 @@
     /// Time to the first piece, relative to the fit over all models.
     factor: f64,
     samples: u32,
-    /// Unit of demand: milliseconds to the first piece per unread token, including queueing and the
-    /// constant part.
+    /// Unit of demand: time to the first piece per unread token, including queueing and the constant
+    /// part beyond [`DEMAND_BASE_MS`].
     work_per_token_ms: f64,
 }
 
@@ -82,17 +82,17 @@
         model.and_then(|name| self.models.get(name)).map_or(1.0, |pace| pace.factor)
     }
 
-    /// Returns the constant part of the time to the first piece, in milliseconds.
+    /// Returns the constant part of the time to the first piece.
     pub(crate) fn base_ms(&self, model: Option<&Name>) -> f64 {
         self.factor(model) * self.reading.base_and_slope().0
     }
 
-    /// Returns the reading time per prompt token, in milliseconds.
+    /// Returns the reading time per prompt token.
     pub(crate) fn per_token_ms(&self, model: Option<&Name>) -> f64 {
         self.factor(model) * self.reading.base_and_slope().1
     }
 
-    /// Returns the expected work of a request in the unit of demand, in milliseconds of an engine.
+    /// Returns the expected engine time of a request, in the unit of demand.
     pub(crate) fn work_ms(&self, model: &Name, head: &CallerRequest) -> f64 {
         let tokens =
             f64::from(head.prompt_tokens) + OUTPUT_TOKEN_WEIGHT * f64::from(head.output_tokens);
@@ -105,7 +105,7 @@
         self.slowness.get(upstream).copied().unwrap_or(1.0)
     }
 
-    /// Returns the time that an engine takes to read `tokens` of a prompt, in milliseconds.
+    /// Returns the time that an engine takes to read `tokens` of a prompt.
     pub(crate) fn reading_ms(&self, model: Option<&Name>, tokens: u32) -> f64 {
         f64::from(tokens) * self.per_token_ms(model)
     }
--- a/crates/dispatch/src/previous.rs
+++ b/crates/dispatch/src/previous.rs
@@ -1,5 +1,5 @@
-//! Ended incarnations of upstreams, kept for as long as a copy of the store may announce them
-//! again.
+//! Ended incarnations of upstreams, kept for as long as a store that is restored from a backup may
+//! announce them again.
 
 use std::collections::BTreeMap;
 use vanetally_ports::Revision;
@@ -30,9 +30,9 @@
 /// two seconds, so an incarnation that was taken for ended by mistake is restored by its second or
 /// third heartbeat.
 const LATE_HEARTBEAT_MS: u64 = 3_000;
-/// Maximum age of a copy from which a store is restored. Incarnations that ended longer ago can't
-/// be in the copy.
-const MAX_COPY_AGE_MS: u64 = 60_000;
+/// Maximum age of a backup from which the store is restored. Incarnations that ended longer ago
+/// can't be in it.
+const MAX_BACKUP_AGE_MS: u64 = 60_000;
 /// Maximum number of incarnations that are kept.
 const MAX_REMEMBERED: usize = 4_096;
 
@@ -41,7 +41,7 @@
     pub(crate) fn insert(&mut self, incarnation: Incarnation, previous: PreviousIncarnation) {
         if self.incarnations.len() >= MAX_REMEMBERED {
             self.incarnations
-                .retain(|_, other| previous.ended_at.since(other.ended_at) < MAX_COPY_AGE_MS);
+                .retain(|_, other| previous.ended_at.since(other.ended_at) < MAX_BACKUP_AGE_MS);
         }
         if self.incarnations.len() >= MAX_REMEMBERED {
             self.incarnations.pop_first();
@@ -54,17 +54,17 @@
         self.incarnations.remove(incarnation)
     }
 
-    /// Returns the record of an incarnation, unless it is older than any copy of the store.
+    /// Returns the record of an incarnation, unless it ended before any backup of the store was made.
     pub(crate) fn get(&self, now: Tick, incarnation: &Incarnation) -> Option<&PreviousIncarnation> {
         self.incarnations
             .get(incarnation)
-            .filter(|previous| now.since(previous.ended_at) < MAX_COPY_AGE_MS)
+            .filter(|previous| now.since(previous.ended_at) < MAX_BACKUP_AGE_MS)
     }
 }
 
 impl PreviousIncarnation {
-    /// Whether `revision` is the last announcement or an earlier one, repeated by a copy of the
-    /// store.
+    /// Whether `revision` is the last announcement or an earlier one, repeated by a store that was
+    /// restored from a backup.
     pub(crate) fn is_replay(&self, revision: Revision) -> bool {
         revision.era > self.last_revision.era && revision.number <= self.last_revision.number
     }
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -49,7 +49,7 @@
     /// What the upstream was expected to read.
     pub expected: ReadEstimate,
     pub has_begun: bool,
-    /// Whether the engine's pacer needs the outcome, because this request probes the engine.
+    /// Whether the request is a trial of the pacer's circuit breaker, which needs its outcome.
     pub is_trial: bool,
     /// Rate under which the permit was granted, if the upstream is rate-limited.
     pub permit_rate: Option<f64>,
@@ -156,7 +156,7 @@
         self.head.prompt_tokens + self.head.output_tokens
     }
 
-    /// Returns the target for the longest gap between events, in milliseconds.
+    /// Returns the target for the longest gap between events.
     pub(crate) fn gap_ms(&self) -> u64 {
         self.route.gap_ms.unwrap_or(DEFAULT_GAP_MS)
     }
@@ -179,7 +179,7 @@
         lacks_upstream && self.is_late(now)
     }
 
-    /// Returns how long the request may still wait for an attempt, in milliseconds.
+    /// Returns how long the request may still wait for an attempt.
     pub(crate) fn remaining_wait_ms(&self, now: Tick) -> u64 {
         let until = if self.verdict == Verdict::NotRun { self.wait_limit } else { self.deadline };
         until.since(now)
--- a/crates/dispatch/src/roster.rs
+++ b/crates/dispatch/src/roster.rs
@@ -30,7 +30,7 @@
         /// Why the announcement can't be read.
         error: AnnouncementError,
     },
-    /// A copy of the store returned an announcement that is known to be out of date.
+    /// A store that was restored from a backup returned an announcement that is known to be out of date.
     Outdated {
         /// The incarnation in that announcement.
         incarnation: Incarnation,
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Whether `revision` comes from a copy of the store and `other` began before this incarnation.
+    /// Whether `revision` comes from a restored backup and `other` began before this incarnation.
     fn is_newer_than(&self, other: &Incarnation, revision: Revision) -> bool {
         revision.era > self.last_seen.era
             && other.born.is_some()
@@ -197,7 +197,7 @@
     }
 
     /// Updates the leaving state. Only the incarnation itself, in the era in which it announced
-    /// that it leaves, can take that back; an announcement from a copy of the store can't.
+    /// that it leaves, can take that back; an announcement from a restored backup can't.
     fn note_leaving(&mut self, revision: Revision, state: &mut UpstreamState) {
         if state.draining {
             self.leaving = Some(revision);
--- a/crates/dispatch/src/shortage.rs
+++ b/crates/dispatch/src/shortage.rs
@@ -4,7 +4,8 @@
 use vanetally_ports::ModelRef;
 use vanetally_types::Name;
 
-/// What prevents a request from being sent, in the order of how close it is to being sent.
+/// What prevents a request from being sent. Ordered: the closer the request is to being sent, the
+/// greater the value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShortageKind {
     /// No upstream of the service accepts new requests.
--- a/crates/dispatch/tests/engine_pace.rs
+++ b/crates/dispatch/tests/engine_pace.rs
@@ -9,7 +9,7 @@
 
 /// Constant part of the time to the first piece: an event holds several tokens.
 const BASE_MS: u64 = 60;
-/// Reading time of each prompt token, in microseconds.
+/// Reading time of each prompt token.
 const PER_TOKEN_US: f64 = 20.0;
 
 fn host() -> Host {
--- a/crates/dispatch/tests/store_copies.rs
+++ b/crates/dispatch/tests/store_restore.rs
@@ -1,4 +1,4 @@
-//! Announcements from a store that was restored from a copy, compared with the known state.
+//! Announcements from a store that was restored from a backup, compared with the known state.
 
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -54,10 +54,10 @@
     seen.collect()
 }
 
-/// The copy lists a runner as ready that has announced since that it leaves; it gets no requests,
-/// whatever the revision in the copy.
+/// The backup lists a runner as ready that has announced since that it leaves; it gets no requests,
+/// whatever the revision in the backup.
 #[rstest]
-fn leaving_state_survives_copy(
+fn leaving_state_survives_restore(
     #[values(Some(7), None)] born: Option<u64>,
     #[values(4, 90)] number: u64,
 ) {
@@ -80,7 +80,7 @@
     assert_eq!(record(&mut roster, NOW, revision(2, 6), None, false), [(None, false)]);
 }
 
-/// An upstream that left and ended is still in the copy; only a newer announcement of its own
+/// An upstream that left and ended is still in the backup; only a newer announcement of its own
 /// restores it.
 #[test]
 fn ended_upstream_stays_ended() {
@@ -109,7 +109,7 @@
     assert_eq!(record(&mut roster, NOW, revision(1, 12), None, false), [(None, false)]);
 }
 
-/// A copy is at most one minute old.
+/// A backup is at most one minute old.
 #[test]
 fn ended_upstream_is_forgotten() {
     let mut roster = Roster::default();
@@ -118,7 +118,7 @@
     assert_eq!(record(&mut roster, NOW + 60_000, revision(2, 10), None, false), [(None, false)]);
 }
 
-/// Guards against taking a restarted runner for its previous incarnation, which the copy announces,
+/// Guards against taking a restarted runner for its previous incarnation, which the backup announces,
 /// and then for an ended one although it continues to announce itself.
 #[rstest]
 #[case::replaced(false)]
@@ -130,7 +130,7 @@
         roster.remove(NOW, &id());
     }
     record(&mut roster, NOW, revision(1, 42), Some(2), false);
-    assert_eq!(record(&mut roster, NOW, revision(2, 35), Some(1), false), [], "from the copy");
+    assert_eq!(record(&mut roster, NOW, revision(2, 35), Some(1), false), [], "from the backup");
     assert_eq!(record(&mut roster, NOW, revision(3, 66), Some(2), false), [(Some(2), false)]);
 }
 
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -133,8 +133,8 @@
         while let Some(event) = events.pop_front() {
             for action in self.dispatch.handle(self.now, event) {
                 if let Action::Reserve { id, reservation, prompt } = action {
-                    let moment = SendSlot { unread: prompt.tokens, ..SendSlot::default() };
-                    let slot = SlotReply::Granted(moment);
+                    let send_slot = SendSlot { unread: prompt.tokens, ..SendSlot::default() };
+                    let slot = SlotReply::Granted(send_slot);
                     events.push_back(Event::Reserved { id, reservation, slot });
                 } else {
                     actions.push(action);
--- a/crates/gateway/src/hub.rs
+++ b/crates/gateway/src/hub.rs
@@ -88,10 +88,12 @@
     pub settings: Settings,
     pub ports: Ports,
     pub clock: Clock,
+    /// Connections to upstreams for the requests of callers.
     pub pool: Pool,
     pub store: Store,
     pub stage: watch::Sender<Stage>,
     pub host_lease: Cell<Option<vanetally_ports::LeaseId>>,
+    /// Connections to runners for orders and report requests.
     pub control_pool: Pool,
     pub links: Links,
     pub dispatch: RefCell<Dispatch>,
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -204,7 +204,7 @@
         self.request_event(dispatch::Event::PeerGone { host });
     }
 
-    /// Interval of this host's load messages, in milliseconds.
+    /// Returns the interval of this host's load messages.
     pub(crate) fn digest_interval_ms(&self) -> u64 {
         if !self.uses_aggregators() {
             return DIGEST_INTERVAL_MS;
--- a/crates/gateway/src/pacing.rs
+++ b/crates/gateway/src/pacing.rs
@@ -9,7 +9,7 @@
 /// Timeout of a pacer's answer, after which this host decides alone.
 const ANSWER_TIMEOUT_MS: u64 = 40;
 
-/// A reservation request that another host has not answered yet.
+/// A reservation that the pacer has not answered yet.
 struct PendingReservation {
     id: RequestId,
     reservation: u32,
@@ -53,10 +53,10 @@
     }
 
     /// Stores a pending reservation and returns its number.
-    fn add_pending(&mut self, request: PendingReservation) -> u64 {
+    fn add_pending(&mut self, pending: PendingReservation) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
-        self.pending.insert(number, request);
+        self.pending.insert(number, pending);
         number
     }
 
@@ -64,8 +64,8 @@
     fn take_unanswered(&mut self, now: Tick) -> Vec<PendingReservation> {
         let unanswered = self
             .pending
-            .extract_if(|_, request| now.since(request.requested_at) > ANSWER_TIMEOUT_MS);
-        unanswered.map(|(_, request)| request).collect()
+            .extract_if(|_, pending| now.since(pending.requested_at) > ANSWER_TIMEOUT_MS);
+        unanswered.map(|(_, pending)| pending).collect()
     }
 }
 
@@ -77,10 +77,10 @@
         if host == self.settings.host {
             return self.reserve_locally(id, reservation, &prompt);
         }
-        let request =
+        let pending =
             PendingReservation { id, reservation, prompt: prompt.clone(), host, requested_at: now };
-        let host = request.host.clone();
-        let number = self.pacing.borrow_mut().add_pending(request);
+        let host = pending.host.clone();
+        let number = self.pacing.borrow_mut().add_pending(pending);
         self.send(&host, &PeerMessage::Reserve { number, prompt });
     }
 
@@ -97,8 +97,8 @@
 
     /// Handles the answer of a pacer.
     pub(crate) fn reserved(self: &Rc<Self>, number: u64, slot: SlotReply) {
-        let request = self.pacing.borrow_mut().pending.remove(&number);
-        if let Some(PendingReservation { id, reservation, .. }) = request {
+        let pending = self.pacing.borrow_mut().pending.remove(&number);
+        if let Some(PendingReservation { id, reservation, .. }) = pending {
             self.request_event(dispatch::Event::Reserved { id, reservation, slot });
         }
     }
@@ -134,15 +134,15 @@
     pub(crate) fn decide_unanswered(self: &Rc<Self>) {
         let now = self.clock.now();
         let unanswered = self.pacing.borrow_mut().take_unanswered(now);
-        for request in unanswered {
+        for pending in unanswered {
             log::info!(
                 "event=pacer_silent host={} upstream={} after_ms={}",
-                request.host,
-                request.prompt.upstream,
-                now.since(request.requested_at)
+                pending.host,
+                pending.prompt.upstream,
+                now.since(pending.requested_at)
             );
-            self.pacing.borrow_mut().pacers.mark_silent(now, &request.host);
-            self.reserve_locally(request.id, request.reservation, &request.prompt);
+            self.pacing.borrow_mut().pacers.mark_silent(now, &pending.host);
+            self.reserve_locally(pending.id, pending.reservation, &pending.prompt);
         }
     }
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -103,14 +103,14 @@
     },
     /// To the pacer of an engine: requests a send time for a prompt.
     Reserve {
-        /// The number of this request.
+        /// The number of this query.
         number: u64,
         /// The prompt.
         prompt: Prompt,
     },
     /// From the pacer of an engine: the answer to [`Self::Reserve`].
     Reserved {
-        /// The number of the request.
+        /// The number of the query.
         number: u64,
         /// The assigned slot.
         slot: SlotReply,
@@ -162,7 +162,7 @@
     },
     /// To the grantor: requests to spend quota.
     Spend {
-        /// The number of this request.
+        /// The number of this query.
         number: u64,
         /// The organisation.
         organisation: Name,
@@ -171,7 +171,7 @@
     },
     /// From the grantor: the answer to [`Self::Spend`].
     Spent {
-        /// The number of the request.
+        /// The number of the query.
         number: u64,
         /// The answer.
         answer: QuotaAnswer,
@@ -185,7 +185,7 @@
     },
     /// To the grantor: requests a permit for a rate-limited upstream.
     Permit {
-        /// The number of this request.
+        /// The number of this query.
         number: u64,
         /// The permit request.
         #[serde(rename = "question")]
@@ -193,7 +193,7 @@
     },
     /// From the grantor: the answer to [`Self::Permit`].
     Permitted {
-        /// The number of the request.
+        /// The number of the query.
         number: u64,
         /// The permit request, so that a permit that arrives too late can be returned.
         #[serde(rename = "question")]
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -57,8 +57,8 @@
     ended: u32,
 }
 
-/// Probes whether an upstream is alive. A response that is cut off or corrupt is no crash sign by
-/// itself, since a broken network path looks the same.
+/// Probes whether an upstream is alive. A broken attempt is no crash sign by itself: an interrupted
+/// network path and a corrupt response look the same.
 async fn probe(hub: &Hub, suspect: &Suspect) -> Option<CrashSign> {
     if !suspect.is_engine {
         return probe_address(suspect.address).await;
--- a/crates/gateway/src/queries.rs
+++ b/crates/gateway/src/queries.rs
@@ -1,9 +1,10 @@
-//! Requests to another host that wait for an answer.
+//! Queries to another host: numbered messages that wait for an answer, as opposed to requests of
+//! callers.
 
 use std::{collections::HashMap, time::Duration};
 use tokio::{sync::oneshot, time::timeout};
 
-/// Requests that have not been answered yet, by number.
+/// Queries that have not been answered yet, by number.
 pub(crate) struct PendingQueries<A> {
     pending: HashMap<u64, oneshot::Sender<A>>,
     next: u64,
@@ -16,7 +17,7 @@
 }
 
 impl<A> PendingQueries<A> {
-    /// Registers a request; returns its number and the channel of its answer.
+    /// Registers a query; returns its number and the channel of its answer.
     pub(crate) fn register(&mut self) -> (u64, oneshot::Receiver<A>) {
         let number = self.next;
         self.next += 1;
@@ -25,7 +26,7 @@
         (number, answer)
     }
 
-    /// Delivers the answer to request `number`; returns it if nothing waits for it any more.
+    /// Delivers the answer to query `number`; returns it if nothing waits for it any more.
     pub(crate) fn answered(&mut self, number: u64, answer: A) -> Option<A> {
         match self.pending.remove(&number) {
             Some(sender) => sender.send(answer).err(),
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Drops the request `number`, whose answer is no longer needed.
+    /// Drops query `number`, whose answer is no longer needed.
     pub(crate) fn forget(&mut self, number: u64) {
         self.pending.remove(&number);
     }
--- a/crates/gateway/src/quotas.rs
+++ b/crates/gateway/src/quotas.rs
@@ -73,7 +73,7 @@
 impl Drop for Charge {
     fn drop(&mut self) {
         if !self.is_in_flight.get() && !self.may_have_run.get() {
-            self.hub.give_back(&self.organisation, self.cost);
+            self.hub.refund(&self.organisation, self.cost);
         }
     }
 }
@@ -184,7 +184,7 @@
         let _ = self.quotas.borrow_mut().queries.answered(number, answer);
     }
 
-    fn give_back(&self, organisation: &Name, cost: u32) {
+    fn refund(&self, organisation: &Name, cost: u32) {
         let holder = self.holder.borrow().clone();
         match holder {
             Some(host) if host == self.settings.host => {
--- a/crates/gateway/src/reader.rs
+++ b/crates/gateway/src/reader.rs
@@ -106,7 +106,7 @@
         known?.into_iter().min().filter(|known| known.era == era)
     }
 
-    /// Returns how long the store may hold a watch of `scope`, in milliseconds.
+    /// Returns how long the store may hold a watch of `scope`.
     ///
     /// Each answer confirms the configuration as of the time the watch was sent. Where revoked keys
     /// must be rejected in time, hosts serve for most of the allowed time after that confirmation;
--- a/crates/gateway/src/registration.rs
+++ b/crates/gateway/src/registration.rs
@@ -38,7 +38,7 @@
     Duration::from_secs_f64(hosts as f64 * CALLS_PER_KEY / (store.writes_per_s * REWRITE_SHARE))
 }
 
-/// Returns a random delay within that time.
+/// Returns a random delay within [`rewrite_time`].
 fn random_rewrite_delay(hub: &Hub) -> Duration {
     let period = rewrite_time(hub.peers.borrow().len(), &hub.settings.store);
     period.mul_f64(rand::rng().random_range(0.0..1.0))
--- a/crates/gateway/src/telemetry.rs
+++ b/crates/gateway/src/telemetry.rs
@@ -75,8 +75,8 @@
 }
 
 /// Counts a rate limit that an upstream stated or ended.
-pub(crate) fn limit_changed(update: LimitChange) {
-    let change = match update {
+pub(crate) fn limit_changed(change: LimitChange) {
+    let change = match change {
         LimitChange::Stated(_) => "named",
         LimitChange::Ended => "ended",
     };
@@ -108,12 +108,12 @@
     counter!("vanetally_attempts_total", "end" => end.as_str()).increment(1);
 }
 
-/// Records the seconds from the arrival of a request to the first frame of its response.
+/// Records the seconds from the arrival of a request to the first piece of its response.
 pub(crate) fn first_piece(seconds: f64) {
     histogram!("vanetally_first_piece_seconds").record(seconds);
 }
 
-/// Records the ratio of the actual to the predicted time to the first frame.
+/// Records the ratio of the actual to the predicted time to the first piece.
 pub(crate) fn prediction_ratio(ratio: f64) {
     histogram!("vanetally_first_piece_prediction_ratio").record(ratio);
 }
--- a/crates/limit/src/grantor.rs
+++ b/crates/limit/src/grantor.rs
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug)]
 struct UpstreamSchedule {
     schedule: Schedule,
-    /// Time that was given to the last refused caller, in milliseconds.
+    /// Time at which the last refused caller may retry, as a tick in milliseconds.
     last_retry: f64,
     /// Hosts that were asked to come back since the last grant.
     asks: u32,
--- a/crates/limit/src/schedule.rs
+++ b/crates/limit/src/schedule.rs
@@ -5,7 +5,7 @@
 /// The next free send time at an upstream.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Schedule {
-    /// The next send time, in milliseconds.
+    /// The next send time, as a tick in milliseconds.
     next: f64,
 }
 
--- a/crates/limit/src/share.rs
+++ b/crates/limit/src/share.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug)]
 struct HostShare {
     schedule: Schedule,
-    /// Interval between this host's requests for which the schedule was created, in milliseconds.
+    /// Interval between this host's requests for which the schedule was created.
     interval_ms: f64,
 }
 
--- a/crates/limit/tests/grants.rs
+++ b/crates/limit/tests/grants.rs
@@ -117,7 +117,7 @@
 }
 
 /// Hosts whose requests go to another upstream ask again at the given time: the full limit is used
-/// and few questions are in vain, however many hosts there are.
+/// and few permit requests are refused, however many hosts there are.
 #[test]
 fn many_hosts_ask_rarely() {
     for (rate, max_asked) in [(1.8, 120), (0.4, 40)] {
--- a/crates/pacing/src/breaker.rs
+++ b/crates/pacing/src/breaker.rs
@@ -1,9 +1,11 @@
-//! A circuit breaker for one engine, fed by the request outcomes that all hosts report to its pacer.
+//! A circuit breaker for one engine, fed by the request outcomes that all hosts report to its
+//! pacer.
 //!
-//! It handles an engine that accepts connections but breaks off every request for a second or two, while hundreds of
-//! hosts each send it a request every few seconds. A single host sees too few failures to react in time, and the
-//! outcomes that hosts exchange with their loads are half a second old: by then twenty requests that must not be
-//! retried are lost. The pacer is asked before each request anyway.
+//! It handles an engine that accepts connections but breaks off every request for a second or two,
+//! while hundreds of hosts each send it a request every few seconds. A single host sees too few
+//! failures to react in time, and the outcomes that hosts exchange with their loads are half a
+//! second old: by then twenty requests that must not be retried are lost. The pacer is asked before
+//! each request anyway.
 
 use vanetally_types::Tick;
 
@@ -26,7 +28,8 @@
     Closed,
     /// No request may be sent before this time.
     Open(Tick),
-    /// A trial request was sent; another one may be sent at this time if its outcome is not reported.
+    /// A trial request was sent; another one may be sent at this time if its outcome is not
+    /// reported.
     Trial(Tick),
 }
 
@@ -46,20 +49,23 @@
 
 /// Time in which a request's weight decays to 1/e; an engine receives about five requests in it.
 const DECAY_MS: f64 = 1_000.0;
-/// Weight of failed requests that must be exceeded to open: a single request may fail through its own fault.
+/// Weight of failed requests that must be exceeded to open: a single request may fail through its
+/// own fault.
 const MIN_FAILED: f64 = 1.5;
-/// Share of failed requests above which the breaker opens, the same as for the ejection of an upstream by a single
-/// host.
+/// Share of failed requests above which the breaker opens, the same as for the ejection of an
+/// upstream by a single host.
 const OPEN_SHARE: f64 = 0.2;
-/// First pause; it doubles with each failed trial. A trial may be a lost request, so only three are sent within two
-/// seconds, the usual duration of such an outage.
+/// First pause; it doubles with each failed trial. A trial may be a lost request, so only three are
+/// sent within two seconds, the usual duration of such an outage.
 const PAUSE_MS: u64 = 200;
-/// Maximum number of times that the pause is doubled, so that an engine that recovered is tried within 0.8 s.
+/// Maximum number of times that the pause is doubled, so that an engine that recovered is tried
+/// within 0.8 s.
 const MAX_DOUBLINGS: u32 = 2;
-/// Time after which a trial without a reported outcome is abandoned: six times the median time to the first piece of an
-/// answer, 0.1 s.
+/// Time after which a trial without a reported outcome is abandoned: six times the median time to
+/// the first piece of an answer, 0.1 s.
 const TRIAL_TIMEOUT_MS: u64 = 600;
-/// Maximum time after which a rejected host asks again; the first piece of a trial's answer takes a tenth of a second.
+/// Maximum time after which a rejected host asks again; the first piece of a trial's answer takes a
+/// tenth of a second.
 const MAX_RETRY_MS: u64 = 60;
 
 impl Breaker {
--- a/crates/pacing/src/bucket.rs
+++ b/crates/pacing/src/bucket.rs
@@ -16,9 +16,8 @@
 const READ_SHARE: f64 = 0.6;
 
 impl Bucket {
-    /// Returns the milliseconds until a prompt with a reading time of `reading_ms` may be sent, if prompts with a total
-    /// of
-    /// `burst_ms` may be sent together.
+    /// Returns the milliseconds until a prompt with a reading time of `reading_ms` may be sent, if
+    /// prompts with a total reading time of `burst_ms` may be sent together.
     ///
     /// A prompt with a longer reading time has to wait for an empty bucket.
     pub(crate) fn delay_ms(&self, now: Tick, reading_ms: f64, burst_ms: f64) -> f64 {
@@ -27,8 +26,8 @@
         excess.max(0.0) / READ_SHARE
     }
 
-    /// Records that a prompt with a reading time of `reading_ms` is sent at `send_at`; returns the reading time that
-    /// the engine then still needs for earlier prompts.
+    /// Records that a prompt with a reading time of `reading_ms` is sent at `send_at`; returns the
+    /// reading time that the engine then still needs for earlier prompts.
     pub(crate) fn fill(&mut self, now: Tick, send_at: Tick, reading_ms: f64) -> f64 {
         self.level_ms = self.level(now) + reading_ms;
         self.updated = now;
--- a/crates/pacing/src/pacer.rs
+++ b/crates/pacing/src/pacer.rs
@@ -23,7 +23,7 @@
     /// Microseconds that the engine takes to read one token.
     #[serde(rename = "r")]
     pub per_token_us: u32,
-    /// Configured maximum pause between two events of a stream, in milliseconds.
+    /// Configured maximum pause between two events of a stream.
     #[serde(rename = "g")]
     pub gap_ms: u32,
 }
@@ -49,7 +49,8 @@
     pub unread: u32,
     /// Milliseconds for which the engine will then still read earlier prompts.
     pub ahead_ms: u32,
-    /// Whether the request is a trial: its outcome must be reported to the pacer, since other requests wait for it.
+    /// Whether the request is a trial: its outcome must be reported to the pacer, since other
+    /// requests wait for it.
     #[serde(default)]
     pub is_trial: bool,
 }
@@ -69,8 +70,8 @@
 
 /// Share of the maximum pause that the reading of prompts sent together may take.
 const BURST_SHARE: f64 = 0.3;
-/// Maximum delay of a slot as a share of the maximum pause. A host that would have to wait longer may find another
-/// engine meanwhile.
+/// Maximum delay of a slot as a share of the maximum pause. A host that would have to wait longer
+/// may find another engine meanwhile.
 const MAX_DELAY_SHARE: f64 = 0.3;
 /// Minimum time after which a host asks again.
 const MIN_RETRY_MS: f64 = 10.0;
@@ -100,7 +101,8 @@
         SlotReply::Granted(SendSlot { delay_ms, unread, ahead_ms, is_trial })
     }
 
-    /// Records the outcome of a request as reported by a host: a failure, or the success of a trial.
+    /// Records the outcome of a request as reported by a host: a failure, or the success of a
+    /// trial.
     pub fn record_outcome(
         &mut self,
         now: Tick,
--- a/crates/pacing/src/pacers.rs
+++ b/crates/pacing/src/pacers.rs
@@ -5,8 +5,9 @@
 
 /// The hosts that may be pacers, as known to one of them.
 ///
-/// If some hosts are much stronger than the rest, only these are pacers: each host keeps a link to the pacers that it
-/// asks, and links between all pairs of hosts would cost more than the requests themselves.
+/// If some hosts are much stronger than the rest, only these are pacers: each host keeps a link to
+/// the pacers that it asks, and links between all pairs of hosts would cost more than the requests
+/// themselves.
 #[derive(Clone, Debug)]
 pub struct Pacers {
     me: Name,
@@ -15,12 +16,13 @@
     silent: BTreeMap<Name, Tick>,
 }
 
-/// A host whose capacity is lower than the maximum by this factor or more is no pacer if the stronger ones suffice.
+/// A host whose capacity is lower than the maximum by this factor or more is no pacer if the
+/// stronger ones suffice.
 const WEAK_FACTOR: u32 = 2;
 /// Maximum number of hosts per strong host, itself included, for which the strong hosts suffice.
 const MAX_HOSTS_PER_PACER: usize = 25;
 /// Time for which a host that did not answer is skipped.
-const SILENT_MS: u64 = 1_000;
+const SILENCE_MS: u64 = 1_000;
 
 impl Pacers {
     /// Creates the selection with no other host known.
@@ -41,10 +43,11 @@
 
     /// Records that a host did not answer in time.
     pub fn mark_silent(&mut self, now: Tick, host: &Name) {
-        self.silent.insert(host.clone(), now + SILENT_MS);
+        self.silent.insert(host.clone(), now + SILENCE_MS);
     }
 
-    /// Returns the host that paces all incarnations of the upstream `id`; this host if no other is available.
+    /// Returns the host that paces all incarnations of the upstream `id`; this host if no other is
+    /// available.
     pub fn pacer_of(&mut self, now: Tick, id: &Name) -> &Name {
         self.silent.retain(|_, until| now < *until);
         let silent = &self.silent;
--- a/crates/pacing/tests/breaker.rs
+++ b/crates/pacing/tests/breaker.rs
@@ -4,8 +4,8 @@
 use vanetally_pacing::{BreakerTransition, Pacer, Prompt, SendSlot, SlotReply};
 use vanetally_types::{Incarnation, Tick};
 
-/// Recorded arrival times of requests for one engine with one of few replicas of a busy model, each request at another
-/// host. The engine was down twice, and all requests within `DOWN_MS` were lost.
+/// Recorded arrival times of requests for one engine with one of few replicas of a busy model, each
+/// request at another host. The engine was down twice, and all requests within `DOWN_MS` were lost.
 const ARRIVALS_MS: [u64; 60] = [
     270, 340, 660, 710, 1240, 1940, 2170, 2990, 3910, 4010, 4060, 4060, 4120, 4130, 4210, 4270,
     4320, 4340, 4570, 4650, 4680, 5030, 5240, 5590, 6390, 6450, 6530, 6530, 6590, 6620, 6990, 7000,
@@ -81,7 +81,8 @@
     totals
 }
 
-/// Of the 34 requests that arrive while the engine is down, few are lost; the others wait until it is back.
+/// Of the 34 requests that arrive while the engine is down, few are lost; the others wait until it
+/// is back.
 #[test]
 fn engine_down() {
     let is_down = |at| DOWN_MS.iter().any(|down| down.contains(&at));
@@ -92,7 +93,8 @@
     assert!(totals.longest_wait_ms < 2_700, "{totals:?}");
 }
 
-/// The breaker stays closed for an engine that loses one request in twenty: holding requests back would not help.
+/// The breaker stays closed for an engine that loses one request in twenty: holding requests back
+/// would not help.
 #[test]
 fn occasional_failures() {
     let arrivals: Vec<u64> = (0..600).map(|number| number * 17).collect();
@@ -101,7 +103,8 @@
     assert_eq!(totals.longest_wait_ms, 0);
 }
 
-/// A single failure is no evidence; the second one opens the breaker, and a successful trial closes it.
+/// A single failure is no evidence; the second one opens the breaker, and a successful trial closes
+/// it.
 #[test]
 fn opens_and_closes() {
     let upstream: Incarnation = "i-1".into();
--- a/crates/pacing/tests/spacing.rs
+++ b/crates/pacing/tests/spacing.rs
@@ -80,8 +80,8 @@
 }
 
 proptest! {
-    /// Within any span of the maximum pause, the prompts sent to an engine take no longer to read than that pause,
-    /// plus at most one prompt.
+    /// Within any span of the maximum pause, the prompts sent to an engine take no longer to read
+    /// than that pause, plus at most one prompt.
     #[test]
     fn pauses_within_limit(arrivals in prop::collection::vec((0_u64..60, 5_u32..120), 1..200)) {
         let mut pacer = Pacer::default();
--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -62,7 +62,7 @@
 struct Share {
     quota: Quota,
     bucket: Bucket,
-    /// When the grantor last reported that the organisation is below its quota.
+    /// When the grantor last reported that the organisation stays far below its quota.
     below_quota_at: Option<Tick>,
     /// Units spent locally since then.
     spent: f64,
--- a/crates/quota/src/contact.rs
+++ b/crates/quota/src/contact.rs
@@ -3,7 +3,7 @@
 use vanetally_types::{Name, Tick};
 
 /// How long a grantor that did not answer is not asked. Its successor is known within two or three
-/// seconds, and each unanswered question delays a request.
+/// seconds, and each call that it does not answer delays a caller's request.
 const SILENCE_MS: u64 = 200;
 /// Minimum number of hosts for the size of a share. A host that has just started knows no others,
 /// and the smallest deployments have eight hosts.
