--- a/crates/dispatch/src/ending.rs
+++ b/crates/dispatch/src/ending.rs
@@ -205,7 +205,7 @@
         match end {
             AttemptEnd::Served => {
                 upstream.health.record(now, true);
-                upstream.consecutive_refusals = 0;
+                upstream.consecutive_rejections = 0;
             }
             // An error for an idempotent request says little about the upstream: if the request is
             // at fault, other upstreams fail as well.
@@ -218,8 +218,8 @@
             }
             AttemptEnd::Full => {
                 upstream.full_until =
-                    now + (FULL_PAUSE_MS << upstream.consecutive_refusals.min(MAX_DOUBLINGS));
-                upstream.consecutive_refusals += 1;
+                    now + (FULL_PAUSE_MS << upstream.consecutive_rejections.min(MAX_DOUBLINGS));
+                upstream.consecutive_rejections += 1;
                 let load = upstream.total(now);
                 // An upstream that rejects requests as full although it has free slots is at fault.
                 upstream.health.record(now, load.running * 2 >= upstream.state.slots);
--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -46,7 +46,7 @@
     /// No requests before this time, because the upstream was full.
     pub full_until: Tick,
     /// Number of rejections since the last successful answer.
-    pub consecutive_refusals: u32,
+    pub consecutive_rejections: u32,
     /// Stated rate limit over all hosts.
     pub limit: KnownLimit,
     /// While the upstream is rate-limited, it takes no more requests from this host before this
@@ -88,7 +88,7 @@
             own_load: Load::default(),
             health: Health::default(),
             full_until: Tick(0),
-            consecutive_refusals: 0,
+            consecutive_rejections: 0,
             limit: KnownLimit::default(),
             limited_until: Tick(0),
             cooldown: Cooldown::default(),
--- a/crates/gateway/src/hub.rs
+++ b/crates/gateway/src/hub.rs
@@ -277,7 +277,7 @@
                 }
                 dispatch::Action::ReportCrash(report) => self.report_crash(report),
                 dispatch::Action::RequestPermit { id, reservation, request } => {
-                    tokio::task::spawn_local(self.clone().permit(id, reservation, request));
+                    tokio::task::spawn_local(self.clone().obtain_permit(id, reservation, request));
                 }
                 dispatch::Action::ReturnPermit { upstream, rate } => {
                     self.return_permit(upstream, rate);
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -55,7 +55,7 @@
 impl Hub {
     /// Obtains the send time of a request to a rate-limited upstream and passes it to the
     /// dispatcher.
-    pub(crate) async fn permit(
+    pub(crate) async fn obtain_permit(
         self: Rc<Self>,
         id: RequestId,
         reservation: u32,
@@ -116,7 +116,7 @@
     fn grant_permit(&self, host: &Name, request: &PermitRequest) -> PermitAnswer {
         self.update_granting();
         let now = self.clock.now();
-        self.quotas.borrow_mut().grantor.record_request(now, host);
+        self.quotas.borrow_mut().grantor.record_client(now, host);
         self.limits.borrow_mut().grantor.decide(now, request)
     }
 
@@ -166,6 +166,6 @@
     /// Records that `host` asks this grantor and no other.
     pub(crate) fn record_client(&self, host: &Name) {
         let now = self.clock.now();
-        self.quotas.borrow_mut().grantor.record_request(now, host);
+        self.quotas.borrow_mut().grantor.record_client(now, host);
     }
 }
--- a/crates/gateway/src/quotas.rs
+++ b/crates/gateway/src/quotas.rs
@@ -168,7 +168,7 @@
         self.update_granting();
         let now = self.clock.now();
         let grantor = &mut self.quotas.borrow_mut().grantor;
-        grantor.record_request(now, host);
+        grantor.record_client(now, host);
         grantor.spend(now, organisation, cost)
     }
 
--- a/crates/quota/src/grantor.rs
+++ b/crates/quota/src/grantor.rs
@@ -26,14 +26,14 @@
 
 /// Minimum share of the known hosts that must ask a grantor whose lease can't be renewed. The
 /// others may have another grantor; what that grants them stays within a tenth of the quota.
-const MIN_ASKING_SHARE: f64 = 0.9;
+const MIN_CLIENT_SHARE: f64 = 0.9;
 /// Longest pause in granting after which a grantor may continue without its lease. It takes a
 /// second after the end of the lease to be sure that the store is unavailable.
 const MAX_GRANT_GAP_MS: u64 = 3_000;
 /// How long a host counts as asking this grantor; later it may ask another one. A grantor that has
 /// a successor and is cut off together with a third of the hosts stops before it has granted them
 /// two thirds of a second of the quota.
-const ASKER_MS: u64 = 2_000;
+const CLIENT_MS: u64 = 2_000;
 
 /// Token buckets of all organisations.
 ///
@@ -48,7 +48,7 @@
     /// When this host last was allowed to grant.
     granted_at: Option<Tick>,
     /// When each host last asked.
-    hosts_asking: HashMap<Name, Tick>,
+    clients: HashMap<Name, Tick>,
 }
 
 impl Grantor {
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Records that a host asked; this host counts as well.
-    pub fn record_request(&mut self, now: Tick, host: &Name) {
-        match self.hosts_asking.get_mut(host) {
+    /// Records that `host` asks this grantor; this host counts as well.
+    pub fn record_client(&mut self, now: Tick, host: &Name) {
+        match self.clients.get_mut(host) {
             Some(at) => *at = now,
             None => {
-                self.hosts_asking.insert(host.clone(), now);
+                self.clients.insert(host.clone(), now);
             }
         }
     }
@@ -95,10 +95,10 @@
     /// Whether a grantor whose lease ran out because the store is unavailable may continue. Nearly
     /// all of `hosts` still ask it, so hardly any can have another grantor.
     pub fn may_continue(&mut self, now: Tick, hosts: usize) -> bool {
-        self.hosts_asking.retain(|_, at| now.since(*at) <= ASKER_MS);
+        self.clients.retain(|_, at| now.since(*at) <= CLIENT_MS);
         let has_recently_granted =
             self.granted_at.is_some_and(|at| now.since(at) <= MAX_GRANT_GAP_MS);
-        has_recently_granted && self.hosts_asking.len() as f64 >= hosts as f64 * MIN_ASKING_SHARE
+        has_recently_granted && self.clients.len() as f64 >= hosts as f64 * MIN_CLIENT_SHARE
     }
 
     /// Decides whether `organisation` may spend `cost` now, and takes the cost if so.
--- a/crates/quota/tests/grants.rs
+++ b/crates/quota/tests/grants.rs
@@ -86,7 +86,7 @@
 fn store_unavailable_for_all() {
     let mut grantor = grantor(START, RATE);
     let hosts: Vec<Name> = (0..20).map(|number| format!("h{number}").as_str().into()).collect();
-    hosts.iter().for_each(|host| grantor.record_request(START, host));
+    hosts.iter().for_each(|host| grantor.record_client(START, host));
     assert!(grantor.may_continue(START + 1_500, 20));
     assert!(grantor.may_continue(START + 1_500, 22));
     assert!(!grantor.may_continue(START + 1_500, 23), "three may have another grantor");
@@ -98,7 +98,7 @@
 fn never_held_the_lease() {
     let mut grantor = Grantor::default();
     grantor.configure(START, quota(RATE));
-    grantor.record_request(START, &"h1".into());
+    grantor.record_client(START, &"h1".into());
     assert!(!grantor.may_continue(START, 1));
 }
 
