--- a/crates/dispatch/src/cooldown.rs
+++ b/crates/dispatch/src/cooldown.rs
@@ -1,6 +1,6 @@
 //! Cooldown that an upstream requested from this host with `Retry-After`.
 //!
-//! An upstream that turns a request away may ask this host to send nothing for some seconds. After
+//! An upstream that rejects a request may ask this host to send nothing for some seconds. After
 //! that time one trial request is sent; the others follow only when it was answered, since the
 //! upstream may request another cooldown.
 
--- a/crates/dispatch/src/shortage.rs
+++ b/crates/dispatch/src/shortage.rs
@@ -18,7 +18,7 @@
     Attempt,
     /// The upstream requested a cooldown.
     Cooldown,
-    /// The upstream turned requests away or could not be reached a short time ago.
+    /// The upstream rejected requests or could not be reached a short time ago.
     TurnedAway,
     /// The upstream is rate-limited and takes no more requests now.
     Limit,
