--- a/crates/bench/benches/decisions.rs
+++ b/crates/bench/benches/decisions.rs
@@ -197,7 +197,7 @@
             leaving: false,
         };
         let options = Options {
-            me: HostId::new("entry-0", 1),
+            host_id: HostId::new("entry-0", 1),
             listed: listed(0),
             slots: 16,
             groups: 8,
--- a/crates/core/src/dump.rs
+++ b/crates/core/src/dump.rs
@@ -9,7 +9,7 @@
     /// Returns the state that decisions depend on, without secrets.
     pub fn dump(&self) -> Value {
         json!({
-            "host": self.options.me,
+            "host": self.options.host_id,
             "domain": self.options.listed.domain,
             "ready": self.is_ready(),
             "stopping": self.stopping,
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -45,7 +45,7 @@
     /// others receive changes from peers.
     fn choose_watchers(&mut self) {
         let domain = self.options.listed.domain.clone();
-        let mut names = vec![self.options.me.name.clone()];
+        let mut names = vec![self.options.host_id.name.clone()];
         for peer in self.members.peers() {
             if peer.listed.domain == domain
                 && self.members.is_host_eligible(self.now, &peer.listed.name)
@@ -54,7 +54,8 @@
             }
         }
         let ranked = rendezvous_rank(hash64(b"watchers"), &names);
-        let watch = ranked.iter().take(WATCHERS_PER_DOMAIN).any(|n| **n == self.options.me.name);
+        let watch =
+            ranked.iter().take(WATCHERS_PER_DOMAIN).any(|n| **n == self.options.host_id.name);
         if self.watching != Some(watch) {
             self.watching = Some(watch);
             self.actions.push(Action::Watch(watch));
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -41,9 +41,9 @@
         self.ledgers.retain(|name, _| specs.contains_key(name));
         self.runner_status.retain(|name, _| specs.contains_key(name));
         self.probes.retain(|name, _| specs.contains_key(name));
-        let me = self.options.me.clone();
+        let host_id = self.options.host_id.clone();
         for (name, spec) in specs {
-            let new = || Ledger::new(me.clone(), spec.clone(), Guards::ON);
+            let new = || Ledger::new(host_id.clone(), spec.clone(), Guards::ON);
             let is_new = !self.ledgers.contains_key(&name);
             self.ledgers.entry(name.clone()).or_insert_with(new).set_spec(spec.clone());
             let group = group_of(&name, self.options.groups);
@@ -165,11 +165,11 @@
     /// Claims a group without an eligible leader if this host ranks first, and polls its runners if
     /// this host is the leader or the preferred one.
     fn tick_group(&mut self, number: u16) {
-        let me = self.options.me.name.clone();
+        let host = self.options.host_id.name.clone();
         let holder = self.group_leaders.get(&number).map(|h| h.1.clone());
         let is_eligible =
             holder.as_ref().is_some_and(|h| self.members.is_process_eligible(self.now, h));
-        let leads = holder.as_ref() == Some(&self.options.me);
+        let leads = holder.as_ref() == Some(&self.options.host_id);
         let poller = match is_eligible {
             true => holder.map(|h| h.name),
             false => self.preferred_leader(number),
@@ -178,13 +178,13 @@
         let due = self.now.since(last_claim) >= LEADER_CLAIM_INTERVAL_MS;
         if self.stopping {
             self.group_event(number, GroupEvent::Release);
-        } else if (!is_eligible || leads) && poller.as_ref() == Some(&me) && due {
+        } else if (!is_eligible || leads) && poller.as_ref() == Some(&host) && due {
             self.last_group_claims.insert(number, self.now);
             self.group_event(number, GroupEvent::Claim { leader_eligible: is_eligible && !leads });
         }
         for runner in self.runners_of(number) {
             self.ledger_event(&runner, LedgerEvent::Tick);
-            if poller.as_ref() == Some(&me) {
+            if poller.as_ref() == Some(&host) {
                 self.poll(&runner);
             } else {
                 self.probes.remove(&runner);
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// This process.
-    pub me: HostId,
+    pub host_id: HostId,
     /// This host's entry in the list of hosts.
     pub listed: ListedHost,
     /// Number of slots for once-only ids; the same on all hosts.
@@ -107,7 +107,7 @@
             max_ids: MAX_SLOT_IDS,
             guards: vanetally_claim::Guards::ON,
         };
-        let me = options.me.clone();
+        let host_id = options.host_id.clone();
         let router = vanetally_route::Options {
             domain: options.listed.domain.clone(),
             max_queued: options.max_queued,
@@ -116,7 +116,7 @@
             now,
             actions: Vec::new(),
             revisions: RevisionTracker::default(),
-            members: Members::new(me.clone(), options.suspect_ms),
+            members: Members::new(host_id.clone(), options.suspect_ms),
             router: Router::new(router),
             started: now,
             last_tick: now,
@@ -127,13 +127,13 @@
             stopped: false,
             watching: None,
             config_requested_at: Tick::default(),
-            slots: (0..options.slots).map(|_| Slot::new(me.clone(), slot_options)).collect(),
+            slots: (0..options.slots).map(|_| Slot::new(host_id.clone(), slot_options)).collect(),
             slot_holders: BTreeMap::new(),
             last_slot_reads: BTreeMap::new(),
             takeover_reads: BTreeSet::new(),
             attempts: BTreeMap::new(),
             unacked_outcomes: BTreeMap::new(),
-            groups: (0..options.groups).map(|_| GroupLeadership::new(me.clone())).collect(),
+            groups: (0..options.groups).map(|_| GroupLeadership::new(host_id.clone())).collect(),
             group_leaders: BTreeMap::new(),
             last_group_claims: BTreeMap::new(),
             ledgers: BTreeMap::new(),
--- a/crates/core/src/planning.rs
+++ b/crates/core/src/planning.rs
@@ -29,7 +29,7 @@
         let Some(planner) = self.planner_name() else {
             return;
         };
-        let is_planner = planner == self.options.me.name;
+        let is_planner = planner == self.options.host_id.name;
         if self.now >= self.next_demand_report {
             self.next_demand_report = self.now + PLAN_INTERVAL_MS;
             self.report_demand(&planner, is_planner);
@@ -183,7 +183,7 @@
             by_host.entry(holder.name.clone()).or_default().insert(runner.name.clone(), desired);
         }
         for (host, desired) in by_host {
-            match host == self.options.me.name {
+            match host == self.options.host_id.name {
                 true => self.set_desired(desired),
                 false => self.send_desired_to(host, desired),
             }
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -94,7 +94,7 @@
     }
 
     fn ticket(&self, number: u64) -> Ticket {
-        Ticket { entry: self.options.me.clone(), number }
+        Ticket { entry: self.options.host_id.clone(), number }
     }
 
     /// Sends a claim for the request's id to the slot's holder, or to `to` if that is given.
@@ -113,7 +113,7 @@
             _ if tries > MAX_CLAIM_TRIES => self.abandon(number),
             // The caller may retry; waiting here for a new holder would delay the answer.
             Some(holder) if !is_reachable(&holder) => self.abandon(number),
-            Some(holder) if holder != self.options.me => {
+            Some(holder) if holder != self.options.host_id => {
                 self.send(&holder.name, Frame::Claim(claim));
             }
             Some(_) => self.handle_claim(claim),
@@ -139,7 +139,7 @@
 
     pub(crate) fn claim_replied(&mut self, from: HostId, ticket: Ticket, id: Id, reply: Reply) {
         let number = ticket.number;
-        if ticket.entry != self.options.me {
+        if ticket.entry != self.options.host_id {
             return;
         }
         let Some(attempt) = self.attempts.get_mut(&number) else {
@@ -212,7 +212,7 @@
         let Some((_, holder)) = self.slot_holders.get(&slot).cloned() else {
             return;
         };
-        if holder != self.options.me {
+        if holder != self.options.host_id {
             let ticket = ticket.clone();
             return self.send(&holder.name, Frame::Finished { id, ticket, outcome });
         }
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -42,9 +42,9 @@
         match action {
             SlotAction::Write { base, record } => self.put(Key::Slot(number), base, &record),
             SlotAction::Reply { ticket, id, reply } => {
-                if ticket.entry == self.options.me {
-                    let me = self.options.me.clone();
-                    return self.claim_replied(me, ticket, id, reply);
+                if ticket.entry == self.options.host_id {
+                    let host_id = self.options.host_id.clone();
+                    return self.claim_replied(host_id, ticket, id, reply);
                 }
                 let to = ticket.entry.name.clone();
                 self.send(&to, Frame::ClaimReply { ticket, id, reply });
@@ -129,7 +129,7 @@
     /// The process that should take over a slot from this host.
     fn successor(&self, number: u16) -> Option<HostId> {
         let ranked = self.ranked_hosts(number);
-        let others = ranked.iter().filter(|n| **n != self.options.me.name);
+        let others = ranked.iter().filter(|n| **n != self.options.host_id.name);
         others.filter_map(|n| self.members.current_process(n)).next()
     }
 
@@ -147,8 +147,8 @@
         let record = slot.record();
         let backup = record.and_then(|r| r.backup.as_ref());
         match backup.filter(|b| self.members.is_process_eligible(self.now, b)) {
-            Some(backup) => *backup == self.options.me,
-            None => self.ranked_hosts(number).first() == Some(&self.options.me.name),
+            Some(backup) => *backup == self.options.host_id,
+            None => self.ranked_hosts(number).first() == Some(&self.options.host_id.name),
         }
     }
 
@@ -173,7 +173,7 @@
     fn check_slot_holder(&mut self, number: u16) {
         let latest = self.slot_holders.get(&number);
         let is_reachable = latest.is_some_and(|h| self.members.is_reachable(self.now, &h.1));
-        let held_here = latest.is_some_and(|h| h.1 == self.options.me);
+        let held_here = latest.is_some_and(|h| h.1 == self.options.host_id);
         let last_read = self.last_slot_reads.get(&number).copied().unwrap_or(self.started);
         if (is_reachable && !held_here)
             || self.stopping
--- a/crates/core/tests/pauses.rs
+++ b/crates/core/tests/pauses.rs
@@ -20,7 +20,7 @@
 /// A core that knows host b, which holds all slots and has just sent a ping.
 fn core() -> Core {
     let options = Options {
-        me: HostId::new("a", 1),
+        host_id: HostId::new("a", 1),
         listed: listed("a"),
         slots: 4,
         groups: 1,
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -164,7 +164,7 @@
     let settings = &shared.settings;
     let timing = &settings.timing;
     Options {
-        me: shared.host_id.clone(),
+        host_id: shared.host_id.clone(),
         listed: ListedHost {
             name: settings.host.clone(),
             link_addr: settings.peer.to_string().into(),
--- a/crates/ledger/src/machine.rs
+++ b/crates/ledger/src/machine.rs
@@ -30,7 +30,7 @@
 /// The leader's state of one runner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
-    pub(crate) me: HostId,
+    pub(crate) host_id: HostId,
     pub(crate) spec: RunnerSpec,
     pub(crate) guards: Guards,
     pub(crate) state: LeaderState,
@@ -60,9 +60,9 @@
 
 impl Ledger {
     /// Creates the ledger of a runner that this process does not lead yet.
-    pub fn new(me: HostId, spec: RunnerSpec, guards: Guards) -> Self {
+    pub fn new(host_id: HostId, spec: RunnerSpec, guards: Guards) -> Self {
         Self {
-            me,
+            host_id,
             spec,
             guards,
             state: LeaderState::Idle,
@@ -329,7 +329,7 @@
     /// Settles intents whose orders can't arrive any more by the operator's bound.
     fn expire_intents(&mut self, now: Tick) {
         if !self.guards.issuer_quiet {
-            let others = self.open_intents.iter().filter(|(_, i)| i.issuer != self.me);
+            let others = self.open_intents.iter().filter(|(_, i)| i.issuer != self.host_id);
             let seqs: Vec<u64> = others.map(|(seq, _)| *seq).collect();
             for seq in seqs {
                 self.open_intents.remove(&seq);
--- a/crates/ledger/src/next_action.rs
+++ b/crates/ledger/src/next_action.rs
@@ -42,7 +42,7 @@
             return;
         }
         let seq = self.seq + 1;
-        self.open_intents.insert(seq, Intent { op: op.clone(), issuer: self.me.clone() });
+        self.open_intents.insert(seq, Intent { op: op.clone(), issuer: self.host_id.clone() });
         self.pending_order = Some(PendingOrder { seq, op });
         self.write_record(actions);
     }
--- a/crates/ledger/src/record_writes.rs
+++ b/crates/ledger/src/record_writes.rs
@@ -9,7 +9,7 @@
         self.seq += 1;
         let record = Record {
             term: self.term,
-            holder: self.me.clone(),
+            holder: self.host_id.clone(),
             seq: self.seq,
             open: self.open_intents.clone(),
         };
@@ -62,7 +62,8 @@
         let Some(attempted) = self.pending_write.clone() else {
             return;
         };
-        let is_own = record.as_ref().is_some_and(|r| r.term == self.term && r.holder == self.me);
+        let is_own =
+            record.as_ref().is_some_and(|r| r.term == self.term && r.holder == self.host_id);
         match record {
             Some(r) if is_own && r.seq == attempted.seq => {
                 self.written(now, attempted.seq, actions)
--- a/crates/member/src/group.rs
+++ b/crates/member/src/group.rs
@@ -96,7 +96,7 @@
 /// The state of a group's leadership on one host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct GroupLeadership {
-    me: HostId,
+    host_id: HostId,
     role: Role,
     stored: Option<VersionedRecord>,
     pending_write: Option<Record>,
@@ -109,9 +109,9 @@
 
 impl GroupLeadership {
     /// Creates the state of a group whose record has not been read.
-    pub fn new(me: HostId) -> Self {
+    pub fn new(host_id: HostId) -> Self {
         Self {
-            me,
+            host_id,
             role: Role::Other,
             stored: None,
             pending_write: None,
@@ -166,7 +166,7 @@
             let is_newer = stored.record.term > self.highest_term;
             let record = stored.record.clone();
             self.highest_term = self.highest_term.max(record.term);
-            if is_newer && !record.released && record.holder != self.me {
+            if is_newer && !record.released && record.holder != self.host_id {
                 // Another host became leader meanwhile: leave it until the next claim.
                 self.holder = Some(record.holder);
                 return;
@@ -185,7 +185,7 @@
 
     fn write(&mut self, released: bool, actions: &mut Vec<Action>) {
         let base = self.stored.as_ref().map_or(0, |s| s.version);
-        let record = Record { term: self.highest_term + 1, holder: self.me.clone(), released };
+        let record = Record { term: self.highest_term + 1, holder: self.host_id.clone(), released };
         self.highest_term = record.term;
         self.pending_write = Some(record.clone());
         if !released {
@@ -210,7 +210,7 @@
             self.holder = None;
             return;
         }
-        self.holder = Some(self.me.clone());
+        self.holder = Some(self.host_id.clone());
         self.role = Role::Holder;
         actions.push(Action::LeadershipAcquired(record.term));
     }
@@ -245,7 +245,7 @@
         }
         self.highest_term = self.highest_term.max(term);
         match holder {
-            Some(holder) if holder == self.me => {}
+            Some(holder) if holder == self.host_id => {}
             Some(holder) => {
                 self.holder = Some(holder);
                 if self.pending_write.is_none() {
--- a/crates/member/src/members.rs
+++ b/crates/member/src/members.rs
@@ -42,7 +42,7 @@
 /// All hosts known to this one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Members {
-    me: HostId,
+    host_id: HostId,
     suspect_ms: u64,
     leaving: bool,
     peers: BTreeMap<Name, Peer>,
@@ -50,13 +50,13 @@
 
 impl Members {
     /// Creates an empty membership; a peer silent for `suspect_ms` is suspected to have failed.
-    pub fn new(me: HostId, suspect_ms: u64) -> Self {
-        Self { me, suspect_ms, leaving: false, peers: BTreeMap::new() }
+    pub fn new(host_id: HostId, suspect_ms: u64) -> Self {
+        Self { host_id, suspect_ms, leaving: false, peers: BTreeMap::new() }
     }
 
     /// This process.
-    pub fn me(&self) -> &HostId {
-        &self.me
+    pub fn host_id(&self) -> &HostId {
+        &self.host_id
     }
 
     /// Marks this host as leaving.
@@ -84,7 +84,7 @@
             peer.is_listed = false;
         }
         for host in list {
-            if host.name == self.me.name {
+            if host.name == self.host_id.name {
                 continue;
             }
             let peer = self.peers.entry(host.name.clone()).or_insert_with(|| Peer {
@@ -106,7 +106,7 @@
 
     /// Records a ping. Returns the earlier incarnation that it proves to have ended.
     pub fn record_ping(&mut self, now: Tick, host: ListedHost, incarnation: u64) -> Option<HostId> {
-        if host.name == self.me.name {
+        if host.name == self.host_id.name {
             return None;
         }
         let name = host.name.clone();
@@ -131,7 +131,7 @@
     /// Whether the host may hold slots and groups: it is not silent, or not known for long enough to
     /// be suspected, and it is not leaving.
     pub fn is_host_eligible(&self, now: Tick, name: &str) -> bool {
-        if *name == *self.me.name {
+        if *name == *self.host_id.name {
             return !self.leaving;
         }
         self.peers.get(name).is_some_and(|p| self.peer_eligible(now, p))
@@ -147,7 +147,7 @@
 
     /// Whether this process may hold slots and groups and no later one is known on its host.
     pub fn is_process_eligible(&self, now: Tick, host: &HostId) -> bool {
-        if *host == self.me {
+        if *host == self.host_id {
             return !self.leaving;
         }
         let known = self.peers.get(&host.name).and_then(|p| p.incarnation);
@@ -157,7 +157,7 @@
     /// Whether this process is not suspected and no later one is known on its host; it may be
     /// leaving.
     pub fn is_reachable(&self, now: Tick, host: &HostId) -> bool {
-        if *host == self.me {
+        if *host == self.host_id {
             return true;
         }
         self.peers.get(&host.name).is_some_and(|p| {
@@ -172,7 +172,7 @@
         let others = self.peers.values().filter(|p| self.peer_eligible(now, p));
         let mut names: Vec<Name> = others.map(|p| p.listed.name.clone()).collect();
         if !self.leaving {
-            names.push(self.me.name.clone());
+            names.push(self.host_id.name.clone());
         }
         names.sort();
         names
@@ -180,8 +180,8 @@
 
     /// The latest known process on the host `name`; `None` before its first ping.
     pub fn current_process(&self, name: &str) -> Option<HostId> {
-        if *name == *self.me.name {
-            return Some(self.me.clone());
+        if *name == *self.host_id.name {
+            return Some(self.host_id.clone());
         }
         let peer = self.peers.get(name)?;
         Some(HostId::new(peer.listed.name.clone(), peer.incarnation?))
