--- a/crates/config/src/catalog.rs
+++ b/crates/config/src/catalog.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Catalog {
-    /// Clients that may send requests.
+    /// Callers that may send requests.
     pub callers: Vec<Caller>,
     /// Models and their versions.
     pub models: Vec<Model>,
@@ -49,12 +49,13 @@
     pub once: Vec<Selector>,
     /// Load limits of the weight store.
     pub store: Store,
-    /// Cost of each load or unload, in requests expected to meet their deadline; a move must gain
-    /// more than it costs.
+    /// Expected number of requests within their deadline that a move must gain, for each load or
+    /// unload that it takes. A low value favours the attainment of deadlines, a high one fewer
+    /// moves.
     pub move_price: u32,
 }
 
-/// A client, identified by its bearer token.
+/// A caller, identified by its bearer token.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Caller {
--- a/crates/core/src/frame.rs
+++ b/crates/core/src/frame.rs
@@ -15,7 +15,7 @@
 /// A message between daemons.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Sent periodically to show that the sender is alive.
+    /// Sent periodically to show that the sender is reachable.
     #[serde(rename = "p")]
     Ping {
         /// The sender's host entry, including whether it is leaving.
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -21,7 +21,8 @@
 
 /// Time without a reply after which a claim is sent again.
 const CLAIM_RETRY_MS: u64 = 1_000;
-/// Maximum number of hosts that a claim is sent to in turn before the attempt is refused.
+/// Maximum number of tries of a claim before the attempt is refused: at one host after another, or
+/// while no holder is known.
 const MAX_CLAIM_TRIES: u32 = 8;
 /// Retry delay for callers whose id could not be decided.
 const UNDECIDED_RETRY_MS: u64 = 2_000;
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -92,8 +92,8 @@
         self.addresses
     }
 
-    /// Begins a planned stop: the daemon reports that it is not ready, hands its duties over and
-    /// completes the requests in flight.
+    /// Begins a planned stop: the daemon reports that it is not ready, hands its slots and
+    /// groups over and completes the requests in flight.
     pub fn stop(&self) {
         self.shared.stopping.store(true, Ordering::Relaxed);
         if self.hub.send(Input::Core(Event::Stop)).is_err() {
--- a/crates/link/src/peer.rs
+++ b/crates/link/src/peer.rs
@@ -52,7 +52,7 @@
 /// Options of all links of a daemon.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Id of this host.
+    /// Id of this process.
     pub host_id: HostId,
     /// Key shared by all daemons.
     pub key: Name,
--- a/crates/member/src/group.rs
+++ b/crates/member/src/group.rs
@@ -1,8 +1,8 @@
 //! Leadership of a group of runners.
 //!
 //! A record in the platform's service names the leader; each change of it increments the term.
-//! Two hosts may consider themselves leader at the same time, so this record alone authorises no
-//! order: the runner's fence or the compare-and-swap on the runner's record does.
+//! Two hosts may act as leader at the same time, so this record alone authorises no order: the
+//! runner's fence or the compare-and-swap on the runner's record does.
 
 use serde::{Deserialize, Serialize};
 use vanetally_types::{HostId, Name, hash64};
--- a/crates/ports/src/caller.rs
+++ b/crates/ports/src/caller.rs
@@ -40,7 +40,7 @@
     pub host: Name,
     /// Request path.
     pub path: Name,
-    /// Time that the caller waits for the answer, in milliseconds.
+    /// Time that the caller waits for the answer.
     pub wait_ms: Option<u64>,
     /// Credential of the caller.
     pub credential: Credential,
@@ -126,7 +126,7 @@
     pub cause: RefusalCause,
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Time after which a retry is worthwhile, in milliseconds; `None` if the request may have run.
+    /// Time after which a retry is worthwhile; `None` if the request may have run.
     pub retry_after_ms: Option<u64>,
 }
 
--- a/crates/ports/src/configuration.rs
+++ b/crates/ports/src/configuration.rs
@@ -41,11 +41,11 @@
     pub prefix: Name,
     /// How often a request may run.
     pub kind: RequestKind,
-    /// Timeout of a request in milliseconds; the caller's own deadline may be shorter.
+    /// Timeout of a request; the caller's own deadline may be shorter.
     pub timeout_ms: u64,
-    /// Target latency of an answer, in milliseconds.
+    /// Target latency of an answer.
     pub target_ms: u64,
-    /// Target for the maximum gap between events of a stream, in milliseconds.
+    /// Target for the maximum gap between events of a stream.
     pub gap_ms: Option<u64>,
     /// Priority of the requests; 0 is the highest.
     pub priority: u8,
@@ -112,11 +112,11 @@
 pub struct ModelSpec {
     /// Size of the weights in megabytes.
     pub weights_mb: f64,
-    /// Load time from the weight store, in seconds.
+    /// Load time from the weight store.
     pub load_s: f64,
-    /// Load time from the runner's own memory, in seconds.
+    /// Load time from the runner's own memory.
     pub warm_s: f64,
-    /// Load time from the runner's own disk, in seconds.
+    /// Load time from the runner's own disk.
     pub disk_s: f64,
     /// Number of adapters of the model.
     pub adapters: u32,
@@ -127,13 +127,13 @@
 /// Limits on requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Maximum size of a request's head in bytes.
+    /// Maximum size of a request's head.
     pub header_bytes: usize,
-    /// Maximum size of a request's body in bytes.
+    /// Maximum size of a request's body.
     pub body_bytes: usize,
-    /// Time limit for receiving a request's head, in milliseconds.
+    /// Time limit for receiving a request's head.
     pub header_ms: u64,
-    /// Time after which an idle connection is closed, in milliseconds.
+    /// Time after which an idle connection is closed.
     pub idle_ms: u64,
 }
 
--- a/crates/ports/src/engine.rs
+++ b/crates/ports/src/engine.rs
@@ -164,8 +164,8 @@
     pub limit: Stated<f64>,
     /// Set if the upstream is leaving and accepts no new requests.
     pub leaving: Stated<()>,
-    /// Time for which the sending host must not send to the upstream again, in milliseconds; stated when the upstream
-    /// turns a request away.
+    /// Time for which the sending host must not send to the upstream again; stated when the upstream turns a request
+    /// away.
     pub cooldown_ms: Stated<u64>,
 }
 
--- a/crates/ports/src/store.rs
+++ b/crates/ports/src/store.rs
@@ -169,8 +169,7 @@
     /// If `body` is not a valid page.
     fn read_range(&self, era: Era, body: &[u8]) -> Result<Page, FormatError>;
 
-    /// Returns the request that waits up to `wait_ms` milliseconds for changes of keys with `prefix` after the revision
-    /// `after`.
+    /// Returns the request that waits up to `wait_ms` for changes of keys with `prefix` after the revision `after`.
     fn watch(&self, prefix: &str, after: Revision, wait_ms: u64) -> http::Request<Bytes>;
 
     /// Parses the answer to a watch, received from `era` of the store; `None` if the store rejects requests for now.
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -159,7 +159,7 @@
 pub struct Arrivals {
     /// Number of requests.
     pub count: u32,
-    /// Estimated slot time of these requests, in milliseconds.
+    /// Estimated slot time of these requests.
     pub slot_ms: f64,
 }
 
--- a/crates/route/src/selection.rs
+++ b/crates/route/src/selection.rs
@@ -50,7 +50,8 @@
     if criteria.prefix == 0 {
         return Some(least_loaded);
     }
-    // Saturated replicas are ranked too, so that prefixes keep their replicas when one fills up.
+    // Replicas without free capacity are ranked too, so that prefixes keep their replicas when one
+    // fills up.
     let ranked = rendezvous_rank(criteria.prefix, candidates.iter().map(|r| &r.upstream.name));
     let max_score = score(least_loaded) + AFFINITY_MARGIN;
     let preferred = ranked
--- a/crates/route/src/service_time.rs
+++ b/crates/route/src/service_time.rs
@@ -3,7 +3,7 @@
 /// Moving average of the service time of one target's requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceTime {
-    /// Mean time in milliseconds for which a request occupies a slot.
+    /// Mean time for which a request occupies a slot.
     pub mean_ms: f64,
     /// Number of requests in the average, up to `WINDOW`.
     samples: f64,
