--- a/crates/claim/src/slot.rs
+++ b/crates/claim/src/slot.rs
@@ -88,7 +88,7 @@
         /// Answers that it keeps.
         answers: Vec<(Id, Arc<Answer>)>,
     },
-    /// Present holder to the earlier one: the handed over state is recorded.
+    /// Present holder to the earlier one: the state that was handed over is recorded.
     #[serde(rename = "FarewellSeen")]
     HandoverAck,
 }
@@ -232,12 +232,11 @@
 /// Settings of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// How long past its deadline an id is kept, in milliseconds; no deadline lies further ahead
-    /// than this.
+    /// How long past its deadline an id is kept; no deadline lies further ahead than this.
     pub retention_ms: u64,
-    /// Minimum time between two writes, in milliseconds.
+    /// Minimum time between two writes.
     pub write_interval_ms: u64,
-    /// Maximum time that an attempt waits for the record or a promise, in milliseconds.
+    /// Maximum time that an attempt waits for the record or a promise.
     pub wait_limit_ms: u64,
     /// Maximum number of ids kept at once.
     pub max_ids: usize,
@@ -323,7 +322,9 @@
     pub(crate) unrecorded: BTreeSet<Id>,
     /// Whether something other than ids has changed since the record was written.
     pub(crate) needs_write: bool,
+    /// See [`Record::expired_until`].
     pub(crate) expired_until: u64,
+    /// See [`Record::unresolved`].
     pub(crate) unresolved: BTreeMap<HostId, Option<u64>>,
     pub(crate) backup: Option<HostId>,
     /// The write in progress.
--- a/crates/claim/src/succession.rs
+++ b/crates/claim/src/succession.rs
@@ -30,6 +30,7 @@
             None => self.draft_record(0, self.host.clone(), None),
             Some(stored) => stored.record.clone(),
         };
+        // Without the promise of its backup the holder can't have granted ids from memory.
         let has_promised = self.promised.is_some_and(|(epoch, _)| epoch == next.epoch);
         let has_proof = next.backup.as_ref() == Some(&self.host) && !has_promised;
         if !has_proof && next.holder != self.host {
--- a/crates/fanout/src/contact.rs
+++ b/crates/fanout/src/contact.rs
@@ -175,8 +175,7 @@
         self.returned.map(|at| now.since(at)).filter(|ms_ago| *ms_ago < self.return_ms)
     }
 
-    /// Returns how long to wait for a missing key, in milliseconds: until all live upstreams have had the time to write
-    /// theirs.
+    /// Returns how long to wait for a missing key: until all live upstreams have had the time to write theirs.
     pub fn missing_key_wait_ms(&self, now: Tick) -> u64 {
         match self.returned {
             Some(returned) if !self.is_away(now) => {
--- a/crates/fanout/src/source_state.rs
+++ b/crates/fanout/src/source_state.rs
@@ -7,7 +7,7 @@
 pub(crate) enum SourceState {
     /// The host is looking for another host to subscribe to.
     Searching(Search),
-    /// The host reads the store since `since`; `confirmed` is when the store last confirmed the data.
+    /// The host has read the store since `since`; `confirmed` is when the store last confirmed the data.
     Store {
         since: Tick,
         confirmed: Option<Tick>,
--- a/crates/fanout/src/spacing.rs
+++ b/crates/fanout/src/spacing.rs
@@ -20,8 +20,8 @@
 
 /// Minimum interval between two status messages of an aggregator, and between two reports to it.
 const MIN_INTERVAL_MS: f64 = 100.0;
-/// Number of hosts that an aggregator with half of a processor can serve at the minimum interval: each host takes it
-/// half a millisecond of processor time per interval, which is 4 ms where it has 0.12 of a processor.
+/// Number of hosts that an aggregator with half of a processor can serve at the minimum interval: each host
+/// costs it half a millisecond of processor time per interval, which lasts 4 ms with 0.12 of a processor.
 const REFERENCE_FANOUT: f64 = 30.0;
 /// Share of a processor, in percent, to which [`REFERENCE_FANOUT`] refers.
 const REFERENCE_CAPACITY: f64 = 50.0;
--- a/crates/fanout/src/timeouts.rs
+++ b/crates/fanout/src/timeouts.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns how long this host searches for another host before it reads the store, in milliseconds.
+    /// Returns how long this host searches for another host before it reads the store.
     fn search_limit_ms(&self) -> u64 {
         let rank = relative_rank(&self.me, &self.domain, self.usable(None));
         if rank < FIRST_SHARE {
--- a/crates/fanout/tests/mirror.rs
+++ b/crates/fanout/tests/mirror.rs
@@ -176,7 +176,7 @@
     );
 }
 
-/// A status that no key changed brings a host up to date without a change.
+/// A status that states that no key changed brings a host up to date without a change.
 #[test]
 fn advanced() {
     let mut follower = read_at(5, &[item("a", 3)]);
--- a/crates/fanout/tests/mirror_model.rs
+++ b/crates/fanout/tests/mirror_model.rs
@@ -31,7 +31,7 @@
     Changes { era: usize, after: usize, at: usize },
     /// The host's own watch continues from what it knows; the store is in this era.
     Watch { era: usize, at: usize },
-    /// Another host's status that no key changed.
+    /// Another host's status, which states that no key changed.
     Status { era: usize, at: usize },
     /// The difference between another host's state and this one's.
     Difference { era: usize, at: usize },
--- a/crates/placement/src/adapters.rs
+++ b/crates/placement/src/adapters.rs
@@ -40,7 +40,7 @@
         actions: &mut Vec<Action>,
     ) {
         if self.is_placed(service, &subject)
-            || self.copy_adapter(now, token, service, engine, subject.clone(), actions)
+            || self.load_adapter(now, token, service, engine, subject.clone(), actions)
         {
             return;
         }
@@ -61,8 +61,9 @@
         }
     }
 
-    /// Orders another copy of an adapter where it fits. Returns whether it did.
-    pub(crate) fn copy_adapter(
+    /// Orders a load of the adapter on a runner where it fits without an eviction. Returns whether
+    /// there is such a runner.
+    pub(crate) fn load_adapter(
         &mut self,
         now: Tick,
         token: FencingToken,
--- a/crates/placement/src/capacity.rs
+++ b/crates/placement/src/capacity.rs
@@ -12,7 +12,7 @@
     Fits,
     /// It fits once something else is evicted.
     NeedsEviction,
-    /// It can't fit.
+    /// It does not fit, whatever is evicted.
     Never,
 }
 
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -11,7 +11,7 @@
 pub struct Options {
     /// Name of this host, sent to runners as the holder of the order lease.
     pub holder: Name,
-    /// Window of the weight store's load limit, in milliseconds.
+    /// Window of the weight store's load limit.
     pub load_window_ms: u64,
 }
 
@@ -24,7 +24,7 @@
     pub subject: ModelRef,
     /// Number of requests that arrived.
     pub arrived: u32,
-    /// Expected runner time of these requests, in milliseconds.
+    /// Expected runner time of these requests.
     pub work_ms: u32,
 }
 
@@ -121,7 +121,7 @@
         subject: ModelRef,
         /// Whether the runner holds it.
         is_present: bool,
-        /// Delay of the announcement in milliseconds.
+        /// Delay of the announcement.
         delay_ms: u64,
     },
     /// Give up the order lease: a runner has seen a higher token.
--- a/crates/placement/src/inventory.rs
+++ b/crates/placement/src/inventory.rs
@@ -28,9 +28,9 @@
 pub(crate) struct Model<'a> {
     pub name: &'a Name,
     pub weights_mb: f64,
-    /// Duration of a load from the weight store, in seconds.
+    /// Duration of a load from the weight store.
     pub load_s: f64,
-    /// Duration of a load from a runner's local copy, in seconds.
+    /// Duration of a load from a runner's local copy.
     pub copy_load_s: f64,
     /// Requested runner-seconds per second.
     pub load: f64,
--- a/crates/placement/src/machine.rs
+++ b/crates/placement/src/machine.rs
@@ -33,8 +33,8 @@
     pub(crate) load_limits: HashMap<Name, LoadLimit>,
     /// Models and adapters that hosts requested, with the time of the last request.
     pub(crate) requested: BTreeMap<(Name, ModelRef), Tick>,
-    /// Models whose replicas are all saturated while callers wait, with the time of the last
-    /// request.
+    /// Models whose replicas are all saturated while callers wait, with the time when a host last
+    /// reported it.
     pub(crate) saturated: BTreeMap<(Name, Name), Tick>,
     /// Models whose holders have no room for a requested adapter, with the time this was last
     /// found.
@@ -299,8 +299,8 @@
         let subject = Subject { model: subject.model.clone(), adapter: subject.adapter.clone() };
         match (&subject.adapter, is_saturated) {
             (Some(_), true) => {
-                // Nothing is evicted for another copy.
-                self.copy_adapter(now, token, service, engine, subject, actions);
+                // If no runner has room, the present copies must suffice: nothing is evicted.
+                self.load_adapter(now, token, service, engine, subject, actions);
             }
             (Some(_), false) => self.order_adapter(now, token, service, engine, subject, actions),
             // A round costs runners x models: requested weights wait for the next one, 40 ms
@@ -420,7 +420,7 @@
         }
     }
 
-    /// Expected duration of the order, in milliseconds.
+    /// Expected duration of the order.
     fn expected_ms(&self, order: &Order) -> u64 {
         let ledger = self.ledgers.get(&order.runner);
         let service = ledger.map(|ledger| &ledger.state.service);
--- a/crates/placement/src/order_lease.rs
+++ b/crates/placement/src/order_lease.rs
@@ -18,12 +18,12 @@
 /// Durations of the order lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct OrderLeaseOptions {
-    /// Time for which the store keeps the key after the last renewal, in milliseconds.
+    /// Time for which the store keeps the key after the last renewal.
     pub ttl_ms: u64,
-    /// Time that a new holder waits before its first order, in milliseconds.
+    /// Time that a new holder waits before its first order.
     pub settle_ms: u64,
-    /// Time that a host waits before its first order if it may have been the holder before, in
-    /// milliseconds. It must not alternate with a holder in between.
+    /// Time that a host waits before its first order if it may have been the holder before. It must
+    /// not alternate with a holder in between.
     pub resettle_ms: u64,
 }
 
@@ -47,7 +47,7 @@
         sent: Tick,
         /// The lease.
         lease: LeaseId,
-        /// Its duration in milliseconds.
+        /// Its duration.
         ttl_ms: u64,
     },
     /// No lease was granted.
@@ -78,7 +78,7 @@
 pub enum OrderLeaseAction {
     /// Request a lease.
     Grant {
-        /// Its duration in milliseconds.
+        /// Its duration.
         ttl_ms: u64,
     },
     /// Write the key under the lease, unless the key exists.
@@ -159,7 +159,7 @@
 
 /// Number of renewals per lease duration.
 const RENEWALS_PER_LEASE: u64 = 4;
-/// A lease counts as expired this fraction (1/5) of its duration before its end.
+/// The holder counts its lease as expired one fifth of its duration before its end.
 const MARGIN_DIVISOR: u64 = 5;
 /// Delay before the next try after a failed one.
 const RETRY_DELAY_MS: u64 = 300;
--- a/crates/plan/src/builder.rs
+++ b/crates/plan/src/builder.rs
@@ -58,7 +58,7 @@
 pub struct Options {
     /// Expected number of additional requests served within their deadline that justifies a move.
     pub move_price: f64,
-    /// Time over which a move must pay for itself, in seconds.
+    /// Time over which a move must pay for itself.
     pub horizon_s: f64,
     /// Share of busy slots above which a runner is overloaded.
     pub target_utilization: f64,
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -34,7 +34,8 @@
     }
 }
 
-/// Maximum number of loads at once after an idle period.
+/// Maximum number of loads at once after an idle period, unless the store allows more loads per
+/// second.
 const MAX_BURST: u32 = 4;
 
 impl Planner {
--- a/crates/quarantine/src/evidence.rs
+++ b/crates/quarantine/src/evidence.rs
@@ -48,7 +48,7 @@
 /// The evidence against one content.
 #[derive(Clone, Debug)]
 struct EvidenceRecord {
-    /// Upstreams that crashed under the content, each with its strongest sign.
+    /// Upstreams that showed a crash sign under the content, each with its strongest one.
     crashed: Vec<(Incarnation, CrashSign)>,
     /// When the first report arrived.
     first: Tick,
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -8,7 +8,7 @@
 pub struct Quarantine {
     /// The content.
     pub content: ContentHash,
-    /// Remaining duration in milliseconds; zero releases the content.
+    /// Remaining duration; zero releases the content.
     pub for_ms: u64,
     /// Number of upstreams that crashed under it.
     pub ended: u32,
--- a/crates/quarantine/tests/evidence.rs
+++ b/crates/quarantine/tests/evidence.rs
@@ -10,7 +10,7 @@
     format!("i-{number}").as_str().into()
 }
 
-/// Reports that `runner` has crashed under a request with `content`.
+/// Returns the report that `runner` has crashed under a request with `content`.
 fn crashed(content: u64, runner: Incarnation) -> CrashReport {
     CrashReport { content, upstream: runner, sign: CrashSign::Ended, is_common: false }
 }
@@ -20,7 +20,7 @@
     Quarantine { content, for_ms: 60_000, ended, age_ms: None }
 }
 
-/// Reports that `runner` did not answer after a request with `content`.
+/// Returns the report that `runner` did not answer after a request with `content`.
 fn silent(content: u64, runner: Incarnation) -> CrashReport {
     CrashReport { sign: CrashSign::Silent, ..crashed(content, runner) }
 }
