--- a/crates/check/src/claims.rs
+++ b/crates/check/src/claims.rs
@@ -1,4 +1,4 @@
-//! Model of one slot of once-only ids on three hosts.
+//! Model of the at-most-once execution of ids: one slot on three hosts.
 //!
 //! Messages and writes arrive at any later time, in any order, twice, or never; the result of a
 //! read may be stale when it arrives. The platform becomes unavailable and available again. A host
