--- a/crates/claim/src/holder.rs
+++ b/crates/claim/src/holder.rs
@@ -28,7 +28,7 @@
     fn decide(&mut self, now: Tick, request: &ClaimRequest) -> Option<Reply> {
         if self.role != Role::Holder {
             let holder = self.record().map(|r| r.holder.clone());
-            return Some(Reply::NotHolder(holder.filter(|h| *h != self.host)));
+            return Some(Reply::NotHolder(holder.filter(|h| *h != self.host_id)));
         }
         let Some(claim) = self.claims.get_mut(&request.id) else {
             return self.decide_new(now, request);
@@ -90,7 +90,7 @@
     ) {
         if self.role == Role::Other {
             let holder = self.record().map(|r| r.holder.clone());
-            if let Some(to) = holder.filter(|h| *h != self.host) {
+            if let Some(to) = holder.filter(|h| *h != self.host_id) {
                 actions.push(Action::Forward { to, id, ticket, outcome });
             }
             return;
@@ -291,7 +291,7 @@
                 // The backup must not change while its promise is in use.
                 let backup =
                     if in_memory_mode { stored.record.backup.clone() } else { self.backup.clone() };
-                self.draft_record(epoch, self.host.clone(), backup)
+                self.draft_record(epoch, self.host_id.clone(), backup)
             }
             (Role::Releasing, Some((successor, backup))) => {
                 self.draft_record(epoch + 1, successor.clone(), backup.clone())
--- a/crates/claim/src/slot.rs
+++ b/crates/claim/src/slot.rs
@@ -310,7 +310,7 @@
 /// State of one slot on one host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Slot {
-    pub(crate) host: HostId,
+    pub(crate) host_id: HostId,
     pub(crate) options: Options,
     pub(crate) role: Role,
     pub(crate) stored: Option<VersionedRecord>,
@@ -350,9 +350,9 @@
 
 impl Slot {
     /// Creates a slot with an unknown record.
-    pub fn new(host: HostId, options: Options) -> Self {
+    pub fn new(host_id: HostId, options: Options) -> Self {
         Self {
-            host,
+            host_id,
             options,
             role: Role::Other,
             stored: None,
--- a/crates/claim/src/succession.rs
+++ b/crates/claim/src/succession.rs
@@ -15,7 +15,7 @@
         if self.role != Role::Other || self.writing.is_some() {
             return;
         }
-        let backup = backup.filter(|b| *b != self.host);
+        let backup = backup.filter(|b| *b != self.host_id);
         let (base, epoch) = self.stored.as_ref().map_or((0, 0), |s| (s.version, s.record.epoch));
         let record = self.successor_record(backup);
         self.takeover_attempt = Some((epoch, base));
@@ -27,13 +27,13 @@
     /// Returns the record that makes this host the successor of the last known holder.
     fn successor_record(&self, backup: Option<HostId>) -> Record {
         let mut next = match &self.stored {
-            None => self.draft_record(0, self.host.clone(), None),
+            None => self.draft_record(0, self.host_id.clone(), None),
             Some(stored) => stored.record.clone(),
         };
         // Without the promise of its backup the holder can't have granted ids from memory.
         let has_promised = self.promised.is_some_and(|(epoch, _)| epoch == next.epoch);
-        let has_proof = next.backup.as_ref() == Some(&self.host) && !has_promised;
-        if !has_proof && next.holder != self.host {
+        let has_proof = next.backup.as_ref() == Some(&self.host_id) && !has_promised;
+        if !has_proof && next.holder != self.host_id {
             next.unresolved.insert(next.holder.clone(), None);
         }
         if let Some((epoch, holder)) = &self.highest_epoch
@@ -47,10 +47,10 @@
         if let Some((_, Message::Handover { claims, .. })) = &self.handover {
             // Ids that this host granted as an earlier holder may be recorded nowhere yet.
             next.claims.extend(claims.iter().copied());
-            next.unresolved.remove(&self.host);
+            next.unresolved.remove(&self.host_id);
         }
         next.epoch += 1;
-        next.holder = self.host.clone();
+        next.holder = self.host_id.clone();
         next.backup = backup;
         next.seq += 1;
         next
@@ -97,7 +97,7 @@
         for (id, deadline) in claims {
             self.merge_claim(id, deadline, State::Unknown);
         }
-        if self.unresolved.remove(&self.host).is_some() {
+        if self.unresolved.remove(&self.host_id).is_some() {
             self.needs_write = true;
         }
     }
@@ -114,7 +114,7 @@
         if self.is_outdated(&current.record) {
             return;
         }
-        let is_own = current.record.holder == self.host;
+        let is_own = current.record.holder == self.host_id;
         match self.role {
             Role::Other if is_own => self.become_holder(current),
             Role::Other => self.follow(current),
@@ -130,7 +130,7 @@
             self.stored.as_ref().is_some_and(|s| position(&s.record) > position(record));
         let is_older_than_announced =
             self.highest_epoch.as_ref().is_some_and(|(epoch, _)| *epoch > record.epoch);
-        let may_follow_older = self.role == Role::Other && record.holder != self.host;
+        let may_follow_older = self.role == Role::Other && record.holder != self.host_id;
         self.options.guards.epoch
             && (is_older_than_stored || is_older_than_announced)
             && !may_follow_older
@@ -203,7 +203,7 @@
         if is_ours && (is_same(&written) || self.unconfirmed.as_ref().is_some_and(is_same)) {
             return self.write_confirmed(current, actions);
         }
-        let is_own = current.record.holder == self.host;
+        let is_own = current.record.holder == self.host_id;
         let is_older = self.record().is_some_and(|r| current.record.epoch < r.epoch);
         match self.role {
             Role::Taking if is_own && !is_older => self.become_holder(current),
@@ -251,7 +251,7 @@
         }
         let known_epoch = self.record().map_or(0, |r| r.epoch);
         let is_holder = matches!(self.role, Role::Holder | Role::Releasing);
-        if epoch <= known_epoch || !is_holder || holder == self.host || self.writing.is_some() {
+        if epoch <= known_epoch || !is_holder || holder == self.host_id || self.writing.is_some() {
             return;
         }
         let Some(stored) = &self.stored else { return };
@@ -328,7 +328,7 @@
     }
 
     pub(crate) fn set_backup(&mut self, backup: Option<HostId>) {
-        let backup = backup.filter(|b| *b != self.host);
+        let backup = backup.filter(|b| *b != self.host_id);
         if self.role == Role::Holder && self.backup != backup {
             self.backup = backup;
             self.needs_write = true;
@@ -337,7 +337,7 @@
 
     pub(crate) fn release(&mut self, to: HostId, backup: Option<HostId>) {
         let is_idle = self.writing.is_none() && self.mode == Mode::Recorded;
-        if self.role == Role::Holder && is_idle && to != self.host {
+        if self.role == Role::Holder && is_idle && to != self.host_id {
             self.role = Role::Releasing;
             self.successor = Some((to.clone(), backup.filter(|b| *b != to)));
         }
