--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -285,7 +285,7 @@
 /// The revisions up to which changes of a prefix were announced, all of one era. A receiver that
 /// lacks one of these changes has lost a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "wire::Told", into = "wire::Told")]
+#[serde(from = "wire::AnnouncedRevisions", into = "wire::AnnouncedRevisions")]
 pub(crate) struct AnnouncedRevisions {
     /// The prefix.
     pub prefix: Name,
--- a/crates/gateway/src/wire.rs
+++ b/crates/gateway/src/wire.rs
@@ -40,7 +40,7 @@
 
 /// Wire format of [`peers::AnnouncedRevisions`].
 #[derive(Clone, Serialize, Deserialize)]
-pub(crate) struct Told {
+pub(crate) struct AnnouncedRevisions {
     prefix: Name,
     last: u64,
     at: u64,
@@ -130,15 +130,15 @@
     }
 }
 
-impl From<Told> for peers::AnnouncedRevisions {
-    fn from(row: Told) -> Self {
+impl From<AnnouncedRevisions> for peers::AnnouncedRevisions {
+    fn from(row: AnnouncedRevisions) -> Self {
         let era = Era(row.era);
         let (last, at) = (Revision::new(era, row.last), Revision::new(era, row.at));
         Self { prefix: row.prefix, last, at }
     }
 }
 
-impl From<peers::AnnouncedRevisions> for Told {
+impl From<peers::AnnouncedRevisions> for AnnouncedRevisions {
     fn from(announced: peers::AnnouncedRevisions) -> Self {
         let peers::AnnouncedRevisions { prefix, last, at } = announced;
         Self { prefix, last: last.number, at: at.number, era: at.era.0 }
