--- a/crates/check/src/claims.rs
+++ b/crates/check/src/claims.rs
@@ -74,7 +74,7 @@
 const DEADLINE_MS: u64 = 10;
 /// Retention of ids, and how long a request waits.
 const RETENTION_MS: u64 = 1_000;
-/// Time of every event; the clock of the model stands still.
+/// Time of every event: the clock of the model does not advance.
 const NOW: Tick = Tick(1);
 
 impl Claims {
--- a/crates/check/src/orders.rs
+++ b/crates/check/src/orders.rs
@@ -1,7 +1,7 @@
 //! Model of the order lease: two hosts and a store.
 //!
 //! Answers of the store are lost, calls are processed after their sender gave up on them, hosts are
-//! paused and restarted, and the store is restored from a snapshot. Invariant: no order carries a
+//! paused and restarted, and the store is restored from a backup. Invariant: no order carries a
 //! lower token than an order sent before it, two hosts don't alternate as holders within
 //! `MIN_TURN_MS`, and at most one host at a time holds a valid lease.
 
@@ -24,7 +24,7 @@
     pub tracks_eras: bool,
     /// Whether the renewal of a lease counts only in the era of the lease.
     pub checks_lease_era: bool,
-    /// Maximum number of times that the store is restored from a snapshot.
+    /// Maximum number of times that the store is restored from a backup.
     pub restores: u8,
     /// Maximum number of calls that their sender gives up on; they are still processed later.
     pub lost_answers: u8,
@@ -131,9 +131,9 @@
     era: Era,
     store: StoreState,
     /// State to which the store may be restored; at first that from before all changes.
-    snapshot: StoreState,
-    /// Number of snapshots taken.
-    snapshots: u8,
+    backup: StoreState,
+    /// Number of backups taken.
+    backups: u8,
     /// Number of the next lease; numbers are not reused, also not after a restore.
     next_lease: u64,
     restores: u8,
@@ -159,8 +159,8 @@
             pending_calls: BTreeSet::new(),
             era: Era::default(),
             store: StoreState { number: INITIAL_CHANGES, ..StoreState::default() },
-            snapshot: StoreState::default(),
-            snapshots: 0,
+            backup: StoreState::default(),
+            backups: 0,
             next_lease: 1,
             restores: 0,
             sent_orders: Vec::new(),
@@ -260,10 +260,10 @@
         if self.options.tracks_eras { self.era } else { Era::default() }
     }
 
-    /// Restores the store from its snapshot, with the leases in it or without.
+    /// Restores the store from its backup, with the leases in it or without.
     fn restore(&self, keeps_leases: bool) -> Self {
         let mut next = self.clone();
-        next.store.clone_from(&next.snapshot);
+        next.store.clone_from(&next.backup);
         next.era = Era(self.era.0 + 1);
         next.restores += 1;
         let expires_at = self.now + TTL_MS;
@@ -347,10 +347,10 @@
             self.host_steps(host, steps);
         }
         if self.restores < self.options.restores {
-            if self.snapshots < self.options.restores {
-                let snapshot = self.store.clone();
-                let next = Self { snapshot, snapshots: self.snapshots + 1, ..self.clone() };
-                steps.add(|| "a snapshot is taken".into(), next);
+            if self.backups < self.options.restores {
+                let backup = self.store.clone();
+                let next = Self { backup, backups: self.backups + 1, ..self.clone() };
+                steps.add(|| "a backup is taken".into(), next);
             }
             for keeps_leases in [true, false] {
                 let next = self.restore(keeps_leases);
--- a/crates/check/tests/orders.rs
+++ b/crates/check/tests/orders.rs
@@ -29,7 +29,7 @@
 /// Calls are processed after time has passed.
 const SLOW: Options = Options { lost_answers: 0, is_prompt: false, time_steps: 4, ..PAUSED };
 
-/// The store is restored from a snapshot while a host is paused.
+/// The store is restored from a backup while a host is paused.
 const RESTORED: Options = Options { lost_answers: 0, restores: 1, time_steps: 4, ..PAUSED };
 
 /// The store is restored twice, and calls are processed after time has passed.
--- a/crates/claim/src/slot.rs
+++ b/crates/claim/src/slot.rs
@@ -232,7 +232,7 @@
 /// Settings of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// How long past its deadline an id is kept; no deadline lies further ahead than this.
+    /// How long past its deadline an id is kept; no deadline is further ahead than this.
     pub retention_ms: u64,
     /// Minimum time between two writes.
     pub write_interval_ms: u64,
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -13,7 +13,7 @@
 /// Minimum interval between two requests to peers for a newer revision.
 const CONFIG_REQUEST_INTERVAL_MS: u64 = 200;
 
-/// Returns the name of the entry that stands for a service; its instances always have it ready.
+/// Returns the name of the entry that represents a service; its instances always have it ready.
 pub fn service_entry(service: &str) -> Name {
     format!("service:{service}").into()
 }
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -268,7 +268,7 @@
     }
 
     /// Sends a claim again. A known holder may keep an attempt waiting for another one, so the
-    /// tries start anew.
+    /// count of tries restarts at one.
     fn retry_claim(&mut self, number: u64) {
         let Some(attempt) = self.attempts.get_mut(&number) else { return };
         let slot = slot_of(attempt.id, self.options.slots);
--- a/crates/dispatch/src/fit.rs
+++ b/crates/dispatch/src/fit.rs
@@ -10,7 +10,7 @@
     tokens_millis: f64,
 }
 
-/// Weight and tokens of the two samples that stand for the initial assumption.
+/// Weight and tokens of the two samples that represent the initial assumption.
 const PRIOR_WEIGHT: f64 = 2.0;
 const PRIOR_TOKENS: f64 = 1_000.0;
 /// Factor by which the weight of older samples decays with each new one.
--- a/crates/dispatch/tests/store_restore.rs
+++ b/crates/dispatch/tests/store_restore.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Records an announcement; returns the start times of the incarnations taken for alive, and
+/// Records an announcement; returns the start times of the incarnations considered alive, and
 /// whether they are leaving.
 fn record(
     roster: &mut Roster,
--- a/crates/fanout/src/contact.rs
+++ b/crates/fanout/src/contact.rs
@@ -1,6 +1,6 @@
 //! Whether the store answers this host: when to probe it, and how long to wait for missing keys after an outage.
 //!
-//! All delays count from the end of the outage, which no host observes directly. It lies between the
+//! All delays count from the end of the outage, which no host observes directly. It is between the
 //! sending of the last lost call and the first answer. So while calls are lost, the host sends small
 //! probes at short intervals and takes their first answer as the end of the outage. Calls that hang
 //! longer then do not delay the detection of upstreams that have left.
@@ -109,7 +109,7 @@
         is_return
     }
 
-    /// Records that the store was restored from a copy, however short the outage was.
+    /// Records that the store was restored from a backup, however short the outage was.
     pub fn record_return(&mut self, now: Tick) {
         self.returned = Some(now);
     }
--- a/crates/fanout/tests/mirror.rs
+++ b/crates/fanout/tests/mirror.rs
@@ -195,7 +195,7 @@
     Item { revision: in_era(era, number), ..item(key, number) }
 }
 
-/// After the store was restored from a copy, a full read below the known revision is applied, and so are later changes.
+/// After the store was restored from a backup, a full read below the known revision is applied, and so are later changes.
 #[test]
 fn read_of_next_era() {
     let mut mirror = Mirror::default();
@@ -220,7 +220,7 @@
     assert_eq!((keys(&mirror), mirror.revision()), (vec!["a".into()], Some(in_era(2, 10))));
 }
 
-/// A watch must not continue from a revision of the previous era: after the restore its number stands for another
+/// A watch must not continue from a revision of the previous era: after the restore its number denotes another
 /// change.
 #[test]
 fn changes_of_next_era() {
--- a/crates/fanout/tests/mirror_model.rs
+++ b/crates/fanout/tests/mirror_model.rs
@@ -1,5 +1,5 @@
 //! Compares a mirror that receives messages from several sources in any order with the history of the store, which is
-//! repeatedly restored from copies.
+//! repeatedly restored from backups.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -14,11 +14,11 @@
 const CHANGES: usize = 24;
 const ERAS: usize = 3;
 
-/// The changes of one era: the key, and whether it was written or deleted. The era starts from a copy of the previous
-/// one with its first `copied` changes.
+/// The changes of one era: the key, and whether it was written or deleted. The era starts from a backup of the previous
+/// one with its first `restored` changes.
 #[derive(Clone, Debug)]
 struct EraChanges {
-    copied: usize,
+    restored: usize,
     changes: Vec<(usize, bool)>,
 }
 
@@ -40,9 +40,9 @@
 /// Returns the complete history of each era.
 fn histories(eras: &[EraChanges]) -> Vec<Vec<(usize, bool)>> {
     let mut histories: Vec<Vec<(usize, bool)>> = Vec::new();
-    for EraChanges { copied, changes } in eras {
+    for EraChanges { restored, changes } in eras {
         let mut history = histories.last().cloned().unwrap_or_default();
-        history.truncate(*copied);
+        history.truncate(*restored);
         let missing = CHANGES - history.len();
         history.extend(changes.iter().take(missing));
         histories.push(history);
@@ -94,7 +94,7 @@
 
 fn era_changes() -> impl Strategy<Value = EraChanges> {
     let changes = prop::collection::vec((0..ALL_KEYS, any::<bool>()), CHANGES);
-    (0..=CHANGES, changes).prop_map(|(copied, changes)| EraChanges { copied, changes })
+    (0..=CHANGES, changes).prop_map(|(restored, changes)| EraChanges { restored, changes })
 }
 
 fn revision(era: usize, at: usize) -> Revision {
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -14,8 +14,8 @@
 use vanetally_types::{Incarnation, Name, Tick};
 
 /// Interval at which hosts inform the last grantor, while the store is unreachable, that they still
-/// ask it and no other host. The grantor continues while nearly all hosts do so, counting those it
-/// heard from within two seconds.
+/// ask it and no other host. The grantor continues while nearly all hosts do so, counting those
+/// whose messages it received within two seconds.
 const FOLLOWS_INTERVAL_MS: u64 = 900;
 
 /// This host's state for upstream rate limits, as client and as grantor.
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -145,7 +145,7 @@
         self.restarts.send_modify(|count| *count += 1);
     }
 
-    /// Whether to send a probe now. `is_relied_on` tells whether other hosts depend on this host's
+    /// Whether to send a probe now. `is_relied_on`: whether other hosts depend on this host's
     /// knowledge.
     pub(crate) fn should_probe(&self, is_relied_on: bool) -> bool {
         self.contact.borrow_mut().should_probe(self.clock.now(), is_relied_on)
--- a/crates/limit/src/grantor.rs
+++ b/crates/limit/src/grantor.rs
@@ -58,7 +58,7 @@
 const MAX_ASKS: u32 = 16;
 /// Hosts that ask again per interval between two send times. More would only be refused; fewer
 /// might leave a send time unused.
-const ASKERS_PER_INTERVAL: f64 = 2.0;
+const RETRIES_PER_INTERVAL: f64 = 2.0;
 
 /// Spaces the requests of all hosts to rate-limited upstreams.
 ///
@@ -135,9 +135,9 @@
         PermitAnswer::Busy { retry_ms: retry_ms.ceil() as u32 }
     }
 
-    /// Returns when a host may ask again whose request goes to another upstream.
+    /// Returns when a host that uses another upstream for its request may ask again.
     fn next_ask(&mut self, wait_ms: f64, interval_ms: f64) -> f64 {
-        let offset_ms = f64::from(self.asks) * interval_ms / ASKERS_PER_INTERVAL;
+        let offset_ms = f64::from(self.asks) * interval_ms / RETRIES_PER_INTERVAL;
         self.asks = (self.asks + 1).min(MAX_ASKS);
         wait_ms + offset_ms
     }
--- a/crates/limit/tests/grants.rs
+++ b/crates/limit/tests/grants.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// An upstream that states a rate of zero still gets a request now and then, because only its
+/// An upstream that states a rate of zero still gets an occasional request, because only its
 /// answers show whether the limit has ended.
 #[test]
 fn zero_rate_is_probed_rarely() {
--- a/crates/placement/src/order_lease.rs
+++ b/crates/placement/src/order_lease.rs
@@ -7,9 +7,9 @@
 //! belongs to the holder, and orders resume with the first answer rather than with a new lease two
 //! seconds later.
 //!
-//! After the store was restored from a copy, the key may be missing while its holder is still
+//! After the store was restored from a backup, the key may be missing while its holder is still
 //! active. Other hosts that write the key wait until the previous holder must have stopped. The
-//! holder itself continues at once: with its key if the copy contains it, or with a new key that it
+//! holder itself continues at once: with its key if the backup contains it, or with a new key that it
 //! wrote while its last renewal was valid.
 
 use vanetally_ports::{Era, FencingToken, LeaseId, Revision};
@@ -34,11 +34,11 @@
     HolderSeen(Option<Name>),
     /// The store is unavailable: the known holder may be out of date.
     StoreLost,
-    /// The store was restored from a copy: anything read from it before may be lost.
+    /// The store was restored from a backup: anything read from it before may be lost.
     StoreRestored {
         /// The new era of the store.
         era: Era,
-        /// Revision of the key in the copy, if it names this host.
+        /// Revision of the key in the backup, if it names this host.
         own_key: Option<Revision>,
     },
     /// A lease was granted.
@@ -120,7 +120,7 @@
     renew_at: Option<Tick>,
 }
 
-/// The lease that this host held when the store was restored from a copy.
+/// The lease that this host held when the store was restored from a backup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PreviousHolding {
     era: Era,
@@ -253,7 +253,7 @@
         self.holder = Some(holder);
     }
 
-    /// Keeps the key if the copy contains it and no other host can have held it since.
+    /// Keeps the key if the backup contains it and no other host can have held it since.
     fn store_restored(
         &mut self,
         now: Tick,
@@ -269,10 +269,10 @@
             return Vec::new();
         }
         let is_valid = now < holding.valid_until;
-        let is_in_copy = own_key.is_some_and(|key| key.number == holding.key_revision.number);
+        let is_in_backup = own_key.is_some_and(|key| key.number == holding.key_revision.number);
         let previous = PreviousHolding { era: holding.lease.era, valid_until: holding.valid_until };
         let lease = LeaseId::new(era, holding.lease.id);
-        if is_in_copy && is_valid {
+        if is_in_backup && is_valid {
             holding.lease = lease;
             holding.renew_at = Some(now);
             self.set_era(now, era);
@@ -281,7 +281,7 @@
         self.state = State::Idle;
         self.set_era(now, era);
         self.next_try = now;
-        if is_in_copy {
+        if is_in_backup {
             return vec![OrderLeaseAction::End { lease }];
         }
         self.previous = Some(previous);
--- a/crates/placement/tests/order_lease.rs
+++ b/crates/placement/tests/order_lease.rs
@@ -212,7 +212,7 @@
     })
 }
 
-/// The copy contains the key and the last renewal is still valid: orders continue with the same
+/// The backup contains the key and the last renewal is still valid: orders continue with the same
 /// token.
 #[test]
 fn restored_with_key() {
@@ -225,7 +225,7 @@
     assert_eq!(order_lease.handle(START + 1_600, OrderLeaseEvent::Tick), renew, "in the new era");
 }
 
-/// The copy contains the key, but another host may have held it since: the lease is ended first.
+/// The backup contains the key, but another host may have held it since: the lease is ended first.
 #[test]
 fn restored_with_key_too_late() {
     let mut order_lease = holder();
@@ -235,7 +235,7 @@
     assert_eq!(write_key_in_new_era(&mut order_lease, START + 1_700), Some(3_300));
 }
 
-/// The copy contains an older key of this host.
+/// The backup contains an older key of this host.
 #[test]
 fn restored_with_older_key() {
     let mut order_lease = holder();
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -374,7 +374,7 @@
     assert!(gaps[1..].iter().all(|gap| *gap >= ROUND_MS), "{gaps:?}");
 }
 
-/// The ledgers stay valid if the lease is lost for a moment and regained with the same token.
+/// The ledgers stay valid if the lease is lost briefly and regained with the same token.
 #[test]
 fn ledgers_survive_lease_gap() {
     let mut holder = Holder::new(&[("r1", &["m1"]), ("r2", &["m1"])]);
--- a/crates/ports/src/revision.rs
+++ b/crates/ports/src/revision.rs
@@ -4,7 +4,7 @@
 
 /// A period of the store's history; restoring the store from an older backup begins the next era.
 ///
-/// Era 0 stands for a store that reports no era, and precedes all reported eras.
+/// Era 0 denotes a store that reports no era, and precedes all reported eras.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Era(pub u64);
 
--- a/crates/quota/tests/local_decisions.rs
+++ b/crates/quota/tests/local_decisions.rs
@@ -152,7 +152,7 @@
     assert_eq!(client.cost(&"other".into(), None), None, "no quota");
     assert_eq!(client.authority(START, &"other".into()), Authority::Unlimited);
     client.configure(START, &HashMap::new());
-    assert_eq!(client.cost(&"o".into(), None), None, "the quota was taken away");
+    assert_eq!(client.cost(&"o".into(), None), None, "the quota was removed");
 }
 
 /// The store loses the keys of all hosts while the grantor is lost: each host knows only itself,
--- a/tests/cooldown.rs
+++ b/tests/cooldown.rs
@@ -27,7 +27,7 @@
 const HOSTS: usize = 3;
 
 /// Returns when requests of a host arrived. Callers use `HOSTS` hosts in turn, so the request number
-/// tells the host.
+/// identifies the host.
 fn arrivals(runner: &Runner, host: usize) -> Vec<Instant> {
     let of_host = |id: &str| {
         let number = id.strip_prefix('r').and_then(|number| number.parse::<usize>().ok());
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -125,7 +125,7 @@
     assert!(switched <= 2, "{switched} hosts switched to the store");
 }
 
-/// The aggregator is paused and resumed: no host goes on using a runner that left meanwhile.
+/// The aggregator is paused and resumed: no host continues to use a runner that left meanwhile.
 #[test]
 fn reader_paused() {
     let deployment = Deployment::start();
--- a/tests/gateway/restores.rs
+++ b/tests/gateway/restores.rs
@@ -1,4 +1,4 @@
-//! Restores of the store from an older snapshot.
+//! Restores of the store from an older backup.
 
 use super::{Deployment, Host};
 use std::{thread::sleep, time::Duration};
@@ -10,7 +10,7 @@
 pub const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 /// Maximum time after a restore until exactly one host holds the order lease.
 pub const MAX_HOLDER_GAP: Duration = Duration::from_millis(4_000);
-/// Number of writes that the snapshot does not hold.
+/// Number of writes that the backup does not hold.
 const WRITES: usize = 40;
 
 /// Leases are kept, and lost entries are rewritten at once.
@@ -35,11 +35,11 @@
     deployment.store.remove("servers/i-noise");
 }
 
-/// Takes the store offline and restores it from `snapshot`.
-pub fn restore_store(deployment: &Deployment, snapshot: &Snapshot, options: Restore) {
+/// Takes the store offline and restores it from `backup`.
+pub fn restore_store(deployment: &Deployment, backup: &Snapshot, options: Restore) {
     deployment.store.set_mode(StoreMode::Busy);
     sleep(OUTAGE);
-    deployment.store.restore(snapshot, options);
+    deployment.store.restore(backup, options);
     deployment.store.set_mode(StoreMode::Serving);
 }
 
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -201,8 +201,8 @@
     assert!(used >= 0.8 * offered, "{used} of {offered} were used");
 }
 
-/// The store is away for longer than all leases: no other host can become grantor, and the last one goes
-/// on. The limit is used also if only two of six hosts have requests: the others announce that they could
+/// The store is away for longer than all leases: no other host can become grantor, and the last one
+/// continues. The limit is used also if only two of six hosts have requests: the others announce that they could
 /// send to the upstream, too.
 #[test]
 fn limit_without_store() {
--- a/tests/organisations.rs
+++ b/tests/organisations.rs
@@ -132,7 +132,7 @@
 }
 
 /// The store is silent for longer than the order lease: no other host can take it over, and the grantor
-/// goes on granting quotas.
+/// continues to grant quotas.
 #[test]
 fn quota_without_store() {
     let deployment = Deployment::start();
--- a/tests/platform_path.rs
+++ b/tests/platform_path.rs
@@ -318,7 +318,7 @@
     deployment.store.set_mode(StoreMode::Busy);
     deployment.store.remove("servers/i-desk-0");
     std::thread::sleep(Duration::from_millis(1_500));
-    assert_eq!(check("x1").send(host.front).status, 200, "serving goes on");
+    assert_eq!(check("x1").send(host.front).status, 200, "serving continues");
     deployment.store.set_mode(StoreMode::Serving);
     let lapsed = "event=upstream_lapsed upstream=i-desk-0";
     wait_for("the key is reported missing", || deployment.log("front-1").contains(lapsed));
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -121,21 +121,21 @@
     site.assert_few_crashes();
 }
 
-/// The store is restored from a snapshot without the quarantine. Hosts store it again, so that hosts which
+/// The store is restored from a backup without the quarantine. Hosts store it again, so that hosts which
 /// start later know it.
 #[test]
 fn quarantine_lost_by_store() {
     const MAX_REWRITE_TIME: Duration = Duration::from_secs(4);
     let site = Site::start(DowntimeMode::Refused);
     let store = &site.deployment.store;
-    let snapshot = store.snapshot();
+    let backup = store.snapshot();
     let fronts = fronts(&site.hosts);
     let is_stored = || !store.keys("vanetally/contents/").is_empty();
     under_load(&fronts, offer, 8, Duration::from_millis(50), || {
         wait_for("the quarantine is stored", is_stored)
     });
     thread::sleep(Duration::from_secs(1));
-    store.restore(&snapshot, LEASES_LOST);
+    store.restore(&backup, LEASES_LOST);
     assert!(!is_stored());
     let restored = Instant::now();
     wait_for("the quarantine is stored again", is_stored);
--- a/tests/returned_fleet.rs
+++ b/tests/returned_fleet.rs
@@ -23,7 +23,7 @@
 fn fleet_keeps_reader() {
     const HOSTS: usize = 14;
     let deployment = Deployment::start();
-    let snapshot = deployment.store.snapshot();
+    let backup = deployment.store.snapshot();
     let hosts = deployment.hosts(HOSTS);
     let readers = || {
         let reads_store = |(_, log): (String, String)| {
@@ -39,7 +39,7 @@
     wait_for("a single host reads the store", || readers() == 1);
     sleep(SETTLE_TIME);
     let before = switches();
-    restore_store(&deployment, &snapshot, LEASES_LOST);
+    restore_store(&deployment, &backup, LEASES_LOST);
     sleep(MAX_HOLDER_GAP);
     assert!(switches() - before <= 1, "{} switches to the store", switches() - before);
     assert_eq!(readers(), 1);
@@ -82,7 +82,7 @@
     let size = std::env::var("RETURN_HOSTS").ok().and_then(|size| size.parse().ok());
     let size: usize = size.unwrap_or(FLEET_SIZE);
     let deployment = Deployment::start();
-    let snapshot = deployment.store.snapshot();
+    let backup = deployment.store.snapshot();
     let hosts = deployment.hosts(size);
     let store = &deployment.store;
     let missing = || {
@@ -92,7 +92,7 @@
     wait_for("all host keys are written", || !missing());
     wait_for("a host holds the order lease", || store.get("vanetally/orders").is_some());
     sleep(SETTLE_TIME);
-    restore_store(&deployment, &snapshot, LEASES_LOST);
+    restore_store(&deployment, &backup, LEASES_LOST);
     let (restored, calls, writes) = (Instant::now(), store.calls(), store.write_calls());
     deployment.configure(5, &["added"]);
     let changed_ms = now_ms();
@@ -128,7 +128,7 @@
     };
     let deployment = Deployment::start();
     deployment.store.enable_era();
-    let snapshot = deployment.store.snapshot();
+    let backup = deployment.store.snapshot();
     let store = deployment.store.address();
     let spawn = |number: usize| match number % 2 {
         0 => deployment.spawn_build(&program, &name(number), &fresh_ip(), store),
@@ -145,7 +145,7 @@
     for (version, restore) in [(5, LEASES_LOST), (6, LEASES_KEPT)] {
         advance_revision(&deployment);
         sleep(SETTLE_TIME);
-        restore_store(&deployment, &snapshot, restore);
+        restore_store(&deployment, &backup, restore);
         sleep(SETTLE_TIME);
         deployment.configure(version, &["added"]);
         let written = Instant::now();
--- a/tests/runner_restart.rs
+++ b/tests/runner_restart.rs
@@ -83,7 +83,7 @@
     engine.restart();
     announce(&deployment, engine);
     wait_for_served("a2", host.front);
-    assert_eq!(loads(engine), 1, "the weights were ordered anew");
+    assert_eq!(loads(engine), 1, "the weights were ordered again");
 }
 
 /// A request that ran in the previous incarnation is answered at once, and not as not run.
--- a/tests/soak/site.rs
+++ b/tests/soak/site.rs
@@ -122,8 +122,8 @@
     pub shared: Arc<SharedState>,
     /// Runner that has left for good.
     gone: Option<usize>,
-    /// Snapshot from which the store may be restored.
-    pub snapshot: Option<Snapshot>,
+    /// Backup from which the store may be restored.
+    pub backup: Option<Snapshot>,
     /// Runners that announced that they leave, with the era of the store at that time.
     drained: HashMap<usize, u64>,
 }
@@ -161,8 +161,8 @@
         if other_build().is_some() {
             deployment.store.enable_era();
         }
-        let (gone, snapshot, drained) = (None, None, HashMap::new());
-        let mut site = Self { deployment, slots, runner_links, shared, gone, snapshot, drained };
+        let (gone, backup, drained) = (None, None, HashMap::new());
+        let mut site = Self { deployment, slots, runner_links, shared, gone, backup, drained };
         site.announce_all();
         site
     }
--- a/tests/store_copy.rs
+++ b/tests/store_copy.rs
@@ -1,4 +1,4 @@
-//! Restores of the store from an older snapshot: the known state of hosts, and the entries they rewrite.
+//! Restores of the store from an older backup: the known state of hosts, and the entries they rewrite.
 
 mod gateway;
 
@@ -45,7 +45,7 @@
         .status
 }
 
-/// Starts a deployment whose hosts know more than a snapshot, and restores the store from that snapshot.
+/// Starts a deployment whose hosts know more than a backup, and restores the store from that backup.
 fn start_restored(hosts: usize, options: Restore) -> (Deployment, Vec<Host>) {
     restore_deployment(Deployment::start(), hosts, options)
 }
@@ -58,10 +58,10 @@
     let hosts = deployment.hosts(hosts);
     wait_for("a host holds the order lease", || holders(&hosts) == 1);
     sleep(SETTLE_TIME);
-    let snapshot = deployment.store.snapshot();
+    let backup = deployment.store.snapshot();
     advance_revision(&deployment);
     sleep(SETTLE_TIME);
-    restore_store(&deployment, &snapshot, options);
+    restore_store(&deployment, &backup, options);
     (deployment, hosts)
 }
 
@@ -98,10 +98,10 @@
 fn change_after_second_restore(#[case] count: usize) {
     let (deployment, hosts) = start_restored(count, LEASES_LOST);
     sleep(SETTLE_TIME);
-    let snapshot = deployment.store.snapshot();
+    let backup = deployment.store.snapshot();
     advance_revision(&deployment);
     sleep(SETTLE_TIME);
-    restore_store(&deployment, &snapshot, LEASES_KEPT);
+    restore_store(&deployment, &backup, LEASES_KEPT);
     sleep(SETTLE_TIME);
     let took = configure(&deployment, &hosts, 5, "added");
     assert!(took < MAX_CHANGE_TIME, "in force after {took:?}");
@@ -158,24 +158,24 @@
 fn tokens_after_restore(#[case] options: Restore) {
     let deployment = Deployment::start();
     deployment.store.enable_era();
-    let snapshot = deployment.store.snapshot();
+    let backup = deployment.store.snapshot();
     advance_revision(&deployment);
     let hosts = deployment.hosts(4);
     wait_for("a host holds the order lease", || holders(&hosts) == 1);
     assert_eq!(request_adapter(&hosts[0], "a1"), 200);
     sleep(SETTLE_TIME);
-    restore_store(&deployment, &snapshot, options);
+    restore_store(&deployment, &backup, options);
     sleep(MAX_HOLDER_GAP);
     assert_eq!(request_adapter(&hosts[1], "a2"), 200);
     assert_tokens_rise(&deployment);
 }
 
-/// Changes newer than the snapshot are not reverted: a configuration version, and the leaving of a runner.
+/// Changes newer than the backup are not reverted: a configuration version, and the leaving of a runner.
 #[test]
 fn restore_reverts_nothing() {
     let deployment = Deployment::start();
     let hosts = deployment.hosts(4);
-    let snapshot = deployment.store.snapshot();
+    let backup = deployment.store.snapshot();
     configure(&deployment, &hosts, 5, "added");
     let (key, mut value) = deployment.desks[0].entry();
     value["state"] = "draining".into();
@@ -184,7 +184,7 @@
     // Lost entries are rewritten only much later.
     restore_store(
         &deployment,
-        &snapshot,
+        &backup,
         Restore { rewrite_delay: Duration::from_secs(5), ..LEASES_KEPT },
     );
     sleep(SETTLE_TIME);
@@ -195,18 +195,18 @@
     assert_eq!(deployment.desks[0].requests().len(), before);
 }
 
-/// A runner that had left without an announcement is still in the snapshot, and is not used again.
+/// A runner that had left without an announcement is still in the backup, and is not used again.
 #[test]
 fn gone_runner_not_restored() {
     let deployment = Deployment::start();
     let hosts = deployment.hosts(4);
     sleep(SETTLE_TIME);
-    let snapshot = deployment.store.snapshot();
+    let backup = deployment.store.snapshot();
     deployment.store.remove("servers/i-desk-0");
     sleep(SETTLE_TIME);
     restore_store(
         &deployment,
-        &snapshot,
+        &backup,
         Restore { rewrite_delay: Duration::from_secs(5), ..LEASES_KEPT },
     );
     sleep(SETTLE_TIME);
@@ -217,7 +217,7 @@
     assert_eq!(deployment.desks[0].requests().len(), before);
 }
 
-/// A live runner whose key is not in the snapshot is used until it has had the time to rewrite the key.
+/// A live runner whose key is not in the backup is used until it has had the time to rewrite the key.
 #[test]
 fn new_runner_kept() {
     let deployment = Deployment::start();
@@ -225,12 +225,12 @@
     deployment.store.remove(&key);
     let hosts = deployment.hosts(4);
     sleep(SETTLE_TIME);
-    let snapshot = deployment.store.snapshot();
+    let backup = deployment.store.snapshot();
     deployment.store.put(&key, &value);
     wait_for("the runner is used", || hosts.iter().all(|host| get(host, "/check/1") == 200));
     restore_store(
         &deployment,
-        &snapshot,
+        &backup,
         Restore { rewrite_delay: Duration::from_millis(1_200), ..LEASES_KEPT },
     );
     let restored = Instant::now();
@@ -252,11 +252,11 @@
 #[test]
 fn keys_rewritten() {
     let deployment = Deployment::start();
-    let snapshot = deployment.store.snapshot();
+    let backup = deployment.store.snapshot();
     let hosts = deployment.hosts(4);
     wait_for("a host holds the order lease", || holders(&hosts) == 1);
     sleep(SETTLE_TIME);
-    restore_store(&deployment, &snapshot, LEASES_LOST);
+    restore_store(&deployment, &backup, LEASES_LOST);
     let restored = Instant::now();
     let keys: Vec<String> =
         (0..4).map(|number| format!("vanetally/hosts/{}", name(number))).collect();
@@ -268,7 +268,7 @@
     assert_eq!(holders(&hosts), 1);
 }
 
-/// A revoked key is still valid in the snapshot, and is not accepted again.
+/// A revoked key is still valid in the backup, and is not accepted again.
 #[test]
 fn revoked_key_not_restored() {
     let deployment = Deployment::start();
@@ -281,12 +281,12 @@
     };
     let all = |key: &str, expected: u16| hosts.iter().all(|host| status(host, key) == expected);
     wait_for("both keys are accepted", || all("first", 200) && all("second", 200));
-    let snapshot = deployment.store.snapshot();
+    let backup = deployment.store.snapshot();
     deployment.configure_organisations(3, &[organisation(&["second"])]);
     wait_for("the revoked key is refused", || all("first", 401));
     restore_store(
         &deployment,
-        &snapshot,
+        &backup,
         Restore { rewrite_delay: Duration::from_secs(5), ..LEASES_KEPT },
     );
     let restored = Instant::now();
@@ -306,10 +306,10 @@
     wait_for("the configuration is in force", || {
         hosts.iter().all(|host| get(host, "/more599/1") == 200)
     });
-    let snapshot = deployment.store.snapshot();
+    let backup = deployment.store.snapshot();
     advance_revision(&deployment);
     sleep(SETTLE_TIME);
-    restore_store(&deployment, &snapshot, LEASES_LOST);
+    restore_store(&deployment, &backup, LEASES_LOST);
     sleep(SETTLE_TIME);
     deployment.configure_large(5, ROUTES + 1);
     let written = Instant::now();
@@ -323,13 +323,13 @@
 #[test]
 fn all_replaced_at_restore() {
     let deployment = Deployment::start();
-    let snapshot = deployment.store.snapshot();
+    let backup = deployment.store.snapshot();
     let mut hosts = deployment.hosts(4);
     wait_for("a host holds the order lease", || holders(&hosts) == 1);
     assert_eq!(request_adapter(&hosts[0], "a1"), 200);
     sleep(SETTLE_TIME);
     hosts.iter_mut().for_each(Host::kill);
-    restore_store(&deployment, &snapshot, LEASES_KEPT);
+    restore_store(&deployment, &backup, LEASES_KEPT);
     let hosts = deployment.hosts(4);
     wait_for("a host holds the order lease", || holders(&hosts) == 1);
     wait_for("an adapter is served", || request_adapter(&hosts[1], "a2") == 200);
@@ -347,12 +347,12 @@
     let deployment = Deployment::start();
     let hosts = deployment.hosts(4);
     sleep(SETTLE_TIME);
-    let snapshot = deployment.store.snapshot();
+    let backup = deployment.store.snapshot();
     advance_revision(&deployment);
     sleep(SETTLE_TIME);
     deployment.store.set_mode(StoreMode::Silent);
     sleep(outage);
-    deployment.store.restore(&snapshot, LEASES_KEPT);
+    deployment.store.restore(&backup, LEASES_KEPT);
     deployment.store.set_mode(StoreMode::Serving);
     let took = configure(&deployment, &hosts, 5, "added");
     assert!(took < MAX_CHANGE_TIME, "in force after {took:?}");
