--- a/crates/dispatch/tests/shortage.rs
+++ b/crates/dispatch/tests/shortage.rs
@@ -27,7 +27,7 @@
     })
 }
 
-/// Returns the refusal context of a request for `model` that waits in vain.
+/// Returns the refusal context of a request for `model` that waits until its limit without being sent.
 fn refused_after_wait(host: &mut Host, model: &str) -> RefusalContext {
     let mut head = request("a", "offer", Some(model));
     if let Some((base, adapter)) = model.split_once('/') {
--- a/crates/fanout/src/contact.rs
+++ b/crates/fanout/src/contact.rs
@@ -11,7 +11,7 @@
 /// A host's contact with the store, as it reports it to other hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreState {
-    /// The store answers and has not been away lately.
+    /// The store answers and was not unreachable recently.
     #[default]
     Steady,
     /// The store does not answer.
--- a/crates/fanout/src/source_state.rs
+++ b/crates/fanout/src/source_state.rs
@@ -44,7 +44,8 @@
     }
 }
 
-/// The store probes of a host that has waited in vain for the hosts before it in the order to replace a stale source.
+/// The store probes of a host that has waited without success for the hosts before it in the order to replace a stale
+/// source.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FallbackProbes {
     pub last: Option<Tick>,
--- a/crates/limit/src/grantor.rs
+++ b/crates/limit/src/grantor.rs
@@ -76,7 +76,7 @@
     schedule: Schedule,
     /// Time at which the last refused caller may retry, as a tick in milliseconds.
     last_retry: f64,
-    /// Hosts that were asked to come back since the last grant.
+    /// Number of hosts given a time to ask again since the last grant, up to `MAX_ASKS`.
     asks: u32,
 }
 
--- a/crates/pacing/src/prefixes.rs
+++ b/crates/pacing/src/prefixes.rs
@@ -1,4 +1,4 @@
-//! Prompt prefixes that an engine has read lately and need not read again.
+//! Prompt prefixes that an engine has read recently and need not read again.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
--- a/crates/quarantine/src/blocked_contents.rs
+++ b/crates/quarantine/src/blocked_contents.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, VecDeque};
 use vanetally_types::Tick;
 
-/// Quarantined and suspended contents, and those that were answered lately.
+/// Quarantined and suspended contents, and those that were answered recently.
 #[derive(Clone, Debug, Default)]
 pub struct BlockedContents {
     /// Quarantined contents: until when, and the number of upstreams that crashed under them.
