--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,4 +1,4 @@
-//! Which revision is in force, and what follows from a new one.
+//! The configuration revision in force: accepting, applying and passing on revisions.
 
 use crate::{Action, Core, Frame};
 use std::sync::Arc;
@@ -7,22 +7,23 @@
     catalog::is_leaving,
     tracker::{Outcome, Source},
 };
-use vanetally_route::{Event as Route, Phase, Upstream, UpstreamStatus};
+use vanetally_route::{Event as RouteEvent, Phase, Upstream, UpstreamStatus};
 use vanetally_types::{HostId, Name};
 
-/// Between two requests for a newer revision, in milliseconds.
-const ASK_PACE: u64 = 200;
+/// Minimum interval between two requests to peers for a newer revision.
+const CONFIG_REQUEST_INTERVAL_MS: u64 = 200;
 
-/// The pseudo entry under which a service's instances serve.
+/// Returns the name of the entry that represents a service; its instances always have it ready.
 pub fn service_entry(service: &str) -> Name {
     format!("service:{service}").into()
 }
 
 impl Core {
-    pub(crate) fn offer(&mut self, revision: Arc<Revision>, source: Source) {
+    /// Applies a revision if it is newer and valid.
+    pub(crate) fn offer_revision(&mut self, revision: Arc<Revision>, source: Source) {
         let number = revision.number;
-        match self.keeper.offer(revision, source) {
-            Outcome::Accepted => self.take_revision(source),
+        match self.revisions.offer(revision, source) {
+            Outcome::Accepted => self.apply_revision(source),
             Outcome::Unchanged => {}
             Outcome::Stale { offered, current } => {
                 if source == Source::Platform {
@@ -36,61 +37,64 @@
         }
     }
 
-    fn take_revision(&mut self, source: Source) {
-        let revision = self.keeper.current().clone();
+    /// Passes the new revision's upstreams and runners to the router and the ledgers.
+    fn apply_revision(&mut self, source: Source) {
+        let revision = self.revisions.current().clone();
         self.log(format!("event=config-taken revision={} source={source:?}", revision.number));
         let upstreams = upstreams(&revision.catalog);
-        let actions = self.router.handle(self.now, Route::Upstreams(upstreams));
-        self.route_actions(actions);
+        let actions = self.router.handle(self.now, RouteEvent::Upstreams(upstreams));
+        self.run_route_actions(actions);
         for service in &revision.catalog.services {
             for instance in &service.instances {
                 let entry = service_entry(&service.name);
-                let seen = UpstreamStatus {
+                let status = UpstreamStatus {
                     entries: [(entry, Phase::Ready)].into(),
                     reachable: true,
                     ..UpstreamStatus::default()
                 };
                 let actions = self.router.handle(
                     self.now,
-                    Route::Status { upstream: instance.name.clone(), status: seen },
+                    RouteEvent::Status { upstream: instance.name.clone(), status },
                 );
-                self.route_actions(actions);
+                self.run_route_actions(actions);
             }
         }
-        for (runner, seen) in self.seen.clone() {
+        for (runner, status) in self.runner_status.clone() {
             let actions =
-                self.router.handle(self.now, Route::Status { upstream: runner, status: seen });
-            self.route_actions(actions);
+                self.router.handle(self.now, RouteEvent::Status { upstream: runner, status });
+            self.run_route_actions(actions);
         }
         self.declare_runners(&revision.catalog);
-        self.out.push(Action::RevisionApplied(revision));
-        // Peers that lack it ask for it: the whole is not sent to those that have it.
+        self.actions.push(Action::RevisionApplied(revision));
+        // Pings carry the revision's number: peers with an older one request the whole revision.
         self.ping_all();
     }
 
-    pub(crate) fn pull_config(&mut self, from: &HostId) {
-        if self.keeper.current().number > 0 {
-            let revision = self.keeper.current().clone();
+    /// Sends the revision in force to a peer that requested it.
+    pub(crate) fn send_config(&mut self, from: &HostId) {
+        if self.revisions.current().number > 0 {
+            let revision = self.revisions.current().clone();
             self.send(&from.name, Frame::Config(revision));
         }
     }
 
-    /// Asks `from` for a newer revision, unless one was asked for just now.
-    pub(crate) fn want_config(&mut self, from: &HostId) {
-        if self.now.since(self.config_asked) >= ASK_PACE {
-            self.config_asked = self.now;
+    /// Requests the revision of `from`, unless one was requested within the last interval.
+    pub(crate) fn request_config(&mut self, from: &HostId) {
+        if self.now.since(self.config_requested_at) >= CONFIG_REQUEST_INTERVAL_MS {
+            self.config_requested_at = self.now;
             self.send(&from.name, Frame::PullConfig);
         }
     }
 
-    /// Whether operators state that the process's host is destroyed.
-    pub(crate) fn is_stated_gone(&self, host: &HostId) -> bool {
-        let hosts = &self.keeper.current().catalog.hosts;
+    /// Whether the catalog's `gone` label declares this process or its whole host destroyed.
+    pub(crate) fn is_declared_gone(&self, host: &HostId) -> bool {
+        let hosts = &self.revisions.current().catalog.hosts;
         let gone = |v: &Name| &**v == "yes" || **v == *host.incarnation.to_string();
         hosts.iter().any(|h| h.name == host.name && h.labels.get("gone").is_some_and(gone))
     }
 }
 
+/// The runners and service instances of a catalog as the router's upstreams.
 fn upstreams(catalog: &Catalog) -> Vec<Upstream> {
     let runners = catalog.runners.iter().map(|r| Upstream {
         name: r.name.clone(),
--- a/crates/dispatch/src/ending.rs
+++ b/crates/dispatch/src/ending.rs
@@ -53,8 +53,8 @@
 
 /// Returns the `Retry-After` of a host without a configuration, `age_ms` after its start.
 ///
-/// When all hosts start together, callers are then served within their objective of one second; a
-/// fixed second for all made nearly half of them late. If the store is unavailable, callers that
+/// With it, callers that were refused while all hosts started together are served within their
+/// objective of one second; a fixed second for all made nearly half of them late. If the store is unavailable, callers that
 /// return earlier are only refused again.
 pub(crate) fn startup_retry_ms(age_ms: u64, has_store: bool) -> u64 {
     let is_store_late = age_ms > STORE_ANSWER_MS && !has_store;
@@ -205,7 +205,7 @@
         match end {
             AttemptEnd::Served => {
                 upstream.health.record(now, true);
-                upstream.consecutive_refusals = 0;
+                upstream.consecutive_rejections = 0;
             }
             // An error for an idempotent request says little about the upstream: if the request is
             // at fault, other upstreams fail as well.
@@ -218,8 +218,8 @@
             }
             AttemptEnd::Full => {
                 upstream.full_until =
-                    now + (FULL_PAUSE_MS << upstream.consecutive_refusals.min(MAX_DOUBLINGS));
-                upstream.consecutive_refusals += 1;
+                    now + (FULL_PAUSE_MS << upstream.consecutive_rejections.min(MAX_DOUBLINGS));
+                upstream.consecutive_rejections += 1;
                 let load = upstream.total(now);
                 // An upstream that rejects requests as full although it has free slots is at fault.
                 upstream.health.record(now, load.running * 2 >= upstream.state.slots);
--- a/crates/fanout/src/contact.rs
+++ b/crates/fanout/src/contact.rs
@@ -1,6 +1,6 @@
 //! Whether the store answers this host: when to probe it, and how long to wait for missing keys after an outage.
 //!
-//! All delays count from the end of the outage, which no host observes directly. It lies between the
+//! All delays count from the end of the outage, which no host observes directly. It is between the
 //! sending of the last lost call and the first answer. So while calls are lost, the host sends small
 //! probes at short intervals and takes their first answer as the end of the outage. Calls that hang
 //! longer then do not delay the detection of upstreams that have left.
@@ -11,7 +11,7 @@
 /// A host's contact with the store, as it reports it to other hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreState {
-    /// The store answers and has not been away lately.
+    /// The store answers and was not unreachable recently.
     #[default]
     Steady,
     /// The store does not answer.
@@ -109,7 +109,7 @@
         is_return
     }
 
-    /// Records that the store was restored from a copy, however short the outage was.
+    /// Records that the store was restored from a backup, however short the outage was.
     pub fn record_return(&mut self, now: Tick) {
         self.returned = Some(now);
     }
@@ -175,8 +175,7 @@
         self.returned.map(|at| now.since(at)).filter(|ms_ago| *ms_ago < self.return_ms)
     }
 
-    /// Returns how long to wait for a missing key, in milliseconds: until all live upstreams have had the time to write
-    /// theirs.
+    /// Returns how long to wait for a missing key: until all live upstreams have had the time to write theirs.
     pub fn missing_key_wait_ms(&self, now: Tick) -> u64 {
         match self.returned {
             Some(returned) if !self.is_away(now) => {
--- a/crates/fanout/src/source_state.rs
+++ b/crates/fanout/src/source_state.rs
@@ -7,7 +7,7 @@
 pub(crate) enum SourceState {
     /// The host is looking for another host to subscribe to.
     Searching(Search),
-    /// The host reads the store since `since`; `confirmed` is when the store last confirmed the data.
+    /// The host has read the store since `since`; `confirmed` is when the store last confirmed the data.
     Store {
         since: Tick,
         confirmed: Option<Tick>,
@@ -44,7 +44,8 @@
     }
 }
 
-/// The store probes of a host that has waited in vain for the hosts before it in the order to replace a stale source.
+/// The store probes of a host that has waited without success for the hosts before it in the order to replace a stale
+/// source.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FallbackProbes {
     pub last: Option<Tick>,
--- a/crates/gateway/src/hub.rs
+++ b/crates/gateway/src/hub.rs
@@ -88,10 +88,12 @@
     pub settings: Settings,
     pub ports: Ports,
     pub clock: Clock,
+    /// Connections to upstreams for the requests of callers.
     pub pool: Pool,
     pub store: Store,
     pub stage: watch::Sender<Stage>,
     pub host_lease: Cell<Option<vanetally_ports::LeaseId>>,
+    /// Connections to runners for orders and report requests.
     pub control_pool: Pool,
     pub links: Links,
     pub dispatch: RefCell<Dispatch>,
@@ -275,7 +277,7 @@
                 }
                 dispatch::Action::ReportCrash(report) => self.report_crash(report),
                 dispatch::Action::RequestPermit { id, reservation, request } => {
-                    tokio::task::spawn_local(self.clone().permit(id, reservation, request));
+                    tokio::task::spawn_local(self.clone().obtain_permit(id, reservation, request));
                 }
                 dispatch::Action::ReturnPermit { upstream, rate } => {
                     self.return_permit(upstream, rate);
